--- a/packages/dispatch/dandelionyoke_dispatch/_counts_handover.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_counts_handover.py
@@ -1,9 +1,9 @@
-"""Counts that one node saves for another.
+"""Transfer of usage counts to another node, which saves them.
 
-A write of each node for each second of calls makes the store's writes grow
-with the fleet. So a node hands its counts to the one that it asks for news,
-which saves them together with its own. What is not confirmed as saved in
-time, a node saves itself; a count that is saved twice counts once.
+If each node wrote its counts every second, the load on the store would grow
+with the fleet. A node therefore sends its counts to the node that it polls for
+updates, which saves them together with its own. A node saves any counts itself
+that are not acknowledged in time. Counts that are saved twice are counted once.
 """
 
 from collections.abc import Iterable
@@ -16,14 +16,14 @@
     WindowCounts,
 )
 
-# The other node saves within two seconds; a window is closed soon after.
-CONFIRMED_WITHIN_S = 2.4
-MOST_WINDOWS = 8
+# The other node saves within two seconds; a window closes soon after that.
+ACKNOWLEDGE_TIMEOUT_S = 2.4
+MAX_WINDOWS = 8
 
 
 @attrs.frozen
 class CountsParcel:
-    """Counts that were handed over; `number` counts the parcels."""
+    """A batch of counts; `number` is its sequence number in the process."""
 
     process: str
     number: int
@@ -31,58 +31,60 @@
 
 
 @attrs.frozen
-class _Pending:
-    handed_s: float
+class _UnacknowledgedParcel:
+    sent_s: float
     window_ids: tuple[int, ...]
 
 
 class CountsSender:
-    """What this process handed over and has not been confirmed yet."""
+    """The counts that this process sent and that are not acknowledged."""
 
     def __init__(self, process: str, usage: UsageCounter) -> None:
         self._process = process
         self._usage = usage
         self._number = 0
-        self._pending: dict[int, _Pending] = {}
+        self._unacknowledged: dict[int, _UnacknowledgedParcel] = {}
 
     def pack(self, now_s: float) -> CountsParcel | None:
-        """Take what changed since the last parcel; None: nothing did."""
+        """Return the changes since the last batch; None if there are none."""
         windows = tuple(self._usage.take_changed())
         if not windows:
             return None
         self._number += 1
-        ids = tuple(counts.window_id for counts in windows)
-        self._pending[self._number] = _Pending(now_s, ids)
+        window_ids = tuple(counts.window_id for counts in windows)
+        self._unacknowledged[self._number] = _UnacknowledgedParcel(
+            now_s, window_ids
+        )
         return CountsParcel(self._process, self._number, windows)
 
     def confirm(self, number: int) -> None:
-        """Note that all parcels up to a number are saved."""
-        for one in tuple(self._pending):
-            if one <= number:
-                self._pending.pop(one)
+        """Record that all batches up to a sequence number are saved."""
+        for pending_number in tuple(self._unacknowledged):
+            if pending_number <= number:
+                self._unacknowledged.pop(pending_number)
 
     def take_back(self, now_s: float) -> bool:
-        """Give back what was not confirmed in time; tell whether any was."""
+        """Requeue batches that timed out; return whether there were any."""
         overdue = [
             number
-            for number, pending in self._pending.items()
-            if now_s - pending.handed_s > CONFIRMED_WITHIN_S
+            for number, pending in self._unacknowledged.items()
+            if now_s - pending.sent_s > ACKNOWLEDGE_TIMEOUT_S
         ]
         for number in overdue:
-            for window_id in self._pending.pop(number).window_ids:
+            for window_id in self._unacknowledged.pop(number).window_ids:
                 self._usage.not_saved(window_id)
         return bool(overdue)
 
     def take_all_back(self) -> None:
-        """Give back all that is not confirmed: it is saved here."""
-        for pending in self._pending.values():
+        """Requeue all unacknowledged batches, to be saved by this process."""
+        for pending in self._unacknowledged.values():
             for window_id in pending.window_ids:
                 self._usage.not_saved(window_id)
-        self._pending.clear()
+        self._unacknowledged.clear()
 
 
 class CountsReceiver:
-    """Counts of other processes that this one saves for them."""
+    """The counts of other processes that this process saves."""
 
     def __init__(self) -> None:
         self._windows: dict[int, dict[str, WindowCounts]] = {}
@@ -92,11 +94,11 @@
 
     @property
     def has_unsaved(self) -> bool:
-        """Whether counts wait to be saved."""
+        """Whether any counts are waiting to be saved."""
         return bool(self._changed)
 
     def take(self, parcel: CountsParcel) -> None:
-        """Take another process's counts; its newer ones replace older."""
+        """Accept a batch; it replaces older counts of the same process."""
         if parcel.number <= self._received.get(parcel.process, 0):
             return
         self._received[parcel.process] = parcel.number
@@ -104,23 +106,23 @@
             window = self._windows.setdefault(counts.window_id, {})
             window[parcel.process] = counts
             self._changed.add(counts.window_id)
-        while len(self._windows) > MOST_WINDOWS:
+        while len(self._windows) > MAX_WINDOWS:
             oldest = min(self._windows)
             self._windows.pop(oldest)
             self._changed.discard(oldest)
 
     def take_changed(self) -> list[int]:
-        """Name the windows that changed since they were last saved."""
+        """Return the ids of the windows that changed since the last save."""
         changed = sorted(self._changed)
         self._changed.clear()
         return changed
 
     def not_saved(self, window_ids: Iterable[int]) -> None:
-        """Give windows back whose saving failed."""
+        """Requeue windows that could not be saved."""
         self._changed.update(set(window_ids) & self._windows.keys())
 
     def parts(self, window_id: int) -> list[ProcessCounts]:
-        """List what other processes counted in a window."""
+        """Return the counts of other processes in a window."""
         window = self._windows.get(window_id, {})
         return [
             ProcessCounts(process, counts.counts)
@@ -128,13 +130,13 @@
         ]
 
     def received(self) -> dict[str, int]:
-        """Tell up to which parcel each process was heard."""
+        """Return the sequence number of the last batch of each process."""
         return dict(self._received)
 
     def confirm(self, received: dict[str, int]) -> None:
-        """Note that what was received up to then is saved."""
+        """Record that all batches up to these sequence numbers are saved."""
         self._saved.update(received)
 
     def saved(self, process: str) -> int:
-        """Tell up to which parcel a process's counts are saved."""
+        """Return the last sequence number of a process that is saved."""
         return self._saved.get(process, 0)
--- a/tests/dispatch/test_counts_handover.py
+++ b/tests/dispatch/test_counts_handover.py
@@ -1,4 +1,4 @@
-"""Counts that one node saves for another."""
+"""Transfer of usage counts to another node."""
 
 import testtools
 
@@ -20,7 +20,7 @@
         self.sender = CountsSender('p', self.usage)
         self.receiver = CountsReceiver()
 
-    def test_saved_counts_are_confirmed(self) -> None:
+    def test_saved_counts_are_acknowledged(self) -> None:
         self.usage.began('acme', 1.0)
         parcel = self.sender.pack(1.0)
         self.receiver.take(parcel)
@@ -32,8 +32,8 @@
         self.assertFalse(self.sender.take_back(9.0))
         self.assertIsNone(self.sender.pack(9.0))
 
-    def test_what_is_not_confirmed_in_time_is_saved_here(self) -> None:
-        """The node that took the counts is killed before it saved them.
+    def test_unacknowledged_counts_are_saved_locally(self) -> None:
+        """The node that received the counts is killed before it saves them.
 
         The window would be reported without these calls.
         """
@@ -45,7 +45,7 @@
             [WindowCounts(200, (('acme', 1),))], self.usage.take_changed()
         )
 
-    def test_a_late_parcel_does_not_replace_a_newer_one(self) -> None:
+    def test_a_reordered_parcel_does_not_replace_a_newer_one(self) -> None:
         newer = CountsParcel('p', 2, (WindowCounts(200, (('acme', 2),)),))
         older = CountsParcel('p', 1, (WindowCounts(200, (('acme', 1),)),))
         self.receiver.take(newer)
--- a/tests/dispatch/test_usage.py
+++ b/tests/dispatch/test_usage.py
@@ -1,4 +1,4 @@
-"""Counts by window of true time."""
+"""Usage counts by window of wall time."""
 
 import testtools
 
@@ -28,7 +28,7 @@
             self.usage.take_changed(),
         )
 
-    def test_only_changes_are_saved_and_failed_saves_again(self) -> None:
+    def test_only_changed_windows_are_saved_and_failures_requeued(self) -> None:
         self.usage.began('acme', 1)
         self.usage.take_changed()
         self.assertEqual([], self.usage.take_changed())
@@ -37,17 +37,17 @@
             [WindowCounts(200, (('acme', 1),))], self.usage.take_changed()
         )
 
-    def test_all_processes_add_up(self) -> None:
+    def test_counts_of_all_processes_are_summed(self) -> None:
         records = [
             WindowRecord(1, (ProcessCounts('p', (('a', 1), ('b', 2))),)),
             WindowRecord(1, (ProcessCounts('q', (('b', 3),)),)),
         ]
         self.assertEqual((('a', 1), ('b', 5)), add_up(records))
 
-    def test_what_two_nodes_saved_of_one_process_counts_once(self) -> None:
-        """A node hands its counts over, then saves newer ones itself.
+    def test_counts_of_one_process_saved_by_two_nodes_count_once(self) -> None:
+        """A node hands its counts to another one, then saves newer ones itself.
 
-        Added up, its calls would be billed twice.
+        If both were summed, its calls would be billed twice.
         """
         records = [
             WindowRecord(1, (ProcessCounts('p', (('a', 4),)),)),
@@ -61,5 +61,5 @@
         ]
         self.assertEqual((('a', 5),), add_up(records))
 
-    def test_a_window_ages_from_its_end(self) -> None:
+    def test_the_age_of_a_window_starts_at_its_end(self) -> None:
         self.assertAlmostEqual(2.0, self.usage.age_s(200, 7.0))
