--- a/packages/dispatch/dandelionyoke_dispatch/_crash_guard.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_crash_guard.py
@@ -1,8 +1,8 @@
-"""Calls that crash each engine which runs them.
+"""Refusal of calls that crash the engines running them.
 
-Such a call comes again, at any node, and would take one engine after the
-other away from all callers. The nodes tell each other which call was under
-way when a target died; after three targets it is refused everywhere.
+Such a call is retried, through any node, and would take one engine after the
+other out of service. The nodes tell each other which call was in flight when a
+target crashed. After three targets, all nodes refuse the call.
 """
 
 import hashlib
@@ -17,20 +17,20 @@
 class CrashSettings:
     """When a call is refused, and for how long.
 
-    A target may die for other reasons while an innocent call is under way;
-    three different ones within `memory_s` do not by chance. `most_kept`
-    bounds the memory.
+    A target may crash for another reason while a harmless call is in flight.
+    Three different targets within `crash_lifetime_s` are not a coincidence.
+    `max_fingerprints` bounds the memory use.
     """
 
     targets: int = 3
-    memory_s: float = 60.0
+    crash_lifetime_s: float = 60.0
     retry_after_s: float = 30.0
-    most_kept: int = 4096
+    max_fingerprints: int = 4096
 
 
 @attrs.frozen
 class CrashNote:
-    """A call that was under way when a target died, and how long ago."""
+    """A call that was in flight when a target crashed, and how long ago."""
 
     call: str
     target_id: str
@@ -38,7 +38,7 @@
 
 
 def fingerprint(organisation: str | None, path: str, body: bytes) -> str:
-    """Name a call by its caller, path and body; nothing of it can be read."""
+    """Return a one-way hash of the organisation, path and body of a call."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in ((organisation or '').encode(), path.encode(), body):
         digest.update(len(part).to_bytes(8, 'big'))
@@ -47,39 +47,39 @@
 
 
 class CrashGuard:
-    """Which calls were under way at which targets when those died."""
+    """The calls that were in flight at targets when those crashed."""
 
     def __init__(self, settings: CrashSettings) -> None:
         self._settings = settings
-        self._seen: OrderedDict[str, dict[str, float]] = OrderedDict()
+        self._crashes: OrderedDict[str, dict[str, float]] = OrderedDict()
 
-    def crashed(self, name: str, target_id: str, now_s: float) -> None:
-        """Note that a target died while it ran a call."""
-        targets = self._seen.setdefault(name, {})
+    def crashed(self, call: str, target_id: str, now_s: float) -> None:
+        """Record that a target crashed while it ran a call."""
+        targets = self._crashes.setdefault(call, {})
         targets.setdefault(target_id, now_s)
-        self._seen.move_to_end(name)
-        while len(self._seen) > self._settings.most_kept:
-            self._seen.popitem(last=False)
+        self._crashes.move_to_end(call)
+        while len(self._crashes) > self._settings.max_fingerprints:
+            self._crashes.popitem(last=False)
 
     def notes(self, now_s: float) -> tuple[CrashNote, ...]:
-        """List what is remembered, for the other nodes."""
+        """Return the crashes that have not expired, for the other nodes."""
         return tuple(
-            CrashNote(name, target_id, now_s - seen_s)
-            for name, targets in self._seen.items()
-            for target_id, seen_s in targets.items()
-            if now_s - seen_s < self._settings.memory_s
+            CrashNote(call, target_id, now_s - crashed_s)
+            for call, targets in self._crashes.items()
+            for target_id, crashed_s in targets.items()
+            if now_s - crashed_s < self._settings.crash_lifetime_s
         )
 
-    def refuses(self, name: str, now_s: float) -> bool:
+    def refuses(self, call: str, now_s: float) -> bool:
         """Whether a call has crashed too many targets to be sent again."""
-        targets = self._seen.get(name)
+        targets = self._crashes.get(call)
         if targets is None:
             return False
-        since_s = now_s - self._settings.memory_s
-        recent = sum(seen_s >= since_s for seen_s in targets.values())
+        oldest_s = now_s - self._settings.crash_lifetime_s
+        recent = sum(crashed_s >= oldest_s for crashed_s in targets.values())
         return recent >= self._settings.targets
 
     @property
     def retry_after_s(self) -> float:
-        """When a refused call may be tried again."""
+        """The time after which a refused call may be retried."""
         return self._settings.retry_after_s
