--- a/packages/dispatch/dandelionyoke_dispatch/_freshness.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_freshness.py
@@ -1,9 +1,9 @@
-"""How old a node's knowledge of the configuration may be.
+"""The age of the configuration that a node knows.
 
-A node that is cut off from the store cannot hear that a key was withdrawn.
-It would go on serving the withdrawn key, and a customer who left would see
-its calls run and be billed. So each node counts the age of its last proof
-that it knew the newest version, and turns keyed calls away in time.
+A node that is partitioned from the store is not told when an API key is
+revoked. It would keep accepting the key, and calls of a customer that left
+would run and be billed. Each node therefore tracks when it last confirmed that
+it has the latest version, and refuses calls with a key before that is too old.
 """
 
 import attrs
@@ -11,11 +11,11 @@
 
 @attrs.frozen
 class FreshnessSettings:
-    """The bound on a withdrawn key, and the margin kept to it.
+    """The time limit for accepting a revoked key, and its safety margin.
 
-    `revocation_s` is the users' bound; `margin_s` covers the rate at which
-    two clocks drift within that time and one scheduling delay. Two watches
-    in a row and a slow answer make an age of up to `current_s`.
+    `revocation_s` is the limit that users set. `margin_s` covers the drift
+    between two clocks during that time and one scheduling delay. Two watches in
+    a row and a slow response give an age of up to `current_s`.
     """
 
     revocation_s: float = 5.0
@@ -24,40 +24,41 @@
 
 
 class Freshness:
-    """The age of the last proof that the known version was the newest."""
+    """The age of the last confirmation that the version was the latest."""
 
     def __init__(self, settings: FreshnessSettings) -> None:
         self._settings = settings
         self._proven_s: float | None = None
 
     def prove(self, asked_s: float) -> None:
-        """Take an answer of the store; it proves the time of the question.
+        """Record a response of the store to a request sent at `asked_s`.
 
-        The answer may have waited on its way, so its arrival proves nothing.
+        The response may have been delayed, so only the time of the request
+        counts, not the time of arrival.
         """
         if self._proven_s is None or asked_s > self._proven_s:
             self._proven_s = asked_s
 
     @property
     def proven_s(self) -> float | None:
-        """The moment of the last proof; None: there never was one."""
+        """The time of the last confirmation; None if there was none."""
         return self._proven_s
 
     def age_s(self, now_s: float) -> float | None:
-        """Tell the age of the last proof; None: there never was one."""
+        """Return the age of the last confirmation; None if there was none."""
         return None if self._proven_s is None else now_s - self._proven_s
 
     def is_current(self, now_s: float) -> bool:
-        """Whether the store answers as usual.
+        """Whether the store responds normally.
 
-        A node that is cut off says so to the balancer while it can still
-        serve those who come until the balancer has believed it.
+        A partitioned node reports this to the balancer while it can still serve
+        the callers that arrive before the balancer reacts.
         """
         age_s = self.age_s(now_s)
         return age_s is not None and age_s < self._settings.current_s
 
     def serves_keys(self, now_s: float) -> bool:
-        """Whether a key that is known cannot have been withdrawn too long."""
+        """Whether the configuration is recent enough to accept keys."""
         age_s = self.age_s(now_s)
-        bound_s = self._settings.revocation_s - self._settings.margin_s
-        return age_s is not None and age_s < bound_s
+        max_age_s = self._settings.revocation_s - self._settings.margin_s
+        return age_s is not None and age_s < max_age_s
