--- a/packages/dispatch/dandelionyoke_dispatch/_engine_plan.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_engine_plan.py
@@ -1,10 +1,11 @@
-"""How many engines of each kind a service should have, by failure domain.
-
-Reclaimable engines cost a fraction of the others, but all of a domain can be
-taken away on a few seconds' notice, and none may be had there for a while. So
-a few steady engines stay for the work that is hard to move, and the range is
-filled with reclaimable ones, more than the load needs: when one domain loses
-its own, the others carry on. Steady engines stand in where too few are left.
+"""The number of engines per kind and failure domain that a service needs.
+
+Reclaimable (spot) engines cost a fraction of on-demand engines, but a failure
+domain can lose all of them at a few seconds' notice and get no new ones for a
+while. A few on-demand engines are kept for work that is hard to move. The rest
+of the range is filled with reclaimable engines, more than the load needs, so
+that the other domains can take over when one domain loses its own. On-demand
+engines replace reclaimable ones where too few of those are left.
 """
 
 import math
@@ -19,26 +20,27 @@
 
 @attrs.frozen
 class EnginePlanSettings:
-    """How far the range is used, and when steady engines stand in.
-
-    Unless callers wait, reclaimable engines fill the range as far as they
-    cost no more than `afforded_share` of what the whole of it would cost at
-    the full price. `steady_domains` is the number of domains, the cheapest
-    ones, that keep a steady engine each. Where a domain has no reclaimable
-    engines to give, steady ones stand in up to `assured_share` of the most it
-    may have, less while callers do not wait. The room above that lets the
-    first reclaimable ones come before those that stood in go.
+    """How much of the range is used, and when to use on-demand engines.
+
+    Unless the service is overloaded, reclaimable engines fill the range as long
+    as they cost at most `max_cost_share` of the whole range at the on-demand
+    price. Each of the `on_demand_domains` cheapest domains keeps one on-demand
+    engine. A domain that cannot get reclaimable engines is filled with
+    on-demand engines up to `fallback_share` of its maximum, or
+    `relaxed_fallback_share` while the service is not overloaded. The headroom
+    above that share lets the first reclaimable engines start before the
+    on-demand ones are removed.
     """
 
-    afforded_share: float = 0.25
-    steady_domains: int = 2
-    assured_share: float = 0.6
-    assured_share_calm: float = 0.3
+    max_cost_share: float = 0.25
+    on_demand_domains: int = 2
+    fallback_share: float = 0.6
+    relaxed_fallback_share: float = 0.3
 
 
 @attrs.frozen
 class WantedCount:
-    """A number of engines of one kind wanted in a domain."""
+    """The wanted number of engines of one kind in a domain."""
 
     domain: str
     is_reclaimable: bool
@@ -47,17 +49,17 @@
 
 @attrs.frozen
 class FleetNeed:
-    """Whether callers wait too long, and which domains could not give.
+    """Whether a service is overloaded, and where engines are unavailable.
 
-    `refusing` names those that had no reclaimable engines of late.
+    `refusing` names the domains that recently had no reclaimable engines.
     """
 
-    is_strained: bool = False
+    is_overloaded: bool = False
     refusing: Collection[str] = ()
 
 
 class EnginePlan:
-    """Compares the engines of a service with the range it may have."""
+    """Computes the wanted number of engines of a service."""
 
     def __init__(self, settings: EnginePlanSettings) -> None:
         self._settings = settings
@@ -68,53 +70,57 @@
         engines: Sequence[RegisteredTarget],
         need: FleetNeed,
     ) -> list[WantedCount]:
-        """List the counts wanted, those that are already there included."""
+        """Return the wanted counts, including the engines that already run."""
         if scaling.reclaimable_price_share is None:
             return []
         domains = sorted(scaling.domain_prices)
-        steady = _by_domain(engines, is_reclaimable=False)
-        reclaimable = _by_domain(engines, is_reclaimable=True)
-        kept = self._kept(scaling)
-        assured = self._assured(scaling, need)
-        most = self._most(scaling, need)
-        found = []
+        on_demand = _count_by_domain(engines, is_reclaimable=False)
+        reclaimable = _count_by_domain(engines, is_reclaimable=True)
+        min_on_demand = self._min_on_demand(scaling)
+        fallback = self._fallback_count(scaling, need)
+        max_engines = self._max_engines(scaling, need)
+        counts = []
         for domain in domains:
-            missing = assured - reclaimable[domain]
+            missing = fallback - reclaimable[domain]
             if domain not in need.refusing:
-                missing = min(missing, steady[domain])
-            found.append(WantedCount(domain, False, max(kept[domain], missing)))
-            # The range holds both kinds, so that reclaimable engines get the
-            # room that steady ones leave.
-            room = max(0, most - steady[domain])
-            found.append(WantedCount(domain, True, room))
-        return found
-
-    def _assured(self, scaling: ScalingRange, need: FleetNeed) -> int:
+                missing = min(missing, on_demand[domain])
+            counts.append(
+                WantedCount(domain, False, max(min_on_demand[domain], missing))
+            )
+            # The range limits both kinds together, so on-demand engines reduce
+            # the headroom of reclaimable ones.
+            headroom = max(0, max_engines - on_demand[domain])
+            counts.append(WantedCount(domain, True, headroom))
+        return counts
+
+    def _fallback_count(self, scaling: ScalingRange, need: FleetNeed) -> int:
         settings = self._settings
-        share = settings.assured_share_calm
-        if need.is_strained:
-            share = settings.assured_share
+        share = settings.relaxed_fallback_share
+        if need.is_overloaded:
+            share = settings.fallback_share
         return math.ceil(share * scaling.most)
 
-    def _most(self, scaling: ScalingRange, need: FleetNeed) -> int:
-        """Tell how many engines of both kinds a domain is to have."""
+    def _max_engines(self, scaling: ScalingRange, need: FleetNeed) -> int:
+        """Return the wanted number of engines of both kinds per domain."""
         price_share = scaling.reclaimable_price_share
-        if need.is_strained or not price_share:
+        if need.is_overloaded or not price_share:
             return scaling.most
-        afforded = self._settings.afforded_share / price_share
-        most = math.ceil(min(1.0, afforded) * scaling.most)
-        return max(scaling.least, most)
+        affordable = self._settings.max_cost_share / price_share
+        max_engines = math.ceil(min(1.0, affordable) * scaling.most)
+        return max(scaling.least, max_engines)
 
-    def _kept(self, scaling: ScalingRange) -> Counter[str]:
-        """Choose the domains that keep a steady engine: the cheapest."""
+    def _min_on_demand(self, scaling: ScalingRange) -> Counter[str]:
+        """Return the number of on-demand engines to keep by domain."""
         prices = scaling.domain_prices
         cheapest = sorted(prices, key=lambda domain: (prices[domain], domain))
-        return Counter(cheapest[: self._settings.steady_domains])
+        return Counter(cheapest[: self._settings.on_demand_domains])
 
 
-def _by_domain(
+def _count_by_domain(
     engines: Sequence[RegisteredTarget], *, is_reclaimable: bool
 ) -> Counter[str]:
     return Counter(
-        one.domain for one in engines if one.is_reclaimable is is_reclaimable
+        engine.domain
+        for engine in engines
+        if engine.is_reclaimable is is_reclaimable
     )
--- a/packages/dispatch/dandelionyoke_dispatch/_phase_plan.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_phase_plan.py
@@ -1,4 +1,4 @@
-"""Which language engines prefill and which decode."""
+"""The assignment of language engines to the prefill and decode phases."""
 
 import math
 from collections import Counter, deque
@@ -11,51 +11,52 @@
 from dandelionyoke_dispatch._phase_split import PhaseLoad, PhaseSplit
 from dandelionyoke_dispatch._registry import Phase, RegisteredTarget
 
-LEAST_COMING = 2
+MIN_SWITCHING = 2
 
 
 @attrs.frozen
 class PhasePlanSettings:
-    """How far the phases follow the load, and how fast.
-
-    No fewer than `least_share` of all engines decode: each call needs one, so
-    that those left have to carry all when some are lost. A number falls once
-    it has been too high for `hold_s`, a few times the seconds that a change
-    costs. No more than `coming_share` of all engines, two at least, change to
-    decode at a time: they do no work meanwhile, and a load that was gone
-    before they had changed would have them all change back.
+    """How far and how fast the phases follow the load.
+
+    At least `min_decode_share` of all engines decode: every call needs a decode
+    engine, and the remaining ones must carry all calls when some are lost. The
+    number of decode engines is reduced after the demand was lower for `hold_s`,
+    a few times the seconds that a phase change takes. At most
+    `max_switching_share` of all engines, but at least two, switch to decode at
+    the same time: they do no work while they switch, and after a burst that
+    ended before then, all of them would have to switch back.
     """
 
-    least_share: float = 0.2
+    min_decode_share: float = 0.2
     hold_s: float = 8.0
-    coming_share: float = 0.1
+    max_switching_share: float = 0.1
 
 
 @attrs.frozen
 class PhaseChange:
-    """An engine that has to change its phase."""
+    """An engine that has to switch to another phase."""
 
     target: RegisteredTarget
     phase: Phase
 
 
 class PhasePlan:
-    """Compares the engines of a service with the number wanted."""
+    """Compares the phases of the engines of a service with the demand."""
 
     def __init__(self, settings: PhasePlanSettings, split: PhaseSplit) -> None:
         self._settings = settings
         self._split = split
         self._streams = Peak(settings.hold_s)
         self._prompts = Peak(settings.hold_s)
-        # What the last plan went by.
+        # The inputs and result of the latest plan.
         self.peak = PhaseLoad(0.0)
         self.wanted = 0
 
     def observe(self, load: PhaseLoad, now_s: float) -> None:
-        """Follow the load, so that a plan made later knows its peak."""
+        """Record the load, so that later plans use its peak."""
         self.peak = PhaseLoad(
-            self._streams.take(load.streams, now_s),
-            self._prompts.take(load.prompts, now_s),
+            self._streams.update(load.streams, now_s),
+            self._prompts.update(load.prompts, now_s),
         )
 
     def changes(
@@ -65,129 +66,149 @@
         now_s: float,
         settled: frozenset[str] | None = None,
     ) -> list[PhaseChange]:
-        """List the changes that are wanted now.
+        """Return the phase changes that are wanted now.
 
-        `settled` names the engines that have the phase they are taken to
-        have, without those only ordered to change (None: all).
+        `settled` names the engines that have already switched to their listed
+        phase, excluding those that were only ordered to do so; None means all.
         """
         self.observe(load, now_s)
         if len(engines) < 2:
             return []
         wanted = self._wanted_decode(engines)
-        present = sum(one.phase is Phase.DECODE for one in engines)
-        # One too many is left: it would be wanted again when the engines
-        # that are missing now have come back, and each change costs seconds.
-        if present == wanted + 1 and present < len(engines):
-            wanted = present
+        decoding = sum(one.phase is Phase.DECODE for one in engines)
+        # A single surplus engine keeps decoding: it would be needed again when
+        # missing engines return, and each switch takes seconds.
+        if decoding == wanted + 1 and decoding < len(engines):
+            wanted = decoding
         self.wanted = wanted
         decode = _choose_decode(engines, wanted)
-        come = [
+        to_decode = [
             PhaseChange(one, Phase.DECODE)
             for one in engines
             if one.target_id in decode and one.phase is not Phase.DECODE
         ]
-        go = [
+        to_prefill = [
             PhaseChange(one, Phase.PREFILL)
             for one in engines
             if one.target_id not in decode and one.phase is not Phase.PREFILL
         ]
-        leaving = self._those_not_needed(go, engines, wanted, settled)
+        released = self._limit_to_prefill(to_prefill, engines, wanted, settled)
         if len({one.phase for one in engines}) < 2:
-            return come + leaving
-        return self._first(come, engines, settled) + leaving
+            return to_decode + released
+        return self._limit_to_decode(to_decode, engines, settled) + released
 
-    def _first(
+    def _limit_to_decode(
         self,
-        come: list[PhaseChange],
+        to_decode: list[PhaseChange],
         engines: Sequence[RegisteredTarget],
         settled: frozenset[str] | None,
     ) -> list[PhaseChange]:
-        """Take as many changes to decode as may be under way.
+        """Return the changes to decode that may start now.
 
-        What is missing of the least number comes at once: decode engines
-        were lost, and their streams wait.
+        Engines missing from the minimum switch at once: decode engines were
+        lost, and their streams are waiting.
         """
         decode = [one for one in engines if one.phase is Phase.DECODE]
-        coming = sum(
+        switching = sum(
             settled is not None and one.target_id not in settled
             for one in decode
         )
-        most = math.ceil(len(engines) * self._settings.coming_share)
-        more = max(LEAST_COMING, most) - coming
-        missing = self._least(engines) - len(decode)
-        return come[: max(0, more, missing)]
+        max_switching = math.ceil(
+            len(engines) * self._settings.max_switching_share
+        )
+        allowed = max(MIN_SWITCHING, max_switching) - switching
+        missing = self._min_decode(engines) - len(decode)
+        return to_decode[: max(0, allowed, missing)]
 
-    def _those_not_needed(
+    def _limit_to_prefill(
         self,
-        go: Sequence[PhaseChange],
+        to_prefill: Sequence[PhaseChange],
         engines: Sequence[RegisteredTarget],
         wanted: int,
         settled: frozenset[str] | None,
     ) -> list[PhaseChange]:
-        """Let a decode engine go once another one has taken its place.
+        """Return the changes to prefill that may start now.
 
-        When engines are exchanged, the old decode engines would all refuse
-        streams before the new ones take any; the nodes hear of that only with
-        the next heartbeats, and their callers are refused for seconds. An engine
-        of another phase than these two is free to change at any time.
+        A decode engine switches only once another one has replaced it.
+        Otherwise the old decode engines would all refuse streams before the new
+        ones accept any. Nodes learn of the change only from the next
+        heartbeats, and callers would be refused for seconds. An engine in
+        neither of the two phases may switch at any time.
         """
         ready = sum(
             one.phase is Phase.DECODE
             and (settled is None or one.target_id in settled)
             for one in engines
         )
-        free = max(0, ready - wanted)
-        decode = [one for one in go if one.target.phase is Phase.DECODE]
-        others = [one for one in go if one.target.phase is not Phase.DECODE]
-        return others + decode[:free]
+        surplus = max(0, ready - wanted)
+        decode = [one for one in to_prefill if one.target.phase is Phase.DECODE]
+        others = [
+            one for one in to_prefill if one.target.phase is not Phase.DECODE
+        ]
+        return others + decode[:surplus]
 
     def _wanted_decode(self, engines: Sequence[RegisteredTarget]) -> int:
         slots = sum(one.slots for one in engines) / len(engines)
         needed = math.ceil(
             self._split.decode_count(len(engines), slots, self.peak)
         )
-        return min(max(self._least(engines), needed), len(engines) - 1)
+        return min(max(self._min_decode(engines), needed), len(engines) - 1)
 
-    def _least(self, engines: Sequence[RegisteredTarget]) -> int:
-        return math.ceil(len(engines) * self._settings.least_share)
+    def _min_decode(self, engines: Sequence[RegisteredTarget]) -> int:
+        return math.ceil(len(engines) * self._settings.min_decode_share)
 
 
 def _choose_decode(
     engines: Sequence[RegisteredTarget], count: int
 ) -> frozenset[str]:
-    """Choose the decode engines.
+    """Return the ids of the engines that should decode.
 
-    Those that decode already come first: a change costs seconds, in which
-    the streams of all nodes are refused. Then come steady ones, since a
-    stream is lost with its engine and a prompt can be read again. Spread over
-    the domains they are near to most prompts and not all lost with one.
+    Engines that decode already are preferred: a switch takes seconds, during
+    which the streams of all nodes are refused. Next come on-demand engines,
+    because a stream is lost with its engine, while a prompt can be prefilled
+    again. The engines are spread over the failure domains, so that they are
+    close to most prompts and not all lost together.
     """
-    crowd: Counter[str] = Counter()
-    names: list[str] = []
-    for _, alike in groupby(sorted(engines, key=_preference), _preference):
-        by_domain = _by_domain(alike)
-        while by_domain and len(names) < count:
-            names.append(_take_first(by_domain, crowd))
-    return frozenset(names)
-
-
-def _take_first(by_domain: dict[str, deque[str]], crowd: Counter[str]) -> str:
-    """Take the first engine of the domain that has the fewest so far."""
-    domain = min(by_domain, key=lambda one: (crowd[one], by_domain[one][0]))
-    crowd[domain] += 1
-    name = by_domain[domain].popleft()
+    chosen_by_domain: Counter[str] = Counter()
+    target_ids: list[str] = []
+    for _, equivalent in groupby(sorted(engines, key=_sort_key), _sort_key):
+        by_domain = _group_by_domain(equivalent)
+        while by_domain and len(target_ids) < count:
+            target_ids.append(
+                _pop_from_emptiest_domain(by_domain, chosen_by_domain)
+            )
+    return frozenset(target_ids)
+
+
+def _pop_from_emptiest_domain(
+    by_domain: dict[str, deque[str]], chosen_by_domain: Counter[str]
+) -> str:
+    """Remove and return the next engine of the domain with fewest chosen."""
+    domain = min(
+        by_domain,
+        key=lambda candidate: (
+            chosen_by_domain[candidate],
+            by_domain[candidate][0],
+        ),
+    )
+    chosen_by_domain[domain] += 1
+    target_id = by_domain[domain].popleft()
     if not by_domain[domain]:
         by_domain.pop(domain)
-    return name
+    return target_id
 
 
-def _preference(engine: RegisteredTarget) -> tuple[bool, bool]:
+def _sort_key(engine: RegisteredTarget) -> tuple[bool, bool]:
     return engine.phase is not Phase.DECODE, engine.is_reclaimable
 
 
-def _by_domain(engines: Iterable[RegisteredTarget]) -> dict[str, deque[str]]:
-    """Name the engines of each domain, in order."""
-    found: dict[str, deque[str]] = {}
+def _group_by_domain(
+    engines: Iterable[RegisteredTarget],
+) -> dict[str, deque[str]]:
+    """Return the sorted engine ids of each domain."""
+    ids_by_domain: dict[str, deque[str]] = {}
     for engine in sorted(engines, key=lambda one: one.target_id):
-        found.setdefault(engine.domain, deque()).append(engine.target_id)
-    return found
+        ids_by_domain.setdefault(engine.domain, deque()).append(
+            engine.target_id
+        )
+    return ids_by_domain
--- a/packages/dispatch/dandelionyoke_dispatch/_phase_split.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_phase_split.py
@@ -1,4 +1,4 @@
-"""How many engines of a service decode, the others prefill."""
+"""The number of engines of a service that decode; the others prefill."""
 
 import math
 from typing import Protocol
@@ -8,10 +8,10 @@
 
 @attrs.frozen
 class PhaseLoad:
-    """What the engines of a service have to do.
+    """The load of the engines of a service.
 
-    `streams` are at decode engines and `prompts` at prefill engines, those
-    that wait there included.
+    `streams` are queued or in flight at decode engines, `prompts` at prefill
+    engines.
     """
 
     streams: float
@@ -19,49 +19,49 @@
 
 
 class PhaseSplit(Protocol):
-    """Chooses the number of decode engines."""
+    """A strategy for choosing the number of decode engines."""
 
     def decode_count(
         self, engines: int, slots: float, load: PhaseLoad
     ) -> float:
-        """Tell how many of the engines should decode.
+        """Return the number of engines that should decode.
 
-        `slots` are those of one engine, in the mean.
+        `slots` is the mean number of slots per engine.
         """
 
 
 @attrs.frozen
 class StreamSplit:
-    """The naive form: as many as the streams need, whatever prefill loses."""
+    """The baseline: as many as the streams need, ignoring prefill demand."""
 
-    filled_share: float = 0.7
+    target_utilisation: float = 0.7
 
     def decode_count(
         self, engines: int, slots: float, load: PhaseLoad
     ) -> float:
-        """Tell how many of the engines should decode."""
-        return load.streams / (slots * self.filled_share)
+        """Return the number of engines that should decode."""
+        return load.streams / (slots * self.target_utilisation)
 
 
 @attrs.frozen
 class BalancedSplit:
-    """As many as the streams need, while the prompts leave that many.
+    """As many as the streams need, if enough are left for the prompts.
 
-    Where both phases need more than there is, each gets its share of what
-    they need, so that neither is shorter of engines than the other: a call
-    needs both. An engine is busy with `prompts_at_engine` prompts, and with
-    streams in `filled_share` of its slots.
+    If both phases together need more engines than there are, each gets a number
+    in proportion to its need, so that neither is shorter than the other: every
+    call needs both phases. An engine is fully used with `prompts_per_engine`
+    prompts, or with streams in a share of `target_utilisation` of its slots.
     """
 
-    filled_share: float = 0.7
-    prompts_at_engine: float = 2.0
+    target_utilisation: float = 0.7
+    prompts_per_engine: float = 2.0
 
     def decode_count(
         self, engines: int, slots: float, load: PhaseLoad
     ) -> float:
-        """Tell how many of the engines should decode."""
-        decode = load.streams / (slots * self.filled_share)
-        prefill = load.prompts / self.prompts_at_engine
+        """Return the number of engines that should decode."""
+        decode = load.streams / (slots * self.target_utilisation)
+        prefill = load.prompts / self.prompts_per_engine
         if math.ceil(decode) + prefill <= engines:
             return decode
         return engines * decode / (decode + prefill)
