--- a/packages/dispatch/dandelionyoke_dispatch/_rate_limit.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_rate_limit.py
@@ -1,4 +1,4 @@
-"""Limits on what an organisation may use over the whole fleet."""
+"""Fleet-wide rate limits of organisations."""
 
 import enum
 import math
@@ -12,7 +12,7 @@
 
 @enum.unique
 class LimitUnit(enum.Enum):
-    """What a rate limit counts."""
+    """The unit that a rate limit counts."""
 
     CALLS = 'calls'
     TOKENS = 'tokens'
@@ -22,15 +22,17 @@
     limit: object, field: 'attrs.Attribute[float]', amount: float
 ) -> None:
     if not math.isfinite(amount) or amount < 0:
-        raise ValueError(f'{field.name} is {amount}; write a number from 0 up')
+        raise ValueError(
+            f'{field.name} is {amount}; it must be finite and at least 0'
+        )
 
 
 @attrs.frozen
 class RateLimit:
-    """A token bucket for all nodes together.
+    """A token bucket that is shared by all nodes.
 
-    `rate_per_s` and `burst` count calls or tokens. A call without a token
-    count takes `plain_tokens`.
+    `rate_per_s` and `burst` are in calls or tokens. A call without a token
+    count is charged `plain_tokens`.
 
     Raises:
         ValueError: a figure is negative or not finite, the rate is 0, or the
@@ -44,18 +46,18 @@
 
     def __attrs_post_init__(self) -> None:
         if not self.rate_per_s:
-            raise ValueError('rate_per_s is 0; leave out a limit of nothing')
-        least = 1.0
+            raise ValueError('rate_per_s is 0; it must be positive')
+        min_burst = 1.0
         if self.unit is LimitUnit.TOKENS:
-            least = max(least, self.plain_tokens)
-        if self.burst < least:
+            min_burst = max(min_burst, self.plain_tokens)
+        if self.burst < min_burst:
             raise ValueError(
                 f'burst is {self.burst}, less than one call; '
-                f'write {least:g} or more'
+                f'it must be at least {min_burst:g}'
             )
 
     def amount_of(self, prompt: Prompt | None) -> float:
-        """Tell how much a call takes of the limit."""
+        """Return the amount that a call is charged."""
         if self.unit is LimitUnit.CALLS:
             return 1.0
         if prompt is None:
@@ -65,12 +67,12 @@
 
 @attrs.frozen
 class LimitVerdict:
-    """What became of a call, and what was known when it was decided.
+    """The decision on a call, and the state on which it was based.
 
-    `level` is what the bucket held before the call, and is negative while the
-    organisation is over its limit for `over_s` more. `share` is the part of
-    the limit that the deciding node could give out. The oldest news that it
-    went by was `news_age_s` old.
+    `level` is the level of the bucket before the call. It is negative while the
+    organisation is over its limit, which lasts for another `over_s`. `share` is
+    the share of the limit that the deciding node could admit. The oldest report
+    that it used was `news_age_s` old.
     """
 
     is_admitted: bool
@@ -85,18 +87,18 @@
     """Decides which calls of an organisation are within its limit."""
 
     def take_limits(self, limits: Mapping[str, RateLimit]) -> None:
-        """Put the limits of all organisations in force."""
+        """Replace the limits of all organisations."""
 
     def limit_of(self, organisation: str) -> RateLimit | None:
-        """Find the limit of an organisation; None: it has none."""
+        """Return the limit of an organisation; None if it has none."""
 
     def take_nodes(self, own: int, total: int, now_s: float) -> None:
-        """Take how many nodes this one decides for, of how many."""
+        """Update the number of nodes in this group and in the fleet."""
 
     def admit(
         self, organisation: str, amount: float, now_s: float
     ) -> LimitVerdict:
-        """Decide on a call, and charge it if it is within the limit."""
+        """Decide on a call, and charge it if it is admitted."""
 
     def charge(self, organisation: str, amount: float, now_s: float) -> None:
-        """Charge what was let in elsewhere; a negative amount is a refund."""
+        """Charge an amount admitted elsewhere; a negative one is a refund."""
--- a/tests/dispatch/limit_fleet.py
+++ b/tests/dispatch/limiter_simulation.py
@@ -1,4 +1,4 @@
-"""A day of one organisation's calls at a fleet of limiters, in virtual time."""
+"""Simulates the calls of one organisation at a fleet of limiters."""
 
 import heapq
 import itertools
@@ -24,57 +24,57 @@
 
 NAME = 'acme'
 LIMIT = RateLimit(64_000.0, 64_000.0, LimitUnit.TOKENS)
-# The organisation usually asks for its limit divided by this.
+# The organisation's usual load is its limit divided by this.
 HEADROOM = 1.8
 MEAN_TOKENS = 12_000.0
-MOST_TOKENS = 50_000.0
-SPREAD = 1.0
+MAX_TOKENS = 50_000.0
+TOKENS_SIGMA = 1.0
 WINDOW_S = 8.0
-OVERRUN = 1.1
+OVERRUN_FACTOR = 1.1
 SLACK_TOKENS = 190_000.0
-FAULT_S = 10.0
-CHECK_S = 0.1
-# The nodes run for a while before callers come.
-LEAD_S = 12.0
+FAULT_START_S = 10.0
+TICK_S = 0.1
+# The nodes run for this long before calls arrive.
+WARM_UP_S = 12.0
 HEARTBEAT_S = 0.3
-APPLY_S = 7.0
+APPLY_LIMIT_S = 7.0
 
 
 @attrs.frozen
-class Hot:
-    """Domains at which the organisation sends many times its usual."""
+class Hotspot:
+    """Domains in which the organisation sends `times` its usual load."""
 
     domains: str
     times: float = 7.5
 
 
 @attrs.frozen
-class Cut:
-    """Domains that hear nothing of the others for a while."""
+class Partition:
+    """Failure domains that exchange no messages with the others for a while."""
 
     domains: str
-    for_s: float = 6.0
+    duration_s: float = 6.0
 
-    def parts(self, one: str, other: str, now_s: float) -> bool:
-        """Whether two domains do not hear each other."""
-        holds = FAULT_S <= now_s < FAULT_S + self.for_s
-        return holds and (one in self.domains) != (other in self.domains)
+    def separates(self, one: str, other: str, now_s: float) -> bool:
+        """Whether the partition separates two domains at a time."""
+        is_active = FAULT_START_S <= now_s < FAULT_START_S + self.duration_s
+        return is_active and (one in self.domains) != (other in self.domains)
 
 
 @attrs.define
 class Unit:
-    """A limiter and the nodes for which it decides."""
+    """A limiter and the number of nodes that it serves."""
 
     domain: str
     nodes: int
     offset_s: float
     limiter: RateLimiter
     process: str = ''
-    told_s: float = -LEAD_S
+    reported_s: float = -WARM_UP_S
 
 
-class DemandShares:
-    """The naive form: a bucket for each unit, its part by the demand told."""
+class DemandShareLimiter:
+    """The baseline: a bucket per unit, with a share by reported demand."""
 
     def __init__(self, units: int, reserved: float = 0.2) -> None:
         self._units = units
@@ -91,7 +91,7 @@
         return self._limits.get(organisation)
 
     def take_nodes(self, own: int, total: int, now_s: float) -> None:
-        """Shares go by demand, not by nodes."""
+        """Ignore the nodes; shares depend on demand only."""
 
     def charge(self, organisation: str, amount: float, now_s: float) -> None:
         self._bucket.level -= amount
@@ -126,90 +126,90 @@
 
 
 @attrs.define
-class FleetDay:
-    """Plays calls; then holds the worst window and what was lost wrongly.
+class LimiterSimulation:
+    """Simulates calls and records the maximum window use and excess refusals.
 
-    `policy` is 'domain' (a limiter for each domain), 'node' (equal parts for
-    each node) or 'demand' (parts for each node by its demand).
+    `policy` is 'domain' (a limiter per domain), 'node' (equal shares per node)
+    or 'demand' (shares per node by its demand).
     """
 
     nodes: int = 60
-    hot: Hot | None = None
-    cut: Cut | None = None
-    late_s: float = 0.002
+    hotspot: Hotspot | None = None
+    partition: Partition | None = None
+    delay_s: float = 0.002
     kills: tuple[tuple[float, str], ...] = ()
-    clocks_apart_s: float = 0.0
-    lower: RateLimit | None = None
+    clock_skew_s: float = 0.0
+    reduced_limit: RateLimit | None = None
     policy: str = 'domain'
     seed: int = 1
-    length_s: float = 45.0
-    worst_window: float = attrs.field(default=0.0, init=False)
+    duration_s: float = 45.0
+    max_window_use: float = attrs.field(default=0.0, init=False)
     offered: float = attrs.field(default=0.0, init=False)
-    let_in: float = attrs.field(default=0.0, init=False)
-    due: float = attrs.field(default=0.0, init=False)
+    admitted: float = attrs.field(default=0.0, init=False)
+    ideal_admitted: float = attrs.field(default=0.0, init=False)
     _units: list[Unit] = attrs.field(factory=list, init=False)
-    _numbers: Iterator[int] = attrs.field(factory=itertools.count, init=False)
+    _sequence: Iterator[int] = attrs.field(factory=itertools.count, init=False)
 
     @property
     def allowed(self) -> float:
-        """What may be let in within a window."""
-        limit = self.lower or LIMIT
+        """The number of tokens that may be admitted within a window."""
+        limit = self.reduced_limit or LIMIT
         whole = limit.rate_per_s * WINDOW_S + limit.burst
-        return whole * OVERRUN + SLACK_TOKENS
+        return whole * OVERRUN_FACTOR + SLACK_TOKENS
 
     @property
-    def wrongly_refused(self) -> float:
-        """What one limiter for all would have let in besides, in tokens.
+    def excess_refused(self) -> float:
+        """The tokens that only a single central limiter would have admitted.
 
-        Negative where it would have let in less.
+        It is negative if a central limiter would have admitted less.
         """
-        return self.due - self.let_in
+        return self.ideal_admitted - self.admitted
 
-    def play(self) -> 'FleetDay':
-        """Play the day."""
+    def run(self) -> 'LimiterSimulation':
+        """Run the simulation."""
         random = Random(self.seed)
-        self._units = [self._unit(*one) for one in self._places()]
-        ideal = TokenBucket(LIMIT.burst, 0.0)
+        self._units = [self._unit(*one) for one in self._unit_sizes()]
+        central = TokenBucket(LIMIT.burst, 0.0)
         window: deque[tuple[float, float]] = deque()
         events: list[tuple[float, int, str, object]] = []
 
-        def plan(at_s: float, kind: str, subject: object = None) -> None:
-            heapq.heappush(events, (at_s, next(self._numbers), kind, subject))
+        def schedule(at_s: float, kind: str, subject: object = None) -> None:
+            heapq.heappush(events, (at_s, next(self._sequence), kind, subject))
 
         for at_s, tokens, number in self._calls(random):
-            plan(at_s, 'call', (tokens, number))
+            schedule(at_s, 'call', (tokens, number))
         for at_s, domains in self.kills:
-            plan(at_s, 'kill', domains)
-        first = -int(LEAD_S / CHECK_S)
-        for tick in range(first, int(self.length_s / CHECK_S)):
-            plan(tick * CHECK_S, 'check')
+            schedule(at_s, 'kill', domains)
+        first = -int(WARM_UP_S / TICK_S)
+        for tick in range(first, int(self.duration_s / TICK_S)):
+            schedule(tick * TICK_S, 'check')
         while events:
             now_s, _, kind, subject = heapq.heappop(events)
             if kind == 'kill':
                 self._kill(str(subject))
             elif kind == 'check':
-                for sender, use, receiver in self._check(now_s):
-                    at_s = now_s + self.late_s
-                    plan(at_s, 'told', (sender, use, receiver))
+                for sender, use, receiver in self._exchange_reports(now_s):
+                    at_s = now_s + self.delay_s
+                    schedule(at_s, 'told', (sender, use, receiver))
             elif kind == 'told':
                 sender, use, receiver = subject
                 receiver.limiter.told(sender, use, now_s + receiver.offset_s)
             else:
                 tokens, number = subject
                 limit = self._limit(now_s, '')
-                ideal.refill(limit.rate_per_s, limit.burst, now_s)
-                if ideal.level >= 0:
-                    ideal.level -= tokens
-                    self.due += tokens
+                central.refill(limit.rate_per_s, limit.burst, now_s)
+                if central.level >= 0:
+                    central.level -= tokens
+                    self.ideal_admitted += tokens
                 self.offered += tokens
-                if self._ask(now_s, tokens, number):
-                    self.let_in += tokens
+                if self._admit(now_s, tokens, number):
+                    self.admitted += tokens
                     window.append((now_s, tokens))
-                    self._look(window, now_s)
+                    self._update_max_window(window, now_s)
         return self
 
-    def _places(self) -> list[tuple[str, int]]:
-        sizes = [len(range(one, self.nodes, 3)) for one in range(3)]
+    def _unit_sizes(self) -> list[tuple[str, int]]:
+        sizes = [len(range(index, self.nodes, 3)) for index in range(3)]
         if self.policy == 'domain':
             return list(zip('abc', sizes, strict=True))
         return [
@@ -219,37 +219,42 @@
         ]
 
     def _unit(self, domain: str, nodes: int) -> Unit:
-        number = next(self._numbers)
+        number = next(self._sequence)
         return Unit(
             domain,
             nodes,
-            self.clocks_apart_s * number,
+            self.clock_skew_s * number,
             self._limiter(),
             f'{domain}.{number}',
         )
 
     def _limiter(self) -> RateLimiter:
         settings = FleetLimiterSettings(
-            window_s=WINDOW_S, overrun_share=OVERRUN - 1, slack=SLACK_TOKENS
+            window_s=WINDOW_S,
+            overrun_share=OVERRUN_FACTOR - 1,
+            slack=SLACK_TOKENS,
         )
         limiter: RateLimiter = FleetLimiter(settings)
         if self.policy == 'demand':
-            limiter = DemandShares(self.nodes)
+            limiter = DemandShareLimiter(self.nodes)
         limiter.take_limits({NAME: LIMIT})
         return limiter
 
     def _calls(self, random: Random) -> Iterator[tuple[float, float, int]]:
         for domain in 'abc':
-            per_s = LIMIT.rate_per_s / HEADROOM / MEAN_TOKENS / 3
+            calls_per_s = LIMIT.rate_per_s / HEADROOM / MEAN_TOKENS / 3
             now_s = 1.0
             while True:
-                is_hot = self.hot is not None and domain in self.hot.domains
-                times = self.hot.times if is_hot and now_s > 8 else 1.0
-                now_s += random.expovariate(per_s * times)
-                if now_s > self.length_s:
+                is_hot = (
+                    self.hotspot is not None and domain in self.hotspot.domains
+                )
+                times = self.hotspot.times if is_hot and now_s > 8 else 1.0
+                now_s += random.expovariate(calls_per_s * times)
+                if now_s > self.duration_s:
                     break
                 tokens = random.lognormvariate(
-                    math.log(MEAN_TOKENS) - SPREAD * SPREAD / 2, SPREAD
+                    math.log(MEAN_TOKENS) - TOKENS_SIGMA * TOKENS_SIGMA / 2,
+                    TOKENS_SIGMA,
                 )
                 number = random.choice(
                     [
@@ -258,18 +263,18 @@
                         if one.domain == domain
                     ]
                 )
-                yield now_s, min(MOST_TOKENS, tokens), number
+                yield now_s, min(MAX_TOKENS, tokens), number
 
     def _limit(self, now_s: float, domain: str) -> RateLimit:
-        """A domain that is cut off hears of a new limit afterwards."""
-        if self.lower is None:
+        """Return the limit known in a domain; a partition delays its change."""
+        if self.reduced_limit is None:
             return LIMIT
-        since_s = FAULT_S
-        if self.cut is not None and domain in self.cut.domains:
-            since_s += self.cut.for_s
-        return self.lower if now_s >= since_s else LIMIT
+        since_s = FAULT_START_S
+        if self.partition is not None and domain in self.partition.domains:
+            since_s += self.partition.duration_s
+        return self.reduced_limit if now_s >= since_s else LIMIT
 
-    def _ask(self, now_s: float, tokens: float, number: int) -> bool:
+    def _admit(self, now_s: float, tokens: float, number: int) -> bool:
         unit = self._units[number]
         unit.limiter.take_limits({NAME: self._limit(now_s, unit.domain)})
         verdict = unit.limiter.admit(NAME, tokens, now_s + unit.offset_s)
@@ -279,34 +284,46 @@
         for unit in self._units:
             if unit.domain in domains:
                 unit.limiter = self._limiter()
-                unit.process = f'{unit.domain}.{next(self._numbers)}'
+                unit.process = f'{unit.domain}.{next(self._sequence)}'
 
-    def _check(self, now_s: float) -> Iterator[tuple[str, GroupUse, Unit]]:
+    def _exchange_reports(
+        self, now_s: float
+    ) -> Iterator[tuple[str, GroupUse, Unit]]:
         for unit in self._units:
             local_s = now_s + unit.offset_s
             unit.limiter.take_nodes(unit.nodes, self.nodes, local_s)
-            is_due = now_s - unit.told_s >= HEARTBEAT_S
+            is_due = now_s - unit.reported_s >= HEARTBEAT_S
             if self.policy == 'node' or not (
                 is_due or unit.limiter.has_urgent_use()
             ):
                 continue
-            unit.told_s = now_s
+            unit.reported_s = now_s
             use = unit.limiter.use(unit.process, local_s)
             name = f'{unit.domain}.{self._units.index(unit)}'
             for other in self._units:
-                if other is not unit and not self._is_cut(unit, other, now_s):
+                if other is not unit and not self._is_separated(
+                    unit, other, now_s
+                ):
                     yield name, use, other
 
-    def _is_cut(self, unit: Unit, other: Unit, now_s: float) -> bool:
-        cut = self.cut
-        return cut is not None and cut.parts(unit.domain, other.domain, now_s)
+    def _is_separated(self, unit: Unit, other: Unit, now_s: float) -> bool:
+        partition = self.partition
+        return partition is not None and partition.separates(
+            unit.domain, other.domain, now_s
+        )
 
-    def _look(self, window: deque[tuple[float, float]], now_s: float) -> None:
+    def _update_max_window(
+        self, window: deque[tuple[float, float]], now_s: float
+    ) -> None:
         while window[0][0] < now_s - WINDOW_S:
             window.popleft()
         since_s = 0.0
-        if self.lower is not None:
-            since_s = FAULT_S + APPLY_S + (self.cut.for_s if self.cut else 0)
-        if now_s - WINDOW_S >= since_s or self.lower is None:
+        if self.reduced_limit is not None:
+            since_s = (
+                FAULT_START_S
+                + APPLY_LIMIT_S
+                + (self.partition.duration_s if self.partition else 0)
+            )
+        if now_s - WINDOW_S >= since_s or self.reduced_limit is None:
             total = sum(tokens for _, tokens in window)
-            self.worst_window = max(self.worst_window, total)
+            self.max_window_use = max(self.max_window_use, total)
