--- a/packages/dispatch/dandelionyoke_dispatch/_fleet_demand.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_fleet_demand.py
@@ -1,4 +1,4 @@
-"""What the callers of many nodes ask of a service, summed up.
+"""The demand of callers for a service, summed over many nodes.
 
 A node of a large fleet sees too few calls to tell how many engines they need.
 """
@@ -10,10 +10,11 @@
 
 @attrs.frozen
 class ServiceDemand:
-    """The streams under way, and how the calls of the last seconds began.
+    """Streams in flight and recent times to first token of a service.
 
-    `slow` of the `begun` calls had their first token late, or were refused
-    since it would have been. `prompts` are at prefill engines or wait.
+    Of the `begun` calls of the last seconds, `slow` had a late first token or
+    were refused because it would have been late. `prompts` are queued or in
+    flight at prefill engines.
     """
 
     service: str
@@ -25,7 +26,7 @@
 
 @attrs.frozen
 class DemandSample:
-    """The demand that some nodes see together."""
+    """The summed demand that a number of nodes observe."""
 
     nodes: int
     services: tuple[ServiceDemand, ...]
@@ -33,55 +34,58 @@
 
 @attrs.frozen
 class FleetDemandSettings:
-    """A sample counts for `lifetime_s`; a node that is gone sends no more."""
+    """A sample expires after `lifetime_s`, also when its node is gone."""
 
     lifetime_s: float = 2.5
 
 
 class FleetDemand:
-    """The newest sample of each sender."""
+    """The latest sample of each sender."""
 
     def __init__(self, settings: FleetDemandSettings) -> None:
         self._settings = settings
         self._samples: dict[str, tuple[DemandSample, float]] = {}
 
     def take(self, sender: str, sample: DemandSample, now_s: float) -> None:
-        """Take a sample of a node's own calls."""
-        if sample.nodes > 0 and all(map(_is_possible, sample.services)):
+        """Store the sample of one node."""
+        if sample.nodes > 0 and all(map(_is_valid, sample.services)):
             self._samples[sender] = sample, now_s
 
     def take_sum(self, sender: str, sample: DemandSample, now_s: float) -> None:
-        """Take the sum that another node made; it holds all that it knows."""
+        """Replace all samples by the sum that another node computed."""
         self._samples.clear()
         self.take(sender, sample, now_s)
 
     def total(self, now_s: float) -> DemandSample:
-        """Add up the samples that are not too old."""
+        """Return the sum of all samples that have not expired."""
         self._samples = {
-            sender: (sample, taken_s)
-            for sender, (sample, taken_s) in self._samples.items()
-            if now_s - taken_s < self._settings.lifetime_s
+            sender: (sample, received_s)
+            for sender, (sample, received_s) in self._samples.items()
+            if now_s - received_s < self._settings.lifetime_s
         }
         samples = [sample for sample, _ in self._samples.values()]
         services: dict[str, ServiceDemand] = {}
         for sample in samples:
-            for one in sample.services:
-                services[one.service] = _sum(services.get(one.service), one)
+            for demand in sample.services:
+                services[demand.service] = _add_demand(
+                    services.get(demand.service), demand
+                )
         nodes = sum(sample.nodes for sample in samples)
         return DemandSample(nodes, tuple(services.values()))
 
     def of_service(self, service: str, now_s: float) -> ServiceDemand:
-        """Tell the demand that is known, of however many nodes."""
+        """Return the known demand for a service, without extrapolation."""
         services = self.total(now_s).services
         nothing = ServiceDemand(service, 0, 0, 0)
         return next(
-            (one for one in services if one.service == service), nothing
+            (demand for demand in services if demand.service == service),
+            nothing,
         )
 
     def expected(
         self, service: str, fleet_nodes: int, now_s: float
     ) -> PhaseLoad:
-        """Estimate the load of the whole fleet from the nodes known."""
+        """Extrapolate the load of the whole fleet from the known nodes."""
         nodes = self.total(now_s).nodes
         if not nodes:
             return PhaseLoad(0.0)
@@ -90,18 +94,20 @@
         return PhaseLoad(known.streams * scale, known.prompts * scale)
 
 
-def _is_possible(demand: ServiceDemand) -> bool:
+def _is_valid(demand: ServiceDemand) -> bool:
     counts = (demand.streams, demand.prompts, demand.slow)
     return min(counts) >= 0 and demand.slow <= demand.begun
 
 
-def _sum(known: ServiceDemand | None, more: ServiceDemand) -> ServiceDemand:
-    if known is None:
-        return more
+def _add_demand(
+    total: ServiceDemand | None, added: ServiceDemand
+) -> ServiceDemand:
+    if total is None:
+        return added
     return ServiceDemand(
-        known.service,
-        known.streams + more.streams,
-        known.begun + more.begun,
-        known.slow + more.slow,
-        known.prompts + more.prompts,
+        total.service,
+        total.streams + added.streams,
+        total.begun + added.begun,
+        total.slow + added.slow,
+        total.prompts + added.prompts,
     )
--- a/packages/dispatch/dandelionyoke_dispatch/_strain.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_strain.py
@@ -1,4 +1,4 @@
-"""Whether callers have waited too long of late for their first token."""
+"""Detects overload of a service from late first tokens."""
 
 from collections import deque
 
@@ -7,60 +7,61 @@
 
 @attrs.frozen
 class StrainSettings:
-    """When a service counts as strained, and for how long.
+    """When a service counts as overloaded, and for how long.
 
-    A first token is slow past `slow_share` of its goal. Engines are missing
-    where more than `strained_share` of those of a span were slow; bursts
-    come again, so that this holds for `hold_s`. With fewer than
-    `least_calls` in a span one slow call would decide.
+    A first token is slow if it takes more than `slow_goal_share` of its goal.
+    The service lacks engines if more than `max_slow_share` of the first tokens
+    within `window_s` were slow. Bursts recur, so the state lasts for `hold_s`.
+    With fewer than `min_calls` in a window, a single slow call would be
+    decisive.
     """
 
-    slow_share: float = 0.7
-    strained_share: float = 0.2
-    span_s: float = 2.0
-    least_calls: int = 5
+    slow_goal_share: float = 0.7
+    max_slow_share: float = 0.2
+    window_s: float = 2.0
+    min_calls: int = 5
     hold_s: float = 30.0
 
 
 class Strain:
-    """Follows the first tokens of a service's calls at this node."""
+    """Tracks the time to first token of the calls to a service at this node."""
 
     def __init__(self, settings: StrainSettings) -> None:
         self._settings = settings
         self._calls: deque[tuple[float, bool]] = deque()
-        self._strained_s: float | None = None
-        self._has_judged = False
+        self._overloaded_s: float | None = None
+        self._is_known = False
 
     def began(self, took_s: float, goal_s: float, now_s: float) -> None:
-        """Take the time from a call's arrival to its first token."""
-        self._take(took_s > self._settings.slow_share * goal_s, now_s)
+        """Add the time to first token of a call."""
+        self._take(took_s > self._settings.slow_goal_share * goal_s, now_s)
 
     def turned_away(self, now_s: float) -> None:
-        """Note that a call could not begin in time."""
+        """Record a call that was refused since it could not start in time."""
         self._take(is_slow=True, now_s=now_s)
 
     def holds(self, now_s: float) -> bool:
-        """Whether the service is strained, or nothing is known yet."""
-        if not self._has_judged:
+        """Whether the service is overloaded, or nothing is known yet."""
+        if not self._is_known:
             return True
-        if self._strained_s is None:
+        if self._overloaded_s is None:
             return False
-        return now_s - self._strained_s < self._settings.hold_s
+        return now_s - self._overloaded_s < self._settings.hold_s
 
     def recent(self, now_s: float) -> tuple[int, int]:
-        """Count the calls of the span, and those of them that were slow."""
-        oldest_s = now_s - self._settings.span_s
+        """Return the numbers of all calls and slow calls in the window."""
+        oldest_s = now_s - self._settings.window_s
         while self._calls and self._calls[0][0] < oldest_s:
             self._calls.popleft()
         return len(self._calls), sum(is_slow for _, is_slow in self._calls)
 
     def judge(self, calls: int, slow: int, now_s: float) -> None:
-        """Judge by the calls of a span, those of other nodes included."""
-        if calls < self._settings.least_calls:
+        """Update the state from the calls in a window, also of other nodes."""
+        if calls < self._settings.min_calls:
             return
-        self._has_judged = True
-        if slow > self._settings.strained_share * calls:
-            self._strained_s = now_s
+        self._is_known = True
+        if slow > self._settings.max_slow_share * calls:
+            self._overloaded_s = now_s
 
     def _take(self, is_slow: bool, now_s: float) -> None:
         self._calls.append((now_s, is_slow))
