--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -1,4 +1,4 @@
-"""Which target a call goes to."""
+"""The choice of a target for each call."""
 
 from collections.abc import Collection, Sequence
 
@@ -15,27 +15,28 @@
 )
 from dandelionyoke_dispatch._target_load import TargetLoads
 
-# An engine in another domain is chosen once the near one has this much more
-# of its slots taken: a share at which a step of the near one takes about as
-# much longer as the cache takes to cross over.
-FAR_PENALTY = 0.3
+# The difference in slot utilisation above which an engine in another domain is
+# preferred. At this difference, the slower decode steps of the near engine cost
+# about as much as the transfer of the KV cache.
+CROSS_DOMAIN_PENALTY = 0.3
 
-# What leaving the first engine of a shared part costs, as a share of the time
-# for reading that part: another engine fetches it if the first one kept it,
-# and if not, the part is read where later calls do not look for it.
-LEAVING_SHARE = 1.0
+# The cost of not using the first engine of a shared prefix, as a share of the
+# prefill time of that prefix. Another engine fetches the prefix if the first
+# one has it cached; if not, the prefix is prefilled where later calls do not
+# look for it.
+MOVE_COST_SHARE = 1.0
 
 
 @attrs.frozen
 class PrefillHome:
-    """The engine that prefills a prompt, and one that may keep parts of it."""
+    """The prefill engine of a prompt, and one that may hold its prefix."""
 
     target: RegisteredTarget
     source: RegisteredTarget | None
 
 
 class Placement:
-    """Chooses among the targets that take work and are not at rest."""
+    """Chooses among the targets that accept work and are not suspect."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
     ) -> None:
         self._registry = registry
         self._loads = loads
-        # How fetching shared parts from engines went.
+        # Failures of fetches of shared prefixes, by engine.
         self._fetches = fetches
         self._domain = domain
         self._instance_id = instance_id
@@ -63,30 +64,36 @@
     ) -> PrefillHome | None:
         """Choose the prefill engine of a prompt.
 
-        All nodes rank the engines for a shared part alike, without talk, so
-        that it is prefilled on the first one only and found there again. Once
-        that one has a longer backlog than another one, by more than it costs
-        to leave it, the other one fetches the part from it. Among equals the
-        one that was left alone for longest takes the next prompt: in turns,
-        the prompts of many nodes come to each engine more evenly than drawn.
+        All nodes rank the engines for a shared prefix in the same order,
+        without communication, so that the prefix is prefilled on the first
+        engine only, and later prompts find it in its KV cache. Once the backlog
+        of that engine is longer than that of another one by more than it costs
+        to move, the other one fetches the prefix from it. Ties go to the engine
+        that has been without a new prompt for longest: taking turns spreads the
+        prompts of many nodes more evenly than a random choice.
         """
-        found = self._usable(service, Phase.PREFILL, avoid, now_s)
-        if not found:
+        engines = self._usable(service, Phase.PREFILL, avoid, now_s)
+        if not engines:
             return None
-        first = _first_for(found, prompt.shared_key)
-        owner = self._owner(service, prompt.shared_key, now_s) or first
-        leaving_s = LEAVING_SHARE * _time_s(pace.unkept, prompt.shared_tokens)
+        preferred = _first_ranked(engines, prompt.shared_key)
+        holder = (
+            self._find_prefix_holder(service, prompt.shared_key, now_s)
+            or preferred
+        )
+        move_cost_s = MOVE_COST_SHARE * _prefill_time_s(
+            pace.unkept, prompt.shared_tokens
+        )
         backlog = line.fleet_backlog(now_s)
         chosen = min(
-            found,
-            key=lambda one: (
-                _time_s(pace.found, backlog[one.target_id])
-                + leaving_s * (one is not first),
-                line.placed_s(one.target_id),
-                one.target_id,
+            engines,
+            key=lambda engine: (
+                _prefill_time_s(pace.found, backlog[engine.target_id])
+                + move_cost_s * (engine is not preferred),
+                line.placed_s(engine.target_id),
+                engine.target_id,
             ),
         )
-        source = None if owner.target_id == chosen.target_id else owner
+        source = None if holder.target_id == chosen.target_id else holder
         if source is not None:
             if self._fetches.rests(source.target_id, now_s):
                 source = None
@@ -95,26 +102,26 @@
     def readers(
         self, service: str, avoid: Collection[str], now_s: float
     ) -> int:
-        """Count the prefill engines that can be used."""
+        """Return the number of usable prefill engines."""
         return len(self._usable(service, Phase.PREFILL, avoid, now_s))
 
-    def _owner(
+    def _find_prefix_holder(
         self, service: str, shared_key: str, now_s: float
     ) -> RegisteredTarget | None:
-        """Find the engine that most likely keeps a shared part.
+        """Return the engine that most likely has a shared prefix in its cache.
 
-        One that is leaving keeps its memory until it is gone, and another
-        one can fetch it until then. A fetch from an engine that is gone, or
-        cut off, holds a prompt up many times as long as reading the part, so
-        that one from which it was slow is left out.
+        An engine that is leaving keeps its cache until it stops, so others can
+        still fetch from it. A fetch from an engine that is gone or unreachable
+        delays a prompt for many times the prefill time of the prefix, so
+        engines with recent slow fetches are skipped.
         """
         engines = [
-            one
-            for one in self._registry.all_of_service(service)
-            if one.phase is Phase.PREFILL
-            and not self._fetches.rests(one.target_id, now_s)
+            engine
+            for engine in self._registry.all_of_service(service)
+            if engine.phase is Phase.PREFILL
+            and not self._fetches.rests(engine.target_id, now_s)
         ]
-        return _first_for(engines, shared_key) if engines else None
+        return _first_ranked(engines, shared_key) if engines else None
 
     def decode_target(
         self,
@@ -125,32 +132,32 @@
     ) -> RegisteredTarget | None:
         """Choose the decode engine of a stream.
 
-        A cache that crosses domains takes twice as long, so an engine near
-        the one that holds it is preferred until it is much busier. One that
-        has just come may be about to change its phase: all nodes would find
-        it idle, send it their next streams and have them refused. Among
-        equals each node has an order of its own: a node of a large fleet
-        knows of hardly any other stream, and the first engine by name would
-        get those of all nodes. The order stays, so that a node's connections
-        serve it again.
+        Transferring a KV cache to another failure domain takes twice as long,
+        so an engine close to the one that holds the cache is preferred until it
+        is much busier. An engine that has just started may be about to change
+        its phase: all nodes would see it idle, send it their next streams and
+        get them refused. Ties are resolved in an order that differs per node: a
+        node of a large fleet knows of hardly any other streams, and the first
+        engine by name would receive those of all nodes. The order is stable, so
+        that a node reuses its connections.
         """
-        found = self._usable(service, Phase.DECODE, avoid, now_s)
-        if not found:
+        engines = self._usable(service, Phase.DECODE, avoid, now_s)
+        if not engines:
             return None
         settled = [
-            one
-            for one in found
-            if not self._registry.is_new(one.target_id, now_s)
+            engine
+            for engine in engines
+            if not self._registry.is_new(engine.target_id, now_s)
         ]
-        found = settled or found
-        near = near_domain or self._domain
-        by_id = {target.target_id: target for target in found}
+        engines = settled or engines
+        preferred_domain = near_domain or self._domain
+        by_id = {target.target_id: target for target in engines}
         ranked = rendezvous(by_id, self._instance_id, len(by_id))
         return min(
             (by_id[target_id] for target_id in ranked),
             key=lambda target: (
                 self._loads.busy(target.target_id, now_s) / target.slots
-                + FAR_PENALTY * (target.domain != near)
+                + CROSS_DOMAIN_PENALTY * (target.domain != preferred_domain)
             ),
         )
 
@@ -158,11 +165,11 @@
         self, service: str, avoid: Collection[str], now_s: float
     ) -> RegisteredTarget | None:
         """Choose the least busy target of a plain service."""
-        found = self._usable(service, Phase.ANY, avoid, now_s)
-        if not found:
+        targets = self._usable(service, Phase.ANY, avoid, now_s)
+        if not targets:
             return None
         return min(
-            found,
+            targets,
             key=lambda target: (
                 self._loads.busy(target.target_id, now_s) / target.slots,
                 target.domain != self._domain,
@@ -177,28 +184,28 @@
         avoid: Collection[str],
         now_s: float,
     ) -> list[RegisteredTarget]:
-        found = [
+        candidates = [
             target
             for target in self._registry.of_service(service)
             if target.phase is phase and target.target_id not in avoid
         ]
-        awake = [
+        healthy = [
             target
-            for target in found
+            for target in candidates
             if not self._loads.rests(target.target_id, now_s)
         ]
-        # Where all are at rest one of them is still better than none.
-        return awake or found
+        # If all targets are suspect, one of them is still better than none.
+        return healthy or candidates
 
 
-def _time_s(pace: ReadingPace, tokens: int) -> float:
-    """Tell the time for reading tokens; until it is known, their number."""
+def _prefill_time_s(pace: ReadingPace, tokens: int) -> float:
+    """Return the prefill time; the token count while the time is unknown."""
     expected_s = pace.expected_s(tokens)
     return tokens if expected_s is None else expected_s
 
 
-def _first_for(
+def _first_ranked(
     engines: Sequence[RegisteredTarget], shared_key: str
 ) -> RegisteredTarget:
-    by_id = {one.target_id: one for one in engines}
+    by_id = {engine.target_id: engine for engine in engines}
     return by_id[rendezvous(by_id, shared_key, 1)[0]]
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -1,11 +1,12 @@
-"""How calls wait at a node until an engine reads their prompt.
-
-When more prompts come than the engines read, engines that take them all read
-them side by side, and each first token is late. So a node keeps only so many
-under way as the engines read in good time, and the others wait here: those
-that can still be in time go first, so that a burst makes some calls late and
-not all. A call that will be late and would hardly be served either is turned
-away as soon as that is known, when its caller still has the time to come back.
+"""The queue of calls that wait at a node for the prefill of their prompt.
+
+When prompts arrive faster than the engines can prefill them, engines that
+accept them all process them concurrently, and every first token is late. A node
+therefore limits the number of prompts in flight to what the engines can prefill
+in time, and queues the others. Calls that can still meet their goal go first,
+so that a burst delays some calls but not all. A call that would be late and
+could hardly be served at all is refused as soon as that is known, while its
+caller still has time to retry.
 """
 
 import enum
@@ -14,31 +15,33 @@
 
 import attrs
 
-# The share that one more prompt has in the running mean of the times.
-MEAN_WEIGHT = 0.25
-# While a late call waits, so many times those ahead of it go before it.
+# The weight of a new prompt in the moving average of prefill times.
+PREFILL_MEAN_WEIGHT = 0.25
+# A late call waits this many times the time needed for the calls ahead of it,
+# because calls that are in time overtake it.
 LATE_WAIT_FACTOR = 1.5
 
 
 @attrs.frozen
 class LineSettings:
-    """How many prompts of one node are read at once.
+    """Limits on the prompts that one node prefills concurrently.
 
-    `most_at_engine` for each engine keep it busy while an answer travels. What
-    another node has under way counts for `told_lifetime_s`.
+    `max_prompts_per_engine` in flight keep an engine busy during the round trip
+    of a response. The backlog of another node expires after
+    `backlog_lifetime_s`.
     """
 
-    most_at_engine: int = 2
-    least_retry_after_s: float = 0.2
-    told_lifetime_s: float = 0.5
+    max_prompts_per_engine: int = 2
+    min_retry_after_s: float = 0.2
+    backlog_lifetime_s: float = 0.5
 
 
 @attrs.frozen
 class LineTicket:
-    """A call that asks for an engine; the lower rank goes first.
+    """A call that requests an engine; a lower rank has precedence.
 
-    Begun after `in_time_until_s` its first token comes later than its goal,
-    after `useful_until_s` too late to be of use.
+    If it starts after `in_time_until_s`, its first token misses its goal. After
+    `useful_until_s`, the first token is too late to be of use.
     """
 
     turn_id: str
@@ -51,7 +54,7 @@
 
 @enum.unique
 class Entry(enum.Enum):
-    """What the line says to a call."""
+    """The decision of the queue on an arriving call."""
 
     GO = 'go'
     WAIT = 'wait'
@@ -59,118 +62,130 @@
 
 
 @attrs.define
-class _Reading:
+class _InFlight:
     ticket: LineTicket
     target_id: str = ''
 
 
 class ReadingLine:
-    """The prompts of one node and service: under way, and waiting."""
+    """The prompts of one node and service, in flight and queued."""
 
     def __init__(self, settings: LineSettings) -> None:
         self._settings = settings
-        self._most = 1
-        # How long prompts took of late.
+        self._max_in_flight = 1
+        # The moving average of recent prefill times.
         self.mean_s = 0.0
-        self._reading: dict[str, _Reading] = {}
-        self._waiting: list[LineTicket] = []
+        self._in_flight: dict[str, _InFlight] = {}
+        self._queued: list[LineTicket] = []
         self._placed_s: dict[str, float] = {}
-        self._lost: frozenset[str] = frozenset()
-        self._told: dict[str, tuple[Mapping[str, int], float]] = {}
+        self._unreachable: frozenset[str] = frozenset()
+        self._peer_backlogs: dict[str, tuple[Mapping[str, int], float]] = {}
 
     def lost(self, target_ids: frozenset[str]) -> None:
-        """Take which engines take no connection.
+        """Set the engines that accept no connection.
 
-        Prompts under way there are most likely lost. Were their places kept
-        until that is sure, those of a partition would stop all others.
+        Prompts in flight there are most likely lost. If they counted against
+        the limit until that is certain, prompts lost in a partition would block
+        all others.
         """
-        self._lost = target_ids
+        self._unreachable = target_ids
 
     def enter(self, ticket: LineTicket, engines: int, now_s: float) -> Entry:
-        """Decide on a call on its arrival; `engines` read prompts now."""
-        self._most = max(1, self._settings.most_at_engine * engines)
-        if self._has_room():
-            self._reading[ticket.turn_id] = _Reading(ticket)
+        """Decide on an arriving call, with `engines` available for prefill."""
+        self._max_in_flight = max(
+            1, self._settings.max_prompts_per_engine * engines
+        )
+        if self._has_capacity():
+            self._in_flight[ticket.turn_id] = _InFlight(ticket)
             return Entry.GO
         ahead = sum(
-            _order(other, now_s) <= _order(ticket, now_s)
-            for other in self._waiting
+            _priority(other, now_s) <= _priority(ticket, now_s)
+            for other in self._queued
         )
-        begins_s = now_s + self._wait_s(ahead + 1)
-        if begins_s > ticket.in_time_until_s and not self._bears(ticket, now_s):
+        start_s = now_s + self._wait_s(ahead + 1)
+        if start_s > ticket.in_time_until_s and not self._is_worth_queueing(
+            ticket, now_s
+        ):
             return Entry.TOO_LATE
-        self._waiting.append(ticket)
+        self._queued.append(ticket)
         return Entry.WAIT
 
     @property
     def prompt_count(self) -> int:
-        """How many prompts are under way or wait."""
-        return len(self._reading) + len(self._waiting)
+        """The number of prompts in flight or queued."""
+        return len(self._in_flight) + len(self._queued)
 
     def is_reading(self, turn_id: str) -> bool:
-        """Whether a call has a place."""
-        return turn_id in self._reading
+        """Whether the prompt of a call is in flight."""
+        return turn_id in self._in_flight
 
     def stays(self, turn_id: str, now_s: float) -> bool:
-        """Whether a call that has become late waits on; else it leaves."""
-        late = [one for one in self._waiting if one.turn_id == turn_id]
-        self._waiting = [one for one in self._waiting if one.turn_id != turn_id]
-        if not late or not self._bears(late[0], now_s):
+        """Whether a call that is now late stays queued; if not, remove it."""
+        matching = [
+            queued for queued in self._queued if queued.turn_id == turn_id
+        ]
+        self._queued = [
+            queued for queued in self._queued if queued.turn_id != turn_id
+        ]
+        if not matching or not self._is_worth_queueing(matching[0], now_s):
             return False
-        self._waiting.extend(late)
+        self._queued.extend(matching)
         return True
 
     def placed(self, turn_id: str, target_id: str, now_s: float) -> None:
-        """Note which engine reads a call's prompt."""
-        self._reading[turn_id].target_id = target_id
+        """Record the engine that prefills the prompt of a call."""
+        self._in_flight[turn_id].target_id = target_id
         self._placed_s[target_id] = now_s
 
     def leave(
         self, turn_id: str, read_s: float | None, now_s: float
     ) -> list[str]:
-        """Give a place back; name the waiting calls that have one now.
+        """Remove a call; return the ids of queued calls that may start now.
 
-        `read_s` is how long the prompt took; None if it was not read.
+        `read_s` is the prefill time of its prompt; None if it was not
+        prefilled.
         """
-        self._waiting = [one for one in self._waiting if one.turn_id != turn_id]
-        reading = self._reading.pop(turn_id, None)
-        if reading is not None and read_s is not None:
-            self._learn(read_s)
-        return self._admit(now_s)
+        self._queued = [
+            queued for queued in self._queued if queued.turn_id != turn_id
+        ]
+        in_flight = self._in_flight.pop(turn_id, None)
+        if in_flight is not None and read_s is not None:
+            self._update_mean(read_s)
+        return self._admit_queued(now_s)
 
     def backlog_tokens(self, target_id: str) -> int:
-        """Add up what this node has under way at an engine."""
+        """Return the tokens that this node has in flight at an engine."""
         return self.backlog()[target_id]
 
     def backlog(self) -> Counter[str]:
-        """Add up what this node has under way, by engine."""
-        found: Counter[str] = Counter()
-        for one in self._reading.values():
-            if one.target_id:
-                found[one.target_id] += one.ticket.tokens
-        return found
+        """Return the tokens that this node has in flight, by engine."""
+        tokens: Counter[str] = Counter()
+        for prompt in self._in_flight.values():
+            if prompt.target_id:
+                tokens[prompt.target_id] += prompt.ticket.tokens
+        return tokens
 
     def told(
         self, sender: str, backlog: Mapping[str, int], now_s: float
     ) -> None:
-        """Take what another node has under way, by engine."""
-        self._told[sender] = backlog, now_s
+        """Record the tokens that another node has in flight, by engine."""
+        self._peer_backlogs[sender] = backlog, now_s
 
     def fleet_backlog(self, now_s: float) -> Counter[str]:
-        """Add up what all nodes that are heard have under way, by engine."""
-        oldest_s = now_s - self._settings.told_lifetime_s
-        found = self.backlog()
-        for backlog, told_s in self._told.values():
-            if told_s >= oldest_s:
-                found.update(backlog)
-        return found
+        """Return the tokens in flight from all known nodes, by engine."""
+        oldest_s = now_s - self._settings.backlog_lifetime_s
+        total = self.backlog()
+        for backlog, received_s in self._peer_backlogs.values():
+            if received_s >= oldest_s:
+                total.update(backlog)
+        return total
 
     def placed_s(self, target_id: str) -> float:
-        """Tell when a prompt last went to an engine."""
+        """Return the time when an engine last received a prompt; 0 if never."""
         return self._placed_s.get(target_id, 0.0)
 
     def forget(self, known: frozenset[str]) -> None:
-        """Drop what is kept of engines that are gone."""
+        """Remove the state of engines that are gone."""
         self._placed_s = {
             target_id: placed_s
             for target_id, placed_s in self._placed_s.items()
@@ -178,53 +193,55 @@
         }
 
     def expected_wait_s(self) -> float:
-        """Estimate how long the last in line waits."""
-        if self._has_room():
+        """Estimate the time that a call queued now would wait."""
+        if self._has_capacity():
             return 0.0
-        return self._wait_s(len(self._waiting) + 1)
+        return self._wait_s(len(self._queued) + 1)
 
     def retry_after_s(self) -> float:
-        """Tell a refused call when the line will be done.
+        """Return the retry delay for a refused call: when the queue is empty.
 
-        Those who come back while it is long would only be refused again.
+        An earlier retry would only be refused again.
         """
-        return max(self._settings.least_retry_after_s, self.expected_wait_s())
+        return max(self._settings.min_retry_after_s, self.expected_wait_s())
 
-    def _has_room(self) -> bool:
-        under_way = sum(
-            one.target_id not in self._lost for one in self._reading.values()
+    def _has_capacity(self) -> bool:
+        in_flight = sum(
+            prompt.target_id not in self._unreachable
+            for prompt in self._in_flight.values()
         )
-        return under_way < self._most
+        return in_flight < self._max_in_flight
 
-    def _bears(self, ticket: LineTicket, now_s: float) -> bool:
-        """Whether a late call would be served while that is of use.
+    def _is_worth_queueing(self, ticket: LineTicket, now_s: float) -> bool:
+        """Whether a late call would be served before it is of no use.
 
-        It waits for all others, and for some that arrive meanwhile.
+        It waits for all other queued calls, and for some that arrive in the
+        meantime.
         """
-        wait_s = LATE_WAIT_FACTOR * self._wait_s(len(self._waiting) + 1)
+        wait_s = LATE_WAIT_FACTOR * self._wait_s(len(self._queued) + 1)
         return now_s + wait_s < ticket.useful_until_s
 
-    def _wait_s(self, place: int) -> float:
-        return place * self.mean_s / self._most
+    def _wait_s(self, position: int) -> float:
+        return position * self.mean_s / self._max_in_flight
 
-    def _learn(self, read_s: float) -> None:
+    def _update_mean(self, read_s: float) -> None:
         if not self.mean_s:
             self.mean_s = read_s
-        self.mean_s += MEAN_WEIGHT * (read_s - self.mean_s)
+        self.mean_s += PREFILL_MEAN_WEIGHT * (read_s - self.mean_s)
 
-    def _admit(self, now_s: float) -> list[str]:
+    def _admit_queued(self, now_s: float) -> list[str]:
         admitted = []
-        while self._waiting and self._has_room():
-            ticket = self._next(now_s)
-            self._waiting.remove(ticket)
-            self._reading[ticket.turn_id] = _Reading(ticket)
+        while self._queued and self._has_capacity():
+            ticket = self._next_queued(now_s)
+            self._queued.remove(ticket)
+            self._in_flight[ticket.turn_id] = _InFlight(ticket)
             admitted.append(ticket.turn_id)
         return admitted
 
-    def _next(self, now_s: float) -> LineTicket:
-        return min(self._waiting, key=lambda one: _order(one, now_s))
+    def _next_queued(self, now_s: float) -> LineTicket:
+        return min(self._queued, key=lambda ticket: _priority(ticket, now_s))
 
 
-def _order(ticket: LineTicket, now_s: float) -> tuple[bool, int, float]:
+def _priority(ticket: LineTicket, now_s: float) -> tuple[bool, int, float]:
     is_late = now_s > ticket.in_time_until_s
     return is_late, ticket.rank, ticket.arrived_s
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
@@ -1,4 +1,4 @@
-"""How long engines take to read a token of a prompt, learned from answers."""
+"""The prefill time per token, estimated from responses of engines."""
 
 import attrs
 
@@ -7,24 +7,25 @@
 
 @attrs.frozen
 class ReadingPaceSettings:
-    """How the pace is learned.
-
-    `quantile` of the times for a token: low, since most prompts are read
-    beside others and take longer for that. Each time moves the estimate by
-    `step_share` at most, so that some dozens outweigh a first one that was
-    far off. Answers to prompts below `least_tokens` mostly tell the way there
-    and back.
+    """Parameters of the estimate.
+
+    The estimate follows `quantile` of the times per token. It is low because
+    most prompts are prefilled concurrently with others, which makes them
+    slower. Each sample moves the estimate by at most `max_step_share`, so that
+    some dozens of samples correct a first one that was far off. Samples of
+    prompts below `min_tokens` are ignored, as they mostly measure the network
+    round trip.
     """
 
     quantile: float = 0.2
-    step_share: float = 0.1
-    least_tokens: int = 1000
+    max_step_share: float = 0.1
+    min_tokens: int = 1000
 
 
 class ReadingPace:
-    """The time for a token at an engine that reads nothing else.
+    """The prefill time per token of an otherwise idle engine.
 
-    Unknown until a prompt was read.
+    It is unknown until the first prompt was prefilled.
     """
 
     def __init__(self, settings: ReadingPaceSettings) -> None:
@@ -32,28 +33,28 @@
         self._token_s: float | None = None
 
     def took(self, tokens: int, took_s: float) -> None:
-        """Take the time of a prompt from its sending to its answer."""
-        if tokens < self._settings.least_tokens or took_s <= 0:
+        """Add the time between sending a prompt and receiving the response."""
+        if tokens < self._settings.min_tokens or took_s <= 0:
             return
         token_s = took_s / tokens
         if self._token_s is None:
             self._token_s = token_s
             return
-        share = self._settings.quantile
+        step = self._settings.quantile
         if token_s < self._token_s:
-            share -= 1
-        self._token_s *= 1 + self._settings.step_share * share
+            step -= 1
+        self._token_s *= 1 + self._settings.max_step_share * step
 
     def expected_s(self, tokens: int) -> float | None:
-        """Tell the time for so many tokens; None: nothing was read yet."""
+        """Return the expected time for some tokens; None if unknown."""
         return None if self._token_s is None else tokens * self._token_s
 
 
 class PromptPace:
-    """The pace that prompts find, and that of tokens that no engine kept.
+    """The prefill time per token, with and without cached tokens.
 
-    `found` counts the shared parts that an engine kept as read; `unkept`
-    leaves shared parts out, as if all of them were kept.
+    `found` counts cached shared prefixes as prefilled tokens. `unkept` excludes
+    the shared prefixes, as if all of them were cached.
     """
 
     def __init__(self, settings: ReadingPaceSettings) -> None:
@@ -61,6 +62,6 @@
         self.unkept = ReadingPace(settings)
 
     def took(self, prompt: Prompt, took_s: float) -> None:
-        """Take the time of a prompt from its sending to its answer."""
+        """Add the time between sending a prompt and receiving the response."""
         self.found.took(prompt.token_count, took_s)
         self.unkept.took(prompt.token_count - prompt.shared_tokens, took_s)
--- a/packages/dispatch/dandelionyoke_dispatch/_registry.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_registry.py
@@ -1,4 +1,4 @@
-"""The targets that registered themselves, and which of them take work."""
+"""The registered targets, and which of them accept work."""
 
 import enum
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 @enum.unique
 class Phase(enum.Enum):
-    """Which part of the work a language engine does."""
+    """The phase of the work that a language engine performs."""
 
     PREFILL = 'prefill'
     DECODE = 'decode'
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class RegisteredTarget:
-    """What a target says of itself in the registry."""
+    """The registry entry of a target."""
 
     target_id: str
     service: str
@@ -32,108 +32,115 @@
 
 @attrs.frozen
 class RegistrySettings:
-    """How long an entry may be missing after the store was away.
-
-    Targets need about two seconds to enter themselves again after an outage
-    in which their entries lapsed; to take them for gone at once would leave
-    callers without any target. A target is new for `new_s` after it came:
-    the phase of an engine that has just started is often changed at once,
-    which takes the heartbeat, the order and the lag of a listing to show.
+    """Grace periods for missing and for new targets.
+
+    After an outage of the store in which their entries expired, targets need
+    about two seconds to register again. If they were removed at once, no
+    targets would be left for callers. A target counts as new for
+    `new_target_s`: the phase of an engine that has just started is often
+    changed at once, and the change is visible only after the heartbeat, the
+    order and the delay of a listing.
     """
 
     return_grace_s: float = 2.5
     outage_s: float = 1.5
-    new_s: float = 5.0
+    new_target_s: float = 5.0
 
 
 class TargetRegistry:
-    """The last listing, with what targets themselves have said since."""
+    """The latest listing, updated with what targets reported since."""
 
     def __init__(self, settings: RegistrySettings) -> None:
         self._settings = settings
         self._targets: dict[str, RegisteredTarget] = {}
-        # When the targets came that were not in the first listing.
-        self._came_s: dict[str, float] = {}
+        # When each target was added, except those of the first listing.
+        self._added_s: dict[str, float] = {}
         self._is_known = False
-        self._away_since_s: float | None = None
-        self._forgive_until_s = 0.0
+        self._outage_since_s: float | None = None
+        self._grace_until_s = 0.0
         self._missing: set[str] = set()
 
     @property
     def is_known(self) -> bool:
-        """Whether there was a listing at all."""
+        """Whether any listing was received."""
         return self._is_known
 
     def replace(
         self, targets: Iterable[RegisteredTarget], now_s: float
     ) -> None:
-        """Take a whole listing."""
+        """Replace the targets by a complete listing."""
         is_first = not self._is_known
         self._is_known = True
-        away_s = self._away_since_s
-        if away_s is not None and now_s - away_s > self._settings.outage_s:
-            self._forgive_until_s = now_s + self._settings.return_grace_s
-        self._away_since_s = None
+        outage_since_s = self._outage_since_s
+        if (
+            outage_since_s is not None
+            and now_s - outage_since_s > self._settings.outage_s
+        ):
+            self._grace_until_s = now_s + self._settings.return_grace_s
+        self._outage_since_s = None
         missing = dict(self._targets)
         for target in targets:
             known = missing.pop(target.target_id, None)
             is_same = known and known.started_ms == target.started_ms
             if not is_first and not is_same:
-                self._came_s[target.target_id] = now_s
-            self._take(target)
+                self._added_s[target.target_id] = now_s
+            self._store_target(target)
         self._missing = set(missing)
         self.end_grace(now_s)
 
     def grace_left_s(self, now_s: float) -> float | None:
-        """Tell for how long missing targets stay; None: none is missing."""
+        """Return the time left until missing targets are removed, if any."""
         if not self._missing:
             return None
-        return max(0, self._forgive_until_s - now_s)
+        return max(0, self._grace_until_s - now_s)
 
     def end_grace(self, now_s: float) -> None:
-        """Take missing targets for gone once the grace is over."""
-        if now_s < self._forgive_until_s:
+        """Remove missing targets if the grace period is over."""
+        if now_s < self._grace_until_s:
             return
         for target_id in self._missing:
             self._targets.pop(target_id, None)
-            self._came_s.pop(target_id, None)
+            self._added_s.pop(target_id, None)
         self._missing.clear()
 
     def store_failed(self, now_s: float) -> None:
-        """Note that the store gave no listing."""
-        if self._away_since_s is None:
-            self._away_since_s = now_s
+        """Record that the store returned no listing."""
+        if self._outage_since_s is None:
+            self._outage_since_s = now_s
 
     def mark_leaving(self, target_id: str, started_ms: int | None) -> None:
-        """Remember that a target itself said that it leaves."""
+        """Record that a target reported that it is leaving."""
         known = self._targets.get(target_id)
         if known is not None and known.started_ms == started_ms:
-            left = attrs.evolve(known, is_leaving=True)
-            self._targets[target_id] = left
+            leaving = attrs.evolve(known, is_leaving=True)
+            self._targets[target_id] = leaving
 
     def is_new(self, target_id: str, now_s: float) -> bool:
-        """Whether a target came a short while ago."""
-        came_s = self._came_s.get(target_id)
-        return came_s is not None and now_s - came_s < self._settings.new_s
+        """Whether a target was added a short while ago."""
+        added_s = self._added_s.get(target_id)
+        return (
+            added_s is not None
+            and now_s - added_s < self._settings.new_target_s
+        )
 
     def find(self, target_id: str) -> RegisteredTarget | None:
-        """Find a target by its id; None if it is not listed."""
+        """Return a target by its id; None if it is not listed."""
         return self._targets.get(target_id)
 
     def of_service(self, service: str) -> list[RegisteredTarget]:
-        """List the targets of a service that take new work."""
-        found = self.all_of_service(service)
-        return [target for target in found if not target.is_leaving]
+        """Return the targets of a service that accept new work."""
+        targets = self.all_of_service(service)
+        return [target for target in targets if not target.is_leaving]
 
     def all_of_service(self, service: str) -> list[RegisteredTarget]:
-        """List the targets of a service, with those that are leaving."""
-        found = self._targets.values()
-        return [target for target in found if target.service == service]
+        """Return all targets of a service, including leaving ones."""
+        targets = self._targets.values()
+        return [target for target in targets if target.service == service]
 
-    def _take(self, target: RegisteredTarget) -> None:
+    def _store_target(self, target: RegisteredTarget) -> None:
         known = self._targets.get(target.target_id)
-        # A late listing must not call back a target that said itself that it
-        # leaves; only a new start under the same id does.
+        # An outdated listing must not reactivate a target that reported that it
+        # is leaving; only a restart under the same id does.
         if known is not None and known.started_ms == target.started_ms:
             if known.is_leaving:
                 target = attrs.evolve(target, is_leaving=True)
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -1,4 +1,4 @@
-"""How calls wait until an engine reads their prompt."""
+"""The queue of calls that wait for the prefill of their prompt."""
 
 import heapq
 
@@ -11,7 +11,7 @@
     ReadingLine,
 )
 
-READ_S = 0.03
+PREFILL_S = 0.03
 GOAL_S = 0.15
 
 
@@ -27,7 +27,7 @@
         turn_id=turn_id,
         rank=rank,
         arrived_s=arrived_s,
-        in_time_until_s=arrived_s + 0.8 * goal_s - READ_S,
+        in_time_until_s=arrived_s + 0.8 * goal_s - PREFILL_S,
         useful_until_s=arrived_s + patience_s,
         tokens=1000,
     )
@@ -36,42 +36,42 @@
 class ReadingLineTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.line = ReadingLine(LineSettings(most_at_engine=2))
+        self.line = ReadingLine(LineSettings(max_prompts_per_engine=2))
 
     def fill(self, names: str = 'ab') -> None:
         for name in names:
             self.line.enter(ticket(name), 1, 0)
 
-    def test_only_a_few_prompts_enter_at_once(self) -> None:
+    def test_prompts_beyond_the_limit_are_queued(self) -> None:
         entries = [self.line.enter(ticket(name), 1, 0) for name in 'abc']
         self.assertEqual([Entry.GO, Entry.GO, Entry.WAIT], entries)
 
-    def test_more_engines_take_more(self) -> None:
+    def test_the_limit_grows_with_the_engines(self) -> None:
         entries = [self.line.enter(ticket(name), 3, 0) for name in 'abcdef']
         self.assertEqual([Entry.GO] * 6, entries)
 
-    def test_the_more_urgent_goes_first(self) -> None:
+    def test_a_lower_rank_goes_first(self) -> None:
         self.fill()
         self.line.enter(ticket('later', rank=2), 1, 0)
         self.line.enter(ticket('urgent', rank=0, arrived_s=0.01), 1, 0.01)
-        self.assertEqual(['urgent'], self.line.leave('a', READ_S, 0.02))
-        self.assertEqual(['later'], self.line.leave('b', READ_S, 0.02))
+        self.assertEqual(['urgent'], self.line.leave('a', PREFILL_S, 0.02))
+        self.assertEqual(['later'], self.line.leave('b', PREFILL_S, 0.02))
 
-    def test_a_call_in_time_goes_before_one_that_is_late(self) -> None:
+    def test_a_call_in_time_goes_before_a_late_one(self) -> None:
         """A burst has made a call late, and new ones arrive.
 
-        First come, first served, the late one would make the next one late
-        as well, and so on until the burst is over: all callers would wait
-        too long where one has to.
+        In order of arrival, the late call would make the next one late as well,
+        and so on until the burst is over: all callers would wait too long
+        instead of one.
         """
         self.fill()
         self.line.enter(ticket('late'), 1, 0)
         self.line.enter(ticket('fresh', arrived_s=0.2), 1, 0.2)
-        self.assertEqual(['fresh'], self.line.leave('a', READ_S, 0.25))
-        self.assertEqual(['late'], self.line.leave('b', READ_S, 0.25))
+        self.assertEqual(['fresh'], self.line.leave('a', PREFILL_S, 0.25))
+        self.assertEqual(['late'], self.line.leave('b', PREFILL_S, 0.25))
 
-    def test_prompts_at_lost_engines_hold_no_places(self) -> None:
-        """Guards against a partition that stops the prompts of a domain."""
+    def test_prompts_at_unreachable_engines_do_not_count(self) -> None:
+        """Guards against a partition that blocks the prompts of a domain."""
         self.fill()
         for name in 'ab':
             self.line.placed(name, 'lost', 0)
@@ -80,58 +80,58 @@
         self.assertEqual(Entry.GO, self.line.enter(ticket('d'), 1, 0.1))
         self.assertEqual(['c'], self.line.leave('x', None, 0.1))
 
-    def test_a_call_that_left_while_waiting_gets_no_place(self) -> None:
-        """A caller leaves while its call waits.
+    def test_a_call_that_left_the_queue_is_not_started(self) -> None:
+        """A caller disconnects while its call is queued.
 
-        If its place were kept, the engine would stand idle by one place for
-        good, and after a few such callers no prompt would be read at all.
+        If its call were started later, it would occupy capacity forever, and
+        after a few such callers no prompt would be prefilled at all.
         """
         self.fill('abcd')
         self.assertEqual([], self.line.leave('c', None, 0))
-        self.assertEqual(['d'], self.line.leave('a', READ_S, 0))
+        self.assertEqual(['d'], self.line.leave('a', PREFILL_S, 0))
 
-    def test_a_burst_makes_few_callers_late(self) -> None:
-        """Prompts come at one and a third times the rate of reading.
+    def test_a_burst_makes_few_calls_late(self) -> None:
+        """Prompts arrive at one and a third times the prefill rate.
 
-        In the order of their arrival nearly all of them would be late, and
-        with no end to the line the later ones would be served for nothing.
+        In order of arrival, nearly all of them would be late. With an unbounded
+        queue, the later ones would be served too late to be of use.
         """
-        in_time, late, refused = self.play(every_s=READ_S / 2 / 1.33)
+        in_time, late, refused = self.simulate(every_s=PREFILL_S / 2 / 1.33)
         self.assertGreater(in_time, 0.6)
         self.assertGreater(refused, 0.05)
         self.assertLess(late, 0.3)
 
-    def test_a_call_that_would_wait_in_vain_is_refused_on_arrival(
+    def test_a_call_that_cannot_be_served_is_refused_on_arrival(
         self,
     ) -> None:
-        """Prompts come at five times the rate of reading.
+        """Prompts arrive at five times the prefill rate.
 
-        Held until they cannot be served, their callers have no time left to
-        come back. So they must hear of it as they arrive.
+        If calls that cannot be served were kept in the queue, their callers
+        would have no time left to retry. They must be refused on arrival.
         """
-        _, _, refused = self.play(every_s=READ_S / 10)
+        _, _, refused = self.simulate(every_s=PREFILL_S / 10)
         self.assertGreater(refused, 0.5)
-        self.assertLess(self.longest_hold_s, GOAL_S)
+        self.assertLess(self.max_held_s, GOAL_S)
 
-    def test_engines_that_are_gone_are_forgotten(self) -> None:
+    def test_engines_that_are_gone_are_removed(self) -> None:
         self.fill('a')
         self.line.placed('a', 'i-1', 5)
         self.line.forget(frozenset(('i-2',)))
         self.assertEqual(0, self.line.placed_s('i-1'))
 
-    def test_a_refused_call_learns_when_the_line_will_be_done(self) -> None:
+    def test_the_retry_delay_is_the_time_to_empty_the_queue(self) -> None:
         self.fill('abcdef')
         for name in 'ab':
             self.line.leave(name, 0.3, 0)
         self.assertLess(0.25, self.line.retry_after_s())
 
-    def play(self, every_s: float) -> tuple[float, float, float]:
-        """Let calls arrive and be read by two at once; count how it ends.
+    def simulate(self, every_s: float) -> tuple[float, float, float]:
+        """Simulate arrivals and two concurrent prefills; count the outcomes.
 
-        Returns the shares that began in time, began late, were refused.
+        Returns the shares that started in time, started late and were refused.
         """
         counts = {'in time': 0, 'late': 0, 'refused': 0}
-        self.longest_hold_s = 0.0
+        self.max_held_s = 0.0
         arrivals = [number * every_s for number in range(600)]
         events: list[tuple[float, int, str]] = []
         tickets: dict[str, LineTicket] = {}
@@ -140,15 +140,15 @@
             tickets[name] = ticket(name, arrived_s=at_s)
             heapq.heappush(events, (at_s, 0, name))
 
-        def begin(name: str, now_s: float) -> None:
+        def start(name: str, now_s: float) -> None:
             is_late = now_s > tickets[name].in_time_until_s
             counts['late' if is_late else 'in time'] += 1
-            heapq.heappush(events, (now_s + READ_S, 1, name))
+            heapq.heappush(events, (now_s + PREFILL_S, 1, name))
 
         def refuse(name: str, now_s: float) -> None:
             counts['refused'] += 1
             held_s = now_s - tickets[name].arrived_s
-            self.longest_hold_s = max(self.longest_hold_s, held_s)
+            self.max_held_s = max(self.max_held_s, held_s)
 
         waiting: set[str] = set()
         while events:
@@ -156,7 +156,7 @@
             if kind == 0:
                 entry = self.line.enter(tickets[name], 1, now_s)
                 if entry is Entry.GO:
-                    begin(name, now_s)
+                    start(name, now_s)
                 elif entry is Entry.TOO_LATE:
                     refuse(name, now_s)
                 else:
@@ -164,9 +164,9 @@
                     until_s = tickets[name].in_time_until_s
                     heapq.heappush(events, (until_s, 2, name))
             elif kind == 1:
-                for following in self.line.leave(name, READ_S, now_s):
-                    waiting.discard(following)
-                    begin(following, now_s)
+                for next_name in self.line.leave(name, PREFILL_S, now_s):
+                    waiting.discard(next_name)
+                    start(next_name, now_s)
             elif name in waiting and not self.line.stays(name, now_s):
                 waiting.discard(name)
                 refuse(name, now_s)
--- a/tests/dispatch/test_reading_pace.py
+++ b/tests/dispatch/test_reading_pace.py
@@ -1,4 +1,4 @@
-"""How long a token of a prompt takes, learned from answers."""
+"""The prefill time per token, estimated from responses."""
 
 import testtools
 
@@ -16,37 +16,37 @@
         super().setUp()
         self.pace = ReadingPace(ReadingPaceSettings())
 
-    def test_nothing_is_expected_before_a_prompt_was_read(self) -> None:
+    def test_the_time_is_unknown_before_the_first_prompt(self) -> None:
         self.assertIsNone(self.pace.expected_s(1000))
         self.pace.took(10, 0.05)
         self.assertIsNone(self.pace.expected_s(1000))
 
-    def test_prompts_read_beside_others_hardly_count(self) -> None:
+    def test_prompts_slowed_by_others_hardly_count(self) -> None:
         for number in range(400):
             self.pace.took(2000, 0.02 if number % 3 else 0.3)
         expected_s = self.pace.expected_s(1000) or 0
         self.assertGreater(expected_s, 0.007)
         self.assertLess(expected_s, 0.013)
 
-    def test_an_engine_eight_times_faster_is_soon_known(self) -> None:
+    def test_the_estimate_follows_an_engine_eight_times_faster(self) -> None:
         self.pace.took(2000, 0.16)
         for _ in range(60):
             self.pace.took(2000, 0.02)
         expected_s = self.pace.expected_s(1000) or 0
         self.assertLess(expected_s, 0.02)
 
-    def test_a_clock_that_did_not_move_tells_nothing(self) -> None:
+    def test_a_time_of_zero_is_ignored(self) -> None:
         self.pace.took(2000, 0)
         self.assertIsNone(self.pace.expected_s(1000))
 
 
 class PromptPaceTest(testtools.TestCase):
-    def test_what_engines_kept_is_told_apart_from_what_they_read(self) -> None:
-        """Engines keep nine tenths of each prompt.
+    def test_cached_and_uncached_tokens_are_distinguished(self) -> None:
+        """Engines have nine tenths of each prompt cached.
 
-        Had the time for a whole prompt been taken for reading all of it, an
-        engine without the shared part would seem as quick as the one that
-        keeps it.
+        If the whole time were attributed to all tokens of a prompt, an engine
+        without the shared prefix would seem as fast as the one that has it
+        cached.
         """
         pace = PromptPace(ReadingPaceSettings())
         parts = (PromptPart('x', 18000), PromptPart('own', 2000))
