--- a/packages/dispatch/dandelionyoke_dispatch/_sources.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_sources.py
@@ -1,9 +1,10 @@
-"""Which node of a domain asks the store, and whom the others ask.
+"""The choice of the node of a domain that polls the store for the others.
 
-Each node that asks the store for itself makes the calls grow with the fleet,
-and each call has a price. So one node of a domain asks, and the others ask
-that node. All nodes rank the members alike, without talk; a node that does
-not answer, or whose knowledge has grown old, is passed over for a while.
+If each node polled the store, the number of requests would grow with the fleet,
+and each request has a price. So one node per failure domain polls the store,
+and the others poll that node. All nodes rank the members in the same order,
+without communication. A node that does not respond, or has stale data, is
+skipped for a while.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -15,9 +16,9 @@
 
 @attrs.frozen
 class Member:
-    """A node as it entered itself in the store.
+    """The entry of a node in the store.
 
-    `capacity` is its processor time for each second, in seconds.
+    `capacity` is its processor time in seconds per second.
     """
 
     instance_id: str
@@ -28,27 +29,27 @@
 
 @attrs.frozen
 class SourceSettings:
-    """How long a node that did not answer in time is passed over.
+    """How long a node that did not respond in time is suspect.
 
     A killed process is back after about `suspicion_s`, and a node that is gone
-    is dropped from the members within a few such periods. Each further failure
-    within `forgotten_s` of the end of such a period doubles it: a node that
-    the store turns away answers, and would be asked again and again.
+    is removed from the members within a few such periods. Each further failure
+    within `backoff_reset_s` after such a period doubles it: a node that the
+    store rejects does respond, and would otherwise be polled again and again.
     """
 
     suspicion_s: float = 4.0
-    longest_suspicion_s: float = 16.0
-    forgotten_s: float = 8.0
+    max_suspicion_s: float = 16.0
+    backoff_reset_s: float = 8.0
 
 
 @attrs.frozen
 class _Suspicion:
-    for_s: float
+    duration_s: float
     until_s: float
 
 
 class SourceChoice:
-    """Ranks the members for one node."""
+    """The ranking of the members, as seen by one node."""
 
     def __init__(
         self, own_id: str, domain: str, settings: SourceSettings
@@ -56,26 +57,29 @@
         self._own_id = own_id
         self._domain = domain
         self._settings = settings
-        self._near: Sequence[Member] = ()
-        self._far: Sequence[Member] = ()
-        self._firsts: Sequence[Member] = ()
+        self._own_domain_members: Sequence[Member] = ()
+        self._other_members: Sequence[Member] = ()
+        self._domain_leaders: Sequence[Member] = ()
         self._suspicions: dict[str, _Suspicion] = {}
 
     def take_members(self, members: Iterable[Member]) -> None:
-        """Take which nodes there are."""
+        """Replace the members."""
         by_id = {member.instance_id: member for member in members}
         own = Member(self._own_id, self._domain, '')
         by_id.setdefault(self._own_id, own)
-        far = {name for name in by_id if by_id[name].domain != self._domain}
-        self._near = _ranked(by_id, self._domain)
-        self._firsts = [
-            _ranked(by_id, domain)[0]
-            for domain in sorted({by_id[name].domain for name in far})
+        other_ids = {
+            name for name in by_id if by_id[name].domain != self._domain
+        }
+        self._own_domain_members = _rank_domain(by_id, self._domain)
+        self._domain_leaders = [
+            _rank_domain(by_id, domain)[0]
+            for domain in sorted({by_id[name].domain for name in other_ids})
         ]
-        # Each node ranks those of other domains differently, so that nodes
-        # in need do not all turn to the same one.
-        self._far = [
-            by_id[name] for name in rendezvous(far, self._own_id, len(far))
+        # Each node ranks the nodes of other domains differently, so that nodes
+        # without access to the store do not all poll the same one.
+        self._other_members = [
+            by_id[name]
+            for name in rendezvous(other_ids, self._own_id, len(other_ids))
         ]
         self._suspicions = {
             name: suspicion
@@ -84,55 +88,61 @@
         }
 
     def suspect(self, instance_id: str, now_s: float) -> None:
-        """Pass a node over for a while."""
+        """Mark a node as suspect; repeated failures back off exponentially."""
         settings = self._settings
-        for_s = settings.suspicion_s
-        before = self._suspicions.get(instance_id)
-        if before and now_s < before.until_s + settings.forgotten_s:
-            for_s = min(2 * before.for_s, settings.longest_suspicion_s)
-        self._suspicions[instance_id] = _Suspicion(for_s, now_s + for_s)
+        duration_s = settings.suspicion_s
+        previous = self._suspicions.get(instance_id)
+        if previous and now_s < previous.until_s + settings.backoff_reset_s:
+            duration_s = min(2 * previous.duration_s, settings.max_suspicion_s)
+        self._suspicions[instance_id] = _Suspicion(
+            duration_s, now_s + duration_s
+        )
 
     def is_source(self, now_s: float) -> bool:
-        """Whether this node is the one of its domain that asks the store."""
+        """Whether this node polls the store for its domain."""
         return self.domain_source(now_s) is None
 
     def domain_source(self, now_s: float) -> Member | None:
-        """Tell which other node asks the store for the domain.
+        """Return the other node that polls the store for the domain.
 
-        None: this one does.
+        None: this node does.
         """
-        first = self._first(self._near, now_s)
-        if first is None or first.instance_id == self._own_id:
+        source = self._first_trusted(self._own_domain_members, now_s)
+        if source is None or source.instance_id == self._own_id:
             return None
-        return first
+        return source
 
     def first_elsewhere(self) -> Sequence[Member]:
-        """Name the first node of each other domain, as its own rank it.
+        """Return the first node of each other domain, as ranked there.
 
-        Nodes of that domain may have passed it over for a while.
+        The nodes of that domain may currently suspect it and use another one.
         """
-        return self._firsts
+        return self._domain_leaders
 
     def whom_to_ask(self, now_s: float, *, is_blind: bool) -> Member | None:
-        """Choose the node to ask; None: this one asks the store itself.
+        """Return the node to poll; None: this node polls the store.
 
-        A node is blind that asks the store in vain. The store may turn away
-        some nodes and serve others, also of other domains.
+        `is_blind` tells that the store does not respond to this node. The store
+        may reject some nodes and serve others, also those of other domains.
         """
         source = self.domain_source(now_s)
         if source is not None or not is_blind:
             return source
-        return self._first((*self._near, *self._far), now_s, but_own=True)
+        return self._first_trusted(
+            (*self._own_domain_members, *self._other_members),
+            now_s,
+            exclude_own=True,
+        )
 
-    def _first(
+    def _first_trusted(
         self,
         members: Sequence[Member],
         now_s: float,
         *,
-        but_own: bool = False,
+        exclude_own: bool = False,
     ) -> Member | None:
         for member in members:
-            if but_own and member.instance_id == self._own_id:
+            if exclude_own and member.instance_id == self._own_id:
                 continue
             suspicion = self._suspicions.get(member.instance_id)
             if suspicion is None or now_s >= suspicion.until_s:
@@ -140,11 +150,11 @@
         return None
 
 
-def _ranked(by_id: Mapping[str, Member], domain: str) -> list[Member]:
-    """Rank the nodes of a domain, in the same order on every node.
+def _rank_domain(by_id: Mapping[str, Member], domain: str) -> list[Member]:
+    """Rank the nodes of a domain in the same order on every node.
 
-    The first one works for all others of its domain, so the strongest ones
-    go first.
+    The first node serves all others of its domain, so nodes with a higher
+    capacity come first.
     """
     names = [name for name in by_id if by_id[name].domain == domain]
     ranked = [by_id[name] for name in rendezvous(names, domain, len(names))]
--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -1,17 +1,17 @@
-"""What this node has under way at each target, and which ones misbehave."""
+"""The calls of this node in flight per target, and its suspect targets."""
 
 import enum
 from collections.abc import Callable
 
 import attrs
 
-# A reported load says nothing about work that came and went since.
+# A reported load does not include calls that started or ended since.
 REPORT_LIFETIME_S = 1.0
 
 
 @enum.unique
 class TargetFailure(enum.Enum):
-    """What a call met at a target instead of an answer."""
+    """The kind of failure of a call at a target."""
 
     BROKEN = 'broken'
     REFUSED = 'refused'
@@ -23,35 +23,35 @@
 
 @attrs.frozen
 class SuspicionSettings:
-    """When a target is left alone, and for how long.
+    """When a target becomes suspect, and for how long.
 
-    A target that fails calls while its health check passes would swallow a
-    share of the traffic for as long as it lasts. After `failures_in_a_row`
-    it gets nothing for `first_rest_s`, doubled with each further failure.
-    One that another node suspects gets nothing for `suspected_s`. Failures
-    are forgotten after `forgotten_s` without a further one.
+    A target that fails calls while its health check passes would otherwise keep
+    receiving a share of the traffic. After `failures_in_a_row` it gets no calls
+    for a cooldown of `first_rest_s`, which doubles with each further failure. A
+    target that another node suspects gets no calls for `peer_suspicion_s`.
+    Failures expire after `failure_lifetime_s` without a further one.
     """
 
     failures_in_a_row: int = 2
     first_rest_s: float = 0.5
     longest_rest_s: float = 4.0
-    suspected_s: float = 0.4
-    forgotten_s: float = 8.0
+    peer_suspicion_s: float = 0.4
+    failure_lifetime_s: float = 8.0
 
 
 @attrs.define
 class _Load:
-    own: int = 0
+    in_flight: int = 0
     reported: int = 0
     reported_s: float = -REPORT_LIFETIME_S
     failures: int = 0
-    failed_s: float = 0.0
-    rests_until_s: float = 0.0
-    is_lost: bool = False
+    last_failure_s: float = 0.0
+    cooldown_until_s: float = 0.0
+    is_unreachable: bool = False
 
 
 class TargetLoads:
-    """Counts dispatches and their ends by target."""
+    """Counts the calls in flight and the failures by target."""
 
     def __init__(self, settings: SuspicionSettings) -> None:
         self._settings = settings
@@ -59,137 +59,140 @@
         self._listener: FailureListener | None = None
 
     def listen(self, listener: FailureListener) -> None:
-        """Tell a listener of each failure that this node's calls meet."""
+        """Set the listener for failures of calls from this node."""
         self._listener = listener
 
     def began(self, target_id: str) -> None:
-        """Count a dispatch."""
-        self._of(target_id).own += 1
+        """Count the start of a call."""
+        self._load_of(target_id).in_flight += 1
 
     def ended(self, target_id: str) -> None:
-        """Count the end of a dispatch, however it went."""
-        load = self._of(target_id)
-        load.own = max(0, load.own - 1)
+        """Count the end of a call, whether it succeeded or not."""
+        load = self._load_of(target_id)
+        load.in_flight = max(0, load.in_flight - 1)
 
     def reported(self, target_id: str, busy: int, now_s: float) -> None:
-        """Take what a target said of its running and waiting calls."""
-        load = self._of(target_id)
+        """Record the running and queued calls that a target reported."""
+        load = self._load_of(target_id)
         load.reported = busy
         load.reported_s = now_s
 
     def succeeded(self, target_id: str) -> None:
-        """Forget the failures of a target."""
-        load = self._of(target_id)
+        """Reset the failures of a target."""
+        load = self._load_of(target_id)
         load.failures = 0
-        load.is_lost = False
+        load.is_unreachable = False
 
     def failed(self, target_id: str, now_s: float) -> None:
-        """Count a failure; several in a row make the target rest."""
-        self._count(target_id, TargetFailure.BROKEN, now_s)
-        self._tell(target_id, TargetFailure.BROKEN)
+        """Count a failure; several in a row make the target suspect."""
+        self._count_failure(target_id, TargetFailure.BROKEN, now_s)
+        self._notify(target_id, TargetFailure.BROKEN)
 
     def refused(self, target_id: str, now_s: float) -> None:
-        """Leave a target alone that said it did not run a call.
+        """Make a target suspect that reported not running a call.
 
-        It is full, or it is changing its phase, which the registry tells
-        only seconds later; each further refusal doubles the pause.
+        It is full, or it is changing its phase, which appears in the registry
+        only seconds later. Each further refusal doubles the cooldown.
         """
-        self._count(target_id, TargetFailure.REFUSED, now_s)
-        self._tell(target_id, TargetFailure.REFUSED)
+        self._count_failure(target_id, TargetFailure.REFUSED, now_s)
+        self._notify(target_id, TargetFailure.REFUSED)
 
     def unreachable(self, target_id: str, now_s: float) -> None:
-        """Leave a target alone that took no connection."""
-        self._count(target_id, TargetFailure.UNREACHABLE, now_s)
-        self._tell(target_id, TargetFailure.UNREACHABLE)
+        """Make a target suspect that accepted no connection."""
+        self._count_failure(target_id, TargetFailure.UNREACHABLE, now_s)
+        self._notify(target_id, TargetFailure.UNREACHABLE)
 
     def told(
         self, target_id: str, failure: TargetFailure, now_s: float
     ) -> None:
-        """Count a failure that a call of another node met.
+        """Count a failure of a call from another node.
 
-        Calls of many nodes fail at the same moment, which says no more than
-        one of them.
+        Failures that many nodes report at the same moment carry no more
+        information than one, so they are ignored during a cooldown.
         """
         if not self.rests(target_id, now_s):
-            self._count(target_id, failure, now_s)
+            self._count_failure(target_id, failure, now_s)
 
     def suspected(self, target_id: str, now_s: float) -> None:
-        """Leave a target alone for a moment that another node leaves alone."""
-        load = self._of(target_id)
-        until_s = now_s + self._settings.suspected_s
-        load.rests_until_s = max(load.rests_until_s, until_s)
+        """Make a target suspect briefly because another node suspects it."""
+        load = self._load_of(target_id)
+        until_s = now_s + self._settings.peer_suspicion_s
+        load.cooldown_until_s = max(load.cooldown_until_s, until_s)
 
     def resting(self, now_s: float) -> list[str]:
-        """List the targets that are left alone."""
+        """Return the targets in cooldown."""
         return sorted(
             target_id
             for target_id, load in self._loads.items()
-            if now_s < load.rests_until_s
+            if now_s < load.cooldown_until_s
         )
 
     def lost(self, now_s: float) -> list[str]:
-        """List the targets that take no connection."""
+        """Return the targets that accept no connection."""
         return [
             target_id
             for target_id in self.resting(now_s)
-            if self._of(target_id).is_lost
+            if self._load_of(target_id).is_unreachable
         ]
 
-    def _tell(self, target_id: str, failure: TargetFailure) -> None:
+    def _notify(self, target_id: str, failure: TargetFailure) -> None:
         if self._listener is not None:
             self._listener(target_id, failure)
 
-    def _count(
+    def _count_failure(
         self, target_id: str, failure: TargetFailure, now_s: float
     ) -> None:
-        load = self._of(target_id)
-        if now_s - load.failed_s > self._settings.forgotten_s:
+        load = self._load_of(target_id)
+        if now_s - load.last_failure_s > self._settings.failure_lifetime_s:
             load.failures = 0
-        load.failed_s = now_s
+        load.last_failure_s = now_s
         if failure is not TargetFailure.BROKEN:
             # One is enough: the target cannot serve the next call either.
             load.failures = max(load.failures, self._settings.failures_in_a_row)
-            load.is_lost = failure is TargetFailure.UNREACHABLE
+            load.is_unreachable = failure is TargetFailure.UNREACHABLE
         load.failures += 1
         excess = load.failures - self._settings.failures_in_a_row
         if excess >= 0:
-            rest_s = self._settings.first_rest_s * 2**excess
-            load.rests_until_s = now_s + min(
-                rest_s, self._settings.longest_rest_s
+            cooldown_s = self._settings.first_rest_s * 2**excess
+            load.cooldown_until_s = now_s + min(
+                cooldown_s, self._settings.longest_rest_s
             )
 
     def is_lost(self, target_id: str, now_s: float) -> bool:
-        """Whether a target took no connection and has not answered since.
+        """Whether a target accepted no connection and is still in cooldown.
 
-        The registry lists one that crashed for some heartbeats more.
+        The registry lists a crashed target for some heartbeats more.
         """
-        return self.rests(target_id, now_s) and self._of(target_id).is_lost
+        return (
+            self.rests(target_id, now_s)
+            and self._load_of(target_id).is_unreachable
+        )
 
     def own(self, target_id: str) -> int:
-        """Tell how many dispatches of this node are under way."""
-        return self._of(target_id).own
+        """Return the number of calls that this node has in flight."""
+        return self._load_of(target_id).in_flight
 
     def busy(self, target_id: str, now_s: float) -> int:
-        """Estimate the calls at a target, those of other nodes included."""
-        load = self._of(target_id)
+        """Estimate the calls at a target, including those of other nodes."""
+        load = self._load_of(target_id)
         if not self.is_told(target_id, now_s):
-            return load.own
-        return max(load.own, load.reported)
+            return load.in_flight
+        return max(load.in_flight, load.reported)
 
     def is_told(self, target_id: str, now_s: float) -> bool:
-        """Whether a target has told its load of late."""
-        reported_s = self._of(target_id).reported_s
+        """Whether a target reported its load recently."""
+        reported_s = self._load_of(target_id).reported_s
         return now_s - reported_s <= REPORT_LIFETIME_S
 
     def rests(self, target_id: str, now_s: float) -> bool:
-        """Whether a target is left alone for now."""
-        return now_s < self._of(target_id).rests_until_s
+        """Whether a target is in cooldown."""
+        return now_s < self._load_of(target_id).cooldown_until_s
 
     def forget(self, known: frozenset[str]) -> None:
-        """Drop targets that are gone and have nothing under way."""
+        """Remove targets that are gone and have no calls in flight."""
         for target_id in tuple(self._loads):
-            if target_id not in known and not self._loads[target_id].own:
+            if target_id not in known and not self._loads[target_id].in_flight:
                 self._loads.pop(target_id)
 
-    def _of(self, target_id: str) -> _Load:
+    def _load_of(self, target_id: str) -> _Load:
         return self._loads.setdefault(target_id, _Load())
--- a/tests/dispatch/test_sources.py
+++ b/tests/dispatch/test_sources.py
@@ -1,4 +1,4 @@
-"""Which node of a domain asks the store, and whom the others ask."""
+"""The choice of the node of a domain that polls the store."""
 
 import testtools
 
@@ -12,30 +12,30 @@
 
 
 def choice(own_id: str, members: list[Member] = MEMBERS) -> SourceChoice:
-    made = SourceChoice(own_id, own_id[0], SourceSettings(suspicion_s=4.0))
-    made.take_members(members)
-    return made
+    result = SourceChoice(own_id, own_id[0], SourceSettings(suspicion_s=4.0))
+    result.take_members(members)
+    return result
 
 
 class SourceChoiceTest(testtools.TestCase):
-    def test_all_nodes_of_a_domain_ask_one_and_the_same(self) -> None:
+    def test_all_nodes_of_a_domain_poll_the_same_node(self) -> None:
         nodes = [choice(member.instance_id) for member in MEMBERS[:5]]
         sources = [node for node in nodes if node.is_source(0)]
-        asked = {node.whom_to_ask(0, is_blind=False) for node in nodes}
+        polled = {node.whom_to_ask(0, is_blind=False) for node in nodes}
         self.assertEqual(1, len(sources))
-        self.assertEqual(2, len(asked))
-        self.assertIn(None, asked)
+        self.assertEqual(2, len(polled))
+        self.assertIn(None, polled)
 
-    def test_a_node_that_knows_no_others_asks_the_store(self) -> None:
+    def test_a_node_without_members_polls_the_store(self) -> None:
         alone = SourceChoice('a-1', 'a', SourceSettings())
         self.assertTrue(alone.is_source(0))
         self.assertIsNone(alone.whom_to_ask(0, is_blind=True))
 
-    def test_a_silent_node_is_passed_over_for_a_while(self) -> None:
-        """The node that asks the store for its domain loses power.
+    def test_an_unresponsive_node_is_skipped_for_a_while(self) -> None:
+        """The node that polls the store for its domain loses power.
 
-        The others must agree on the next one at once, and come back to it
-        once it answers again.
+        The others must agree on the next one at once, and return to the first
+        one when it responds again.
         """
         others = [member for member in MEMBERS if member.domain == 'a']
         first = next(
@@ -51,18 +51,18 @@
         for node in nodes:
             node.suspect(first, 10.0)
         self.assertEqual(1, sum(node.is_source(10.1) for node in nodes))
-        asked = {node.whom_to_ask(14.1, is_blind=False) for node in nodes}
-        self.assertEqual({first}, {one.instance_id for one in asked if one})
+        polled = {node.whom_to_ask(14.1, is_blind=False) for node in nodes}
+        self.assertEqual({first}, {one.instance_id for one in polled if one})
 
-    def test_the_strongest_node_works_for_the_others(self) -> None:
+    def test_the_node_with_the_highest_capacity_polls(self) -> None:
         """Guards against a small machine that is too slow for its domain."""
         strong = Member('a-9', 'a', '10.0.0.9:7', capacity=2.15)
         nodes = [choice(one.instance_id, [*MEMBERS, strong]) for one in MEMBERS]
-        asked = {node.whom_to_ask(0, is_blind=False) for node in nodes[:5]}
-        self.assertEqual({strong}, asked)
+        polled = {node.whom_to_ask(0, is_blind=False) for node in nodes[:5]}
+        self.assertEqual({strong}, polled)
 
-    def test_a_node_that_fails_again_is_passed_over_for_longer(self) -> None:
-        """Guards against asking a node that has lost the store in turns."""
+    def test_repeated_failures_are_backed_off(self) -> None:
+        """Guards against repeated polls of a node that lost the store."""
         first = next(
             member.instance_id
             for member in MEMBERS[:5]
@@ -71,22 +71,22 @@
         other = 'a-1' if first != 'a-1' else 'a-2'
         node = choice(other)
         node.suspect(first, 0)
-        self.assertEqual(first, self.asked(node, 4.1))
+        self.assertEqual(first, self.polled(node, 4.1))
         node.suspect(first, 4.1)
-        self.assertNotEqual(first, self.asked(node, 12.0))
-        self.assertEqual(first, self.asked(node, 12.2))
+        self.assertNotEqual(first, self.polled(node, 12.0))
+        self.assertEqual(first, self.polled(node, 12.2))
         node.suspect(first, 40)
-        self.assertEqual(first, self.asked(node, 44.1))
+        self.assertEqual(first, self.polled(node, 44.1))
 
-    def asked(self, node: SourceChoice, now_s: float) -> str:
+    def polled(self, node: SourceChoice, now_s: float) -> str:
         member = node.whom_to_ask(now_s, is_blind=False)
         return '' if member is None else member.instance_id
 
-    def test_who_asks_in_vain_asks_others_also_far_away(self) -> None:
-        """The store turns a node away and serves others.
+    def test_a_rejected_node_polls_other_nodes_and_domains(self) -> None:
+        """The store rejects a node and serves others.
 
-        Its callers would be refused although another node knows what is
-        newest.
+        Calls of this node would be refused although another node has the latest
+        version.
         """
         source = next(
             choice(member.instance_id)
