--- a/packages/dispatch/dandelionyoke_dispatch/_rate_limit.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_rate_limit.py
@@ -53,7 +53,7 @@
         if self.burst < min_burst:
             raise ValueError(
                 f'burst is {self.burst}, less than one call; '
-                f'it must be at least {min_burst:g}'
+                f'it must be {min_burst:g} or more'
             )
 
     def amount_of(self, prompt: Prompt | None) -> float:
