--- a/packages/dispatch/dandelionyoke_dispatch/_limit_budget.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_limit_budget.py
@@ -129,7 +129,7 @@
             return max(0.0, expiry_s)
         remaining_s = 0.0
         recent = self._recent(part)
-        for slot in sorted(recent, key=lambda one: one.start_s):
+        for slot in sorted(recent, key=lambda entry: entry.start_s):
             if deficit <= 0:
                 break
             deficit -= slot.amount
--- a/packages/dispatch/dandelionyoke_dispatch/_phase_plan.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_phase_plan.py
@@ -75,7 +75,7 @@
         if len(engines) < 2:
             return []
         wanted = self._wanted_decode(engines)
-        decoding = sum(one.phase is Phase.DECODE for one in engines)
+        decoding = sum(engine.phase is Phase.DECODE for engine in engines)
         # A single surplus engine keeps decoding: it would be needed again when
         # missing engines return, and each switch takes seconds.
         if decoding == wanted + 1 and decoding < len(engines):
@@ -83,17 +83,18 @@
         self.wanted = wanted
         decode = _choose_decode(engines, wanted)
         to_decode = [
-            PhaseChange(one, Phase.DECODE)
-            for one in engines
-            if one.target_id in decode and one.phase is not Phase.DECODE
+            PhaseChange(engine, Phase.DECODE)
+            for engine in engines
+            if engine.target_id in decode and engine.phase is not Phase.DECODE
         ]
         to_prefill = [
-            PhaseChange(one, Phase.PREFILL)
-            for one in engines
-            if one.target_id not in decode and one.phase is not Phase.PREFILL
+            PhaseChange(engine, Phase.PREFILL)
+            for engine in engines
+            if engine.target_id not in decode
+            and engine.phase is not Phase.PREFILL
         ]
         released = self._limit_to_prefill(to_prefill, engines, wanted, settled)
-        if len({one.phase for one in engines}) < 2:
+        if len({engine.phase for engine in engines}) < 2:
             return to_decode + released
         return self._limit_to_decode(to_decode, engines, settled) + released
 
@@ -108,10 +109,10 @@
         Engines missing from the minimum switch at once: decode engines were
         lost, and their streams are waiting.
         """
-        decode = [one for one in engines if one.phase is Phase.DECODE]
+        decode = [engine for engine in engines if engine.phase is Phase.DECODE]
         switching = sum(
-            settled is not None and one.target_id not in settled
-            for one in decode
+            settled is not None and engine.target_id not in settled
+            for engine in decode
         )
         max_switching = math.ceil(
             len(engines) * self._settings.max_switching_share
@@ -136,19 +137,25 @@
         neither of the two phases may switch at any time.
         """
         ready = sum(
-            one.phase is Phase.DECODE
-            and (settled is None or one.target_id in settled)
-            for one in engines
+            engine.phase is Phase.DECODE
+            and (settled is None or engine.target_id in settled)
+            for engine in engines
         )
         surplus = max(0, ready - wanted)
-        decode = [one for one in to_prefill if one.target.phase is Phase.DECODE]
+        decode = [
+            change
+            for change in to_prefill
+            if change.target.phase is Phase.DECODE
+        ]
         others = [
-            one for one in to_prefill if one.target.phase is not Phase.DECODE
+            change
+            for change in to_prefill
+            if change.target.phase is not Phase.DECODE
         ]
         return others + decode[:surplus]
 
     def _wanted_decode(self, engines: Sequence[RegisteredTarget]) -> int:
-        slots = sum(one.slots for one in engines) / len(engines)
+        slots = sum(engine.slots for engine in engines) / len(engines)
         needed = math.ceil(
             self._split.decode_count(len(engines), slots, self.peak)
         )
@@ -207,7 +214,7 @@
 ) -> dict[str, deque[str]]:
     """Return the sorted engine ids of each domain."""
     ids_by_domain: dict[str, deque[str]] = {}
-    for engine in sorted(engines, key=lambda one: one.target_id):
+    for engine in sorted(engines, key=lambda member: member.target_id):
         ids_by_domain.setdefault(engine.domain, deque()).append(
             engine.target_id
         )
--- a/tests/dispatch/limiter_simulation.py
+++ b/tests/dispatch/limiter_simulation.py
@@ -79,8 +79,8 @@
     def __init__(self, units: int, reserved: float = 0.2) -> None:
         self._units = units
         self._reserved = reserved
-        self._asked = DecayingRate(2.0)
-        self._others: dict[str, float] = {}
+        self._demand = DecayingRate(2.0)
+        self._other_demands: dict[str, float] = {}
         self._bucket = TokenBucket(0.0, 0.0)
         self._limits: Mapping[str, RateLimit] = {}
 
@@ -99,11 +99,11 @@
     def admit(
         self, organisation: str, amount: float, now_s: float
     ) -> LimitVerdict:
-        self._asked.add(amount, now_s)
+        self._demand.add(amount, now_s)
         limit = self._limits[organisation]
         rate_per_s = demand_share(
-            self._asked.per_s(now_s),
-            sum(self._others.values()),
+            self._demand.per_s(now_s),
+            sum(self._other_demands.values()),
             limit.rate_per_s,
             self._units,
             self._reserved,
@@ -116,13 +116,13 @@
         return LimitVerdict(is_admitted=True)
 
     def told(self, sender: str, use: GroupUse, now_s: float) -> None:
-        self._others[sender] = use.spent.get(NAME, 0.0)
+        self._other_demands[sender] = use.spent.get(NAME, 0.0)
 
     def has_urgent_use(self) -> bool:
         return False
 
     def use(self, process: str, now_s: float) -> GroupUse:
-        return GroupUse(process, 1, {NAME: self._asked.per_s(now_s)})
+        return GroupUse(process, 1, {NAME: self._demand.per_s(now_s)})
 
 
 @attrs.define
@@ -154,8 +154,8 @@
     def allowed(self) -> float:
         """The number of tokens that may be admitted within a window."""
         limit = self.reduced_limit or LIMIT
-        whole = limit.rate_per_s * WINDOW_S + limit.burst
-        return whole * OVERRUN_FACTOR + SLACK_TOKENS
+        window_amount = limit.rate_per_s * WINDOW_S + limit.burst
+        return window_amount * OVERRUN_FACTOR + SLACK_TOKENS
 
     @property
     def excess_refused(self) -> float:
@@ -168,7 +168,7 @@
     def run(self) -> 'LimiterSimulation':
         """Run the simulation."""
         random = Random(self.seed)
-        self._units = [self._unit(*one) for one in self._unit_sizes()]
+        self._units = [self._unit(*unit) for unit in self._unit_sizes()]
         central = TokenBucket(LIMIT.burst, 0.0)
         window: deque[tuple[float, float]] = deque()
         events: list[tuple[float, int, str, object]] = []
@@ -259,8 +259,8 @@
                 number = random.choice(
                     [
                         index
-                        for index, one in enumerate(self._units)
-                        if one.domain == domain
+                        for index, unit in enumerate(self._units)
+                        if unit.domain == domain
                     ]
                 )
                 yield now_s, min(MAX_TOKENS, tokens), number
--- a/tests/dispatch/phase_simulation.py
+++ b/tests/dispatch/phase_simulation.py
@@ -91,14 +91,18 @@
         ]
         plan = PhasePlan(self.settings, self.split)
         prompts: list[float] = []
-        waiting: list[float] = []
+        prefilled: list[float] = []
         running = 0.0
         pending_calls = prefill_capacity = 0.0
         for step in range(int(self.duration_s / STEP_S)):
             now_s = step * STEP_S
             engines = self._present(now_s)
-            prefill = sum(one.works_in(Phase.PREFILL, now_s) for one in engines)
-            decode = sum(one.works_in(Phase.DECODE, now_s) for one in engines)
+            prefill = sum(
+                engine.works_in(Phase.PREFILL, now_s) for engine in engines
+            )
+            decode = sum(
+                engine.works_in(Phase.DECODE, now_s) for engine in engines
+            )
             pending_calls += self.rate(now_s) * STEP_S
             while pending_calls >= 1:
                 pending_calls -= 1
@@ -115,19 +119,19 @@
             ]
             while prefill_capacity >= 1 and prompts:
                 prefill_capacity -= 1
-                waiting.append(prompts.pop(0))
+                prefilled.append(prompts.pop(0))
             running -= running * STEP_S / self.stream_s(now_s)
-            waiting = [
+            prefilled = [
                 arrived_s
-                for arrived_s in waiting
+                for arrived_s in prefilled
                 if now_s - arrived_s < QUEUE_TIMEOUT_S
             ]
-            while waiting and running + 1 <= decode * SLOTS:
+            while prefilled and running + 1 <= decode * SLOTS:
                 running += 1
-                waiting.pop(0)
+                prefilled.pop(0)
                 self.served += 1
             self._load_history.append(
-                (now_s, PhaseLoad(running + len(waiting), len(prompts)))
+                (now_s, PhaseLoad(running + len(prefilled), len(prompts)))
             )
             if abs(now_s - self.leader_change_s) < STEP_S / 2:
                 plan = PhasePlan(self.settings, self.split)
