--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -23,7 +23,7 @@
 )
 from dandelionyoke_gateway._caller_connection import CallerRequest, Responder
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._errors import CallerLeftError
+from dandelionyoke_gateway._errors import CallerDisconnectedError
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._messages import ResponseHead
@@ -54,7 +54,7 @@
 
 
 @attrs.define
-class OpenCall:
+class CallContext:
     """A call that was let in, on its way to its end."""
 
     call: Call
@@ -63,10 +63,10 @@
     route: Route
     service: Service
     organisation: Organisation | None
-    own_until_s: float
+    own_deadline_s: float
     attempts: Attempts
     departure: Departure
-    is_counted: bool = False
+    is_usage_counted: bool = False
 
     @property
     def until_s(self) -> float:
@@ -76,8 +76,8 @@
         """
         end_s = self.departure.answer_by_s()
         if end_s is None:
-            return self.own_until_s
-        return min(self.own_until_s, end_s)
+            return self.own_deadline_s
+        return min(self.own_deadline_s, end_s)
 
     @property
     def fingerprint(self) -> str:
@@ -90,7 +90,7 @@
         return None if self.organisation is None else self.organisation.name
 
     @property
-    def rank(self) -> int:
+    def priority(self) -> int:
         """The priority of the call; the lower goes first."""
         if self.organisation is not None:
             if self.organisation.priority is not None:
@@ -106,18 +106,21 @@
         self.refusal = refusal
 
 
-Carrier = Callable[[Tools, OpenCall], None]
+CallForwarder = Callable[[Tools, CallContext], None]
 
 
 class CallDesk:
     """Takes each request of a caller to its answer."""
 
     def __init__(
-        self, tools: Tools, carry_plain: Carrier, carry_stream: Carrier
+        self,
+        tools: Tools,
+        forward_plain: CallForwarder,
+        forward_stream: CallForwarder,
     ) -> None:
         self._tools = tools
-        self._carry_plain = carry_plain
-        self._carry_stream = carry_stream
+        self._carry_plain = forward_plain
+        self._carry_stream = forward_stream
 
     def handle(self, request: CallerRequest, responder: Responder) -> None:
         """Answer a request; returns when the answer was written."""
@@ -125,7 +128,7 @@
         knowledge.in_progress += 1
         try:
             self._answer(request, responder)
-        except CallerLeftError:
+        except CallerDisconnectedError:
             raise
         except Exception:
             # A fault of this program must end one call, not the process;
@@ -139,7 +142,7 @@
         call = self._tools.dialect.read_call(request.head)
         if call is None:
             bad = ResponseHead(HTTPStatus.BAD_REQUEST, ())
-            responder.answer(bad, b'the request names no attempt\n')
+            responder.respond(bad, b'the request names no attempt\n')
             return
         departure = self._tools.knowledge.departure
         if departure.refuses(request.arrived_s):
@@ -147,18 +150,18 @@
             self._refuse(call, responder, elsewhere, Attempts(1))
             return
         try:
-            opened = self._open(call, request, responder)
+            context = self._open(call, request, responder)
         except RefusedError as refused:
             self._refuse(call, responder, refused.refusal, Attempts(1))
             return
         try:
-            self._carry(opened)
+            self._carry(context)
         except RefusedError as refused:
-            self._refuse(call, responder, refused.refusal, opened.attempts)
+            self._refuse(call, responder, refused.refusal, context.attempts)
 
     def _open(
         self, call: Call, request: CallerRequest, responder: Responder
-    ) -> OpenCall:
+    ) -> CallContext:
         """Find the route and the organisation of a call."""
         configuration = self._tools.knowledge.configuration
         if configuration is None:
@@ -172,7 +175,7 @@
         if service is None:
             raise RefusedError(Refusal(Cause.NO_TARGET, SOON_S))
         time_s = min(call.time_left_s or route.timeout_s, route.timeout_s)
-        return OpenCall(
+        return CallContext(
             call,
             request,
             responder,
@@ -196,33 +199,33 @@
             raise RefusedError(Refusal(Cause.UNKNOWN_KEY))
         return organisation
 
-    def _carry(self, opened: OpenCall) -> None:
+    def _carry(self, context: CallContext) -> None:
         crashes = self._tools.knowledge.crashes
-        if crashes.refuses(opened.fingerprint, clock_s()):
+        if crashes.refuses(context.fingerprint, clock_s()):
             refusal = Refusal(Cause.QUARANTINED, crashes.retry_after_s)
             raise RefusedError(refusal)
-        charge = self._charge(opened)
+        charge = self._charge(context)
         try:
-            self._carry_by_kind(opened)
+            self._carry_by_kind(context)
         finally:
-            if charge is not None and not opened.attempts.may_have_run:
+            if charge is not None and not context.attempts.may_have_run:
                 self._tools.limits.refund(charge)
 
-    def _carry_by_kind(self, opened: OpenCall) -> None:
-        if opened.route.kind is CallKind.STREAM:
-            self._carry_stream(self._tools, opened)
+    def _carry_by_kind(self, context: CallContext) -> None:
+        if context.route.kind is CallKind.STREAM:
+            self._carry_stream(self._tools, context)
         else:
-            self._carry_plain(self._tools, opened)
+            self._carry_plain(self._tools, context)
 
-    def _charge(self, opened: OpenCall) -> Charge | None:
+    def _charge(self, context: CallContext) -> Charge | None:
         """Hold a call against its organisation's limit."""
-        organisation = opened.organisation
+        organisation = context.organisation
         if organisation is None or organisation.rate_limit is None:
             return None
         charge = Charge(
-            opened.call.attempt_id,
+            context.call.attempt_id,
             organisation.name,
-            organisation.rate_limit.amount_of(opened.call.prompt),
+            organisation.rate_limit.amount_of(context.call.prompt),
         )
         try:
             self._tools.limits.take(charge)
@@ -252,13 +255,13 @@
             version=configuration.version if configuration else None,
             knowledge_age_s=knowledge.freshness.age_s(clock_s()),
         )
-        if responder.has_begun:
+        if responder.has_started:
             return
         retry_after_s = refusal.retry_after_s
         if attempts.may_have_run:
             retry_after_s = None
         head = self._tools.dialect.refusal_head(status, retry_after_s)
-        responder.answer(head, f'{refusal.cause.value}\n'.encode())
+        responder.respond(head, f'{refusal.cause.value}\n'.encode())
 
     def _log_fault(self, request: CallerRequest) -> None:
         self._tools.log.decide(
--- a/packages/gateway/dandelionyoke_gateway/_caller_connection.py
+++ b/packages/gateway/dandelionyoke_gateway/_caller_connection.py
@@ -11,7 +11,10 @@
 
 from dandelionyoke_dispatch import CallerLimits
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._errors import CallerError, CallerLeftError
+from dandelionyoke_gateway._errors import (
+    CallerDisconnectedError,
+    InvalidRequestError,
+)
 from dandelionyoke_gateway._messages import (
     HeaderList,
     RequestHead,
@@ -42,33 +45,33 @@
         self._parser = parser
         self._sock = sock
         self._last = last
-        self.is_whole = False
-        self.has_begun = False
+        self.is_complete = False
+        self.has_started = False
 
-    def answer(self, head: ResponseHead, body: bytes) -> None:
+    def respond(self, head: ResponseHead, body: bytes) -> None:
         """Write a whole answer."""
         length = ('content-length', str(len(body)))
         wire = self._head(head.status, (*head.headers, length))
         if body:
             wire += self._parser.send(h11.Data(data=body)) or b''
         self._write(wire + (self._parser.send(h11.EndOfMessage()) or b''))
-        self.is_whole = True
+        self.is_complete = True
 
-    def begin(self, head: ResponseHead) -> None:
+    def start(self, head: ResponseHead) -> None:
         """Begin an answer whose length is not known."""
         self._write(self._head(head.status, head.headers))
 
-    def pass_on(self, content: bytes) -> None:
+    def send_chunk(self, content: bytes) -> None:
         """Write some of the answer's body."""
         self._write(self._parser.send(h11.Data(data=content)) or b'')
 
     def finish(self) -> None:
         """Close a whole answer; without this it never looks whole."""
         self._write(self._parser.send(h11.EndOfMessage()) or b'')
-        self.is_whole = True
+        self.is_complete = True
 
     def _head(self, status: int, headers: HeaderList) -> bytes:
-        self.has_begun = True
+        self.has_started = True
         all_headers = list(headers)
         if self._last:
             all_headers.append(('connection', 'close'))
@@ -82,7 +85,7 @@
         try:
             self._sock.sendall(wire)
         except OSError as gone:
-            raise CallerLeftError from gone
+            raise CallerDisconnectedError from gone
 
 
 Handler = Callable[[CallerRequest, Responder], None]
@@ -112,7 +115,7 @@
         try:
             while self._serve_one():
                 self._parser.start_next_cycle()
-        except (CallerLeftError, h11.LocalProtocolError):
+        except (CallerDisconnectedError, h11.LocalProtocolError):
             # Nobody is there to be told.
             return
         finally:
@@ -126,14 +129,14 @@
     def _serve_one(self) -> bool:
         try:
             request = self._read_request()
-        except CallerError as bad:
+        except InvalidRequestError as bad:
             self._refuse(bad)
             return False
         if request is None:
             return False
         responder = Responder(self._parser, self._sock, last=self._is_leaving())
         self._handle(request, responder)
-        return responder.is_whole and self._can_go_on()
+        return responder.is_complete and self._can_go_on()
 
     def _can_go_on(self) -> bool:
         self.is_idle = True
@@ -147,8 +150,8 @@
         watcher = eventlet.spawn(self._watch, handler)
         try:
             handler.wait()
-        except (eventlet.greenlet.GreenletExit, CallerLeftError):
-            raise CallerLeftError from None
+        except (eventlet.greenlet.GreenletExit, CallerDisconnectedError):
+            raise CallerDisconnectedError from None
         finally:
             watcher.kill()
             handler.kill()
@@ -211,13 +214,13 @@
                 until_s = clock_s() + self._limits.idle_timeout_s
                 self._receive(until_s, 'the body', silent=False)
             else:
-                raise CallerLeftError
+                raise CallerDisconnectedError
 
     def _event(self) -> Any:
         try:
             return self._parser.next_event()
         except h11.RemoteProtocolError as bad:
-            raise CallerError(str(bad), bad.error_status_hint) from bad
+            raise InvalidRequestError(str(bad), bad.error_status_hint) from bad
 
     def _receive(self, until_s: float, what: str, *, silent: bool) -> bool:
         """Read some bytes; False if an idle caller sent none."""
@@ -227,14 +230,14 @@
         except TimeoutError as slow:
             if silent:
                 return False
-            raise CallerError(
+            raise InvalidRequestError(
                 f'{what} of the request did not come in time',
                 HTTPStatus.REQUEST_TIMEOUT,
             ) from slow
         except OSError as gone:
-            raise CallerLeftError from gone
+            raise CallerDisconnectedError from gone
         if not content and not silent:
-            raise CallerLeftError
+            raise CallerDisconnectedError
         self._parser.receive_data(content)
         return bool(content)
 
@@ -252,16 +255,16 @@
 
     def _check_size(self, size: int) -> None:
         if size > self._limits.max_body_bytes:
-            raise CallerError(
+            raise InvalidRequestError(
                 f'the body is over {self._limits.max_body_bytes} bytes',
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             )
 
-    def _refuse(self, bad: CallerError) -> None:
+    def _refuse(self, bad: InvalidRequestError) -> None:
         """Tell a caller what is wrong with its bytes, then close."""
         if self._parser.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
         responder = Responder(self._parser, self._sock, last=True)
         text = f'{bad.cause}\n'.encode()
         kind = ('content-type', 'text/plain; charset=utf-8')
-        responder.answer(ResponseHead(bad.status, (kind,)), text)
+        responder.respond(ResponseHead(bad.status, (kind,)), text)
--- a/packages/gateway/dandelionyoke_gateway/_change_signal.py
+++ b/packages/gateway/dandelionyoke_gateway/_change_signal.py
@@ -10,7 +10,7 @@
     def __init__(self) -> None:
         self._event = green_event.Event()
 
-    def announce(self) -> None:
+    def notify(self) -> None:
         """Wake those who wait."""
         event = self._event
         self._event = green_event.Event()
--- a/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
@@ -25,7 +25,7 @@
             return
         knowledge.configuration_revision = revision
         knowledge.configuration_packed = zlib.compress(text.encode())
-        knowledge.signal.announce()
+        knowledge.signal.notify()
         try:
             configuration = self._dialect.read_configuration(text)
         except ConfigurationError as bad:
--- a/packages/gateway/dandelionyoke_gateway/_errors.py
+++ b/packages/gateway/dandelionyoke_gateway/_errors.py
@@ -28,7 +28,7 @@
         )
 
 
-class CallerError(Exception):
+class InvalidRequestError(Exception):
     """A caller's bytes are no proper request; `status` says how it is told."""
 
     def __init__(self, cause: str, status: int) -> None:
@@ -37,5 +37,5 @@
         self.status = status
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller's connection ended."""
--- a/packages/gateway/dandelionyoke_gateway/_event_stream.py
+++ b/packages/gateway/dandelionyoke_gateway/_event_stream.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-SEPARATORS = (b'\n\n', b'\r\n\r\n')
+EVENT_SEPARATORS = (b'\n\n', b'\r\n\r\n')
 
 
 @attrs.frozen
@@ -25,7 +25,7 @@
         self._rest = b''
 
     @property
-    def is_between_events(self) -> bool:
+    def is_at_event_boundary(self) -> bool:
         """Whether all that came was whole."""
         return not self._rest
 
@@ -43,7 +43,7 @@
 def _end_of_first(content: bytes) -> int | None:
     ends = [
         content.index(separator) + len(separator)
-        for separator in SEPARATORS
+        for separator in EVENT_SEPARATORS
         if separator in content
     ]
     return min(ends, default=None)
--- a/packages/gateway/dandelionyoke_gateway/_log.py
+++ b/packages/gateway/dandelionyoke_gateway/_log.py
@@ -11,7 +11,7 @@
 
 # Several times what a node decides at the peak of its load; past it lines are
 # left out and counted, so that a storm of refusals costs no processor time.
-LINES_A_SECOND = 300
+MAX_LINES_PER_S = 300
 
 
 class LineSink(Protocol):
@@ -107,7 +107,7 @@
             self._second = second
             self._written = 0
         self._written += 1
-        return self._written <= LINES_A_SECOND
+        return self._written <= MAX_LINES_PER_S
 
     def _write(self, message: dict[str, object]) -> None:
         line = json.dumps(message, default=str) + '\n'
--- a/packages/gateway/dandelionyoke_gateway/_messages.py
+++ b/packages/gateway/dandelionyoke_gateway/_messages.py
@@ -8,7 +8,7 @@
 HeaderList = tuple[tuple[str, str], ...]
 
 # These belong to one connection and are never passed on.
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'content-length',
@@ -72,7 +72,7 @@
     return tuple(
         (name, text)
         for name, text in headers
-        if name not in CONNECTION_HEADERS and name not in named
+        if name not in HOP_BY_HOP_HEADERS and name not in named
     )
 
 
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -61,8 +61,8 @@
 BALANCER_NOTICE_S = 3.2
 # The process must be gone before it is killed, with its last words written.
 GRACE_MARGIN_S = 0.8
-END_CHECK_S = 0.05
-ACCEPT_PAUSE_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
+ACCEPT_RETRY_DELAY_S = 0.05
 
 
 class Adapters:
@@ -231,7 +231,7 @@
             except OSError as full:
                 # Out of descriptors, most likely: those in use come back.
                 self._log.decide('accept.failed', 'listener', cause=str(full))
-                eventlet.sleep(ACCEPT_PAUSE_S)
+                eventlet.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             eventlet.spawn_n(self._serve_connection, sock, handler)
 
@@ -257,13 +257,13 @@
         self, request: CallerRequest, responder: Responder
     ) -> None:
         is_ready = self._knowledge.is_ready
-        responder.answer(ResponseHead(200 if is_ready else 503, ()), b'')
+        responder.respond(ResponseHead(200 if is_ready else 503, ()), b'')
 
     def _answer_metrics(
         self, request: CallerRequest, responder: Responder
     ) -> None:
         kind = ('content-type', 'text/plain; version=0.0.4')
-        responder.answer(ResponseHead(200, (kind,)), self._metrics.text())
+        responder.respond(ResponseHead(200, (kind,)), self._metrics.text())
 
     # Signals and the end.
 
@@ -289,7 +289,7 @@
         last_s = began_s + self._settings.grace_s - GRACE_MARGIN_S
         while self._knowledge.in_progress and clock_s() < last_s:
             self._close_idle()
-            eventlet.sleep(END_CHECK_S)
+            eventlet.sleep(DRAIN_POLL_INTERVAL_S)
         self._close_idle()
         self._counts.finish()
         is_clean = not self._knowledge.in_progress
--- a/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
@@ -67,7 +67,7 @@
         self._await_grace_end()
         if listing.mark != self._told:
             self._told = listing.mark
-            self._knowledge.signal.announce()
+            self._knowledge.signal.notify()
         usable = frozenset(
             one.target_id for one in targets if not one.is_leaving
         )
--- a/packages/gateway/dandelionyoke_gateway/_store_follower.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_follower.py
@@ -15,7 +15,7 @@
 
 # The store forgets its history after a time, or at once; a watch that goes on
 # from older changes would fail where a listing does not.
-HISTORY_S = 10.0
+MAX_WATCH_GAP_S = 10.0
 
 
 class StoreFollower:
@@ -39,7 +39,7 @@
 
         A change is waited for up to `watch_s`, unless all is listed.
         """
-        if clock_s() - self._answered_s > HISTORY_S:
+        if clock_s() - self._answered_s > MAX_WATCH_GAP_S:
             self.restart()
         answer = self._store.perform(self._question(watch_s))
         if not isinstance(answer, StoreListing):
--- a/packages/gateway/dandelionyoke_gateway/_target_connection.py
+++ b/packages/gateway/dandelionyoke_gateway/_target_connection.py
@@ -27,9 +27,9 @@
 # A target closes an idle connection after a time that it may tell. Without
 # it, a connection is not trusted for longer than this: a request that
 # crosses the close may have run, and one that must not run twice is lost.
-DEFAULT_IDLE_S = 4.0
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 # A request has to arrive before the target's own time is over.
-IDLE_MARGIN_S = 0.5
+IDLE_TIMEOUT_MARGIN_S = 0.5
 
 _BODILESS = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
 
@@ -44,10 +44,10 @@
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self._sender: GreenThread | None = None
-        self._idle_s = DEFAULT_IDLE_S
+        self._idle_s = DEFAULT_IDLE_TIMEOUT_S
         self._may_stay = True
         self._is_closed = False
-        self.usable_until_s = 0.0
+        self.idle_deadline_s = 0.0
 
     def send(self, head: RequestHead, body: bytes) -> None:
         """Send a request; its rest goes out while the answer is awaited.
@@ -78,7 +78,7 @@
         self._note_keep_alive(head)
         return head
 
-    def read_piece(self, until_s: float) -> bytes | None:
+    def read_chunk(self, until_s: float) -> bytes | None:
         """Read some of the answer's body; None at its proper end.
 
         Raises:
@@ -96,14 +96,14 @@
         """Read the whole rest of the answer."""
         pieces: list[bytes] = []
         size = 0
-        while (piece := self.read_piece(until_s)) is not None:
+        while (piece := self.read_chunk(until_s)) is not None:
             pieces.append(piece)
             size += len(piece)
             if size > most_bytes:
                 raise ExchangeError('the answer is too large', sent=True)
         return b''.join(pieces)
 
-    def renew(self) -> bool:
+    def prepare_reuse(self) -> bool:
         """Make ready for another request; False if it must be closed.
 
         Bytes behind a whole answer belong to nobody. Left in place they
@@ -118,12 +118,12 @@
         except h11.ProtocolError:
             return False
         self._sender = None
-        self.usable_until_s = clock_s() + self._idle_s
+        self.idle_deadline_s = clock_s() + self._idle_s
         return True
 
-    def is_quiet(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether neither bytes nor an end have come while it was idle."""
-        if clock_s() >= self.usable_until_s:
+        if clock_s() >= self.idle_deadline_s:
             return False
         self._sock.settimeout(0)
         try:
@@ -246,5 +246,5 @@
     for parameter in (keep_alive or '').split(','):
         name, _, text = parameter.strip().partition('=')
         if name.lower() == 'timeout' and text.isdigit():
-            return max(0, int(text) - IDLE_MARGIN_S)
-    return DEFAULT_IDLE_S
+            return max(0, int(text) - IDLE_TIMEOUT_MARGIN_S)
+    return DEFAULT_IDLE_TIMEOUT_S
--- a/packages/gateway/dandelionyoke_gateway/_target_pool.py
+++ b/packages/gateway/dandelionyoke_gateway/_target_pool.py
@@ -10,7 +10,7 @@
 # not is left for another while the caller still has time.
 CONNECT_TIMEOUT_S = 0.8
 # More would hold a target's connections that other nodes need.
-MOST_IDLE = 8
+MAX_IDLE_PER_TARGET = 8
 
 
 class TargetPool:
@@ -54,14 +54,18 @@
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
-            if connection.is_quiet():
+            if connection.is_healthy():
                 return connection
             connection.close()
         return None
 
     def _give_back(self, connection: TargetConnection, is_whole: bool) -> None:
         idle = self._idle.setdefault(connection.address, deque())
-        if is_whole and len(idle) < MOST_IDLE and connection.renew():
+        if (
+            is_whole
+            and len(idle) < MAX_IDLE_PER_TARGET
+            and connection.prepare_reuse()
+        ):
             idle.append(connection)
         else:
             connection.close()
--- a/tests/gateway/test_event_stream.py
+++ b/tests/gateway/test_event_stream.py
@@ -18,10 +18,10 @@
         """
         events = self.splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
         self.assertEqual(['1'], [event.event_id for event in events])
-        self.assertFalse(self.splitter.is_between_events)
+        self.assertFalse(self.splitter.is_at_event_boundary)
         events = self.splitter.feed(b'ta: b\n\n')
         self.assertEqual(b'id: 2\ndata: b\n\n', events[0].content)
-        self.assertTrue(self.splitter.is_between_events)
+        self.assertTrue(self.splitter.is_at_event_boundary)
 
     def test_several_events_in_one_piece(self) -> None:
         events = self.splitter.feed(b'id:1\n\nid:2\r\n\r\ndata: x\n\n')
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -7,7 +7,7 @@
 
 from dandelionyoke_core import Metrics
 from dandelionyoke_gateway import DescriptorSink
-from dandelionyoke_gateway._log import LINES_A_SECOND, DecisionLog
+from dandelionyoke_gateway._log import MAX_LINES_PER_S, DecisionLog
 
 
 class DecisionLogTest(testtools.TestCase):
@@ -43,11 +43,11 @@
         self.assertGreater(last['left_out'], 0)
 
     def test_a_storm_is_bounded_and_counted(self) -> None:
-        for _ in range(LINES_A_SECOND * 3):
+        for _ in range(MAX_LINES_PER_S * 3):
             self.log.decide('call.refused', 'a1')
         lines = self.read().splitlines()
-        self.assertLessEqual(len(lines), LINES_A_SECOND * 2)
+        self.assertLessEqual(len(lines), MAX_LINES_PER_S * 2)
         self.assertIn(
-            f'decisions_total{{label="call.refused"}} {LINES_A_SECOND * 3}',
+            f'decisions_total{{label="call.refused"}} {MAX_LINES_PER_S * 3}',
             self.metrics.text().decode(),
         )
--- a/tests/gateway/test_target_connection.py
+++ b/tests/gateway/test_target_connection.py
@@ -130,7 +130,7 @@
 
         connection = self.exchange(script)
         self.assertEqual(b'ok', self.body(connection))
-        self.assertFalse(connection.renew() and connection.is_quiet())
+        self.assertFalse(connection.prepare_reuse() and connection.is_healthy())
 
     def test_late_bytes_end_an_idle_connection(self) -> None:
         """The second answer comes only when the connection is idle."""
@@ -145,10 +145,10 @@
 
         connection = self.exchange(script)
         self.assertEqual(b'ok', self.body(connection))
-        self.assertTrue(connection.renew())
-        self.assertTrue(connection.is_quiet())
+        self.assertTrue(connection.prepare_reuse())
+        self.assertTrue(connection.is_healthy())
         eventlet.sleep(0.2)
-        self.assertFalse(connection.is_quiet())
+        self.assertFalse(connection.is_healthy())
 
     def test_an_early_answer_does_not_leave_half_a_body_behind(self) -> None:
         """A target answers before it has read a long body.
@@ -164,7 +164,7 @@
 
         connection = self.exchange(script)
         self.assertEqual(b'no', self.body(connection, b'x' * (16 << 20)))
-        self.assertFalse(connection.renew())
+        self.assertFalse(connection.prepare_reuse())
 
     def test_a_body_beyond_the_kernels_buffer_arrives_whole(self) -> None:
         """Guards against long requests that time out half sent."""
