--- a/packages/gateway/dandelionyoke_gateway/_caller_connection.py
+++ b/packages/gateway/dandelionyoke_gateway/_caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: requests in, one at a time, and their answers."""
+"""HTTP/1.1 server side of a connection: one request at a time."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -23,13 +23,14 @@
 )
 
 READ_BYTES = 65536
-# A caller that takes nothing of its answer for this long is gone.
+# A caller that reads nothing of its response for this long counts as
+# disconnected.
 WRITE_TIMEOUT_S = 10.0
 
 
 @attrs.frozen
 class CallerRequest:
-    """A whole request and when its first byte was read."""
+    """A complete request and the time when its head was read."""
 
     head: RequestHead
     body: bytes = attrs.field(repr=False)
@@ -37,62 +38,62 @@
 
 
 class Responder:
-    """Writes one answer."""
+    """Writes the response to one request."""
 
     def __init__(
-        self, parser: h11.Connection, sock: socket.socket, *, last: bool
+        self, parser: h11.Connection, sock: socket.socket, *, close_after: bool
     ) -> None:
         self._parser = parser
         self._sock = sock
-        self._last = last
+        self._close_after = close_after
         self.is_complete = False
         self.has_started = False
 
     def respond(self, head: ResponseHead, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         length = ('content-length', str(len(body)))
-        wire = self._head(head.status, (*head.headers, length))
+        data = self._encode_head(head.status, (*head.headers, length))
         if body:
-            wire += self._parser.send(h11.Data(data=body)) or b''
-        self._write(wire + (self._parser.send(h11.EndOfMessage()) or b''))
+            data += self._parser.send(h11.Data(data=body)) or b''
+        self._write(data + (self._parser.send(h11.EndOfMessage()) or b''))
         self.is_complete = True
 
     def start(self, head: ResponseHead) -> None:
-        """Begin an answer whose length is not known."""
-        self._write(self._head(head.status, head.headers))
+        """Write the head of a response of unknown length."""
+        self._write(self._encode_head(head.status, head.headers))
 
     def send_chunk(self, content: bytes) -> None:
-        """Write some of the answer's body."""
+        """Write a part of the response body."""
         self._write(self._parser.send(h11.Data(data=content)) or b'')
 
     def finish(self) -> None:
-        """Close a whole answer; without this it never looks whole."""
+        """End the response; the caller takes one that is not ended as cut."""
         self._write(self._parser.send(h11.EndOfMessage()) or b'')
         self.is_complete = True
 
-    def _head(self, status: int, headers: HeaderList) -> bytes:
+    def _encode_head(self, status: int, headers: HeaderList) -> bytes:
         self.has_started = True
         all_headers = list(headers)
-        if self._last:
+        if self._close_after:
             all_headers.append(('connection', 'close'))
-        wire = self._parser.send(
+        data = self._parser.send(
             h11.Response(status_code=status, headers=all_headers)
         )
-        return wire or b''
+        return data or b''
 
-    def _write(self, wire: bytes) -> None:
+    def _write(self, data: bytes) -> None:
         self._sock.settimeout(WRITE_TIMEOUT_S)
         try:
-            self._sock.sendall(wire)
-        except OSError as gone:
-            raise CallerDisconnectedError from gone
+            self._sock.sendall(data)
+        except OSError as error:
+            raise CallerDisconnectedError from error
 
 
 Handler = Callable[[CallerRequest, Responder], None]
 
 
 class CallerConnection:
-    """Reads requests, has each handled, and sees the caller leave."""
+    """Reads requests, runs their handler and detects a disconnected caller."""
 
     def __init__(
         self,
@@ -111,43 +112,46 @@
         self.is_idle = True
 
     def serve(self) -> None:
-        """Serve the connection to its end."""
+        """Serve requests until the connection closes."""
         try:
             while self._serve_one():
                 self._parser.start_next_cycle()
         except (CallerDisconnectedError, h11.LocalProtocolError):
-            # Nobody is there to be told.
+            # The caller is gone and cannot receive an error response.
             return
         finally:
             self._sock.close()
 
     def close_if_idle(self) -> None:
-        """Close a connection on which no request has begun."""
+        """Close the connection if no request has begun on it."""
         if self.is_idle:
             self._sock.shutdown(socket.SHUT_RDWR)
 
     def _serve_one(self) -> bool:
         try:
             request = self._read_request()
-        except InvalidRequestError as bad:
-            self._refuse(bad)
+        except InvalidRequestError as error:
+            self._refuse(error)
             return False
         if request is None:
             return False
-        responder = Responder(self._parser, self._sock, last=self._is_leaving())
+        responder = Responder(
+            self._parser, self._sock, close_after=self._is_leaving()
+        )
         self._handle(request, responder)
-        return responder.is_complete and self._can_go_on()
+        return responder.is_complete and self._can_be_reused()
 
-    def _can_go_on(self) -> bool:
+    def _can_be_reused(self) -> bool:
         self.is_idle = True
-        ends = (self._parser.our_state, self._parser.their_state)
-        return ends == (h11.DONE, h11.DONE)
+        states = (self._parser.our_state, self._parser.their_state)
+        return states == (h11.DONE, h11.DONE)
 
     def _handle(self, request: CallerRequest, responder: Responder) -> None:
-        # A caller that leaves must not leave an engine at work for nobody:
-        # the watcher ends the handler, which closes its connection there.
+        # An engine must not go on working for a caller that disconnected:
+        # the watcher kills the handler, which closes the connection to the
+        # engine.
         handler = eventlet.spawn(self._handler, request, responder)
-        watcher = eventlet.spawn(self._watch, handler)
+        watcher = eventlet.spawn(self._watch_for_disconnect, handler)
         try:
             handler.wait()
         except (eventlet.greenlet.GreenletExit, CallerDisconnectedError):
@@ -156,16 +160,16 @@
             watcher.kill()
             handler.kill()
 
-    def _watch(self, handler: Any) -> None:
+    def _watch_for_disconnect(self, handler: Any) -> None:
         self._sock.settimeout(None)
         try:
-            first = self._sock.recv(1, socket.MSG_PEEK)
+            peeked = self._sock.recv(1, socket.MSG_PEEK)
         except OSError:
-            first = b''
-        if not first:
+            peeked = b''
+        if not peeked:
             handler.kill()
 
-    # Reading.
+    # Reading of requests.
 
     def _read_request(self) -> CallerRequest | None:
         head = self._read_head()
@@ -181,72 +185,79 @@
         return CallerRequest(request_head, self._read_body(), arrived_s)
 
     def _read_head(self) -> h11.Request | None:
-        """Wait for a request; None when the caller is done."""
-        until_s = clock_s() + self._limits.idle_timeout_s
+        """Wait for the head of a request; None when the caller closes."""
+        deadline_s = clock_s() + self._limits.idle_timeout_s
         has_begun = bool(self._parser.trailing_data[0])
         while True:
-            event = self._event()
+            event = self._next_event()
             if isinstance(event, h11.Request):
                 self.is_idle = False
                 return event
             if event is not h11.NEED_DATA:
                 return None
-            if not self._receive(until_s, 'the head', silent=not has_begun):
+            if not self._receive(deadline_s, 'the head', is_idle=not has_begun):
                 return None
             if not has_begun:
                 has_begun = True
                 self.is_idle = False
-                until_s = clock_s() + self._limits.header_timeout_s
+                deadline_s = clock_s() + self._limits.header_timeout_s
 
     def _read_body(self) -> bytes:
-        self._go_ahead()
-        pieces: list[bytes] = []
+        self._send_continue()
+        chunks: list[bytes] = []
         size = 0
         while True:
-            event = self._event()
+            event = self._next_event()
             if isinstance(event, h11.EndOfMessage):
-                return b''.join(pieces)
+                return b''.join(chunks)
             if isinstance(event, h11.Data):
-                pieces.append(bytes(event.data))
+                chunks.append(bytes(event.data))
                 size += len(event.data)
                 self._check_size(size)
             elif event is h11.NEED_DATA:
-                until_s = clock_s() + self._limits.idle_timeout_s
-                self._receive(until_s, 'the body', silent=False)
+                deadline_s = clock_s() + self._limits.idle_timeout_s
+                self._receive(deadline_s, 'the body', is_idle=False)
             else:
                 raise CallerDisconnectedError
 
-    def _event(self) -> Any:
+    def _next_event(self) -> Any:
         try:
             return self._parser.next_event()
-        except h11.RemoteProtocolError as bad:
-            raise InvalidRequestError(str(bad), bad.error_status_hint) from bad
+        except h11.RemoteProtocolError as error:
+            raise InvalidRequestError(
+                str(error), error.error_status_hint
+            ) from error
+
+    def _receive(self, deadline_s: float, part: str, *, is_idle: bool) -> bool:
+        """Read some bytes; False if an idle caller sent none.
 
-    def _receive(self, until_s: float, what: str, *, silent: bool) -> bool:
-        """Read some bytes; False if an idle caller sent none."""
-        self._sock.settimeout(max(0.001, until_s - clock_s()))
+        Raises:
+            InvalidRequestError: the bytes were not received in time.
+            CallerDisconnectedError: the connection ended within a request.
+        """
+        self._sock.settimeout(max(0.001, deadline_s - clock_s()))
         try:
             content = self._sock.recv(READ_BYTES)
-        except TimeoutError as slow:
-            if silent:
+        except TimeoutError as error:
+            if is_idle:
                 return False
             raise InvalidRequestError(
-                f'{what} of the request did not come in time',
+                f'{part} of the request was not received in time',
                 HTTPStatus.REQUEST_TIMEOUT,
-            ) from slow
-        except OSError as gone:
-            raise CallerDisconnectedError from gone
-        if not content and not silent:
+            ) from error
+        except OSError as error:
+            raise CallerDisconnectedError from error
+        if not content and not is_idle:
             raise CallerDisconnectedError
         self._parser.receive_data(content)
         return bool(content)
 
-    def _go_ahead(self) -> None:
+    def _send_continue(self) -> None:
         if self._parser.they_are_waiting_for_100_continue:
-            wire = self._parser.send(
+            data = self._parser.send(
                 h11.InformationalResponse(status_code=100, headers=[])
             )
-            self._sock.sendall(wire)
+            self._sock.sendall(data)
 
     def _check_length(self, head: RequestHead) -> None:
         length = head.header('content-length')
@@ -256,15 +267,15 @@
     def _check_size(self, size: int) -> None:
         if size > self._limits.max_body_bytes:
             raise InvalidRequestError(
-                f'the body is over {self._limits.max_body_bytes} bytes',
+                f'the body is larger than {self._limits.max_body_bytes} bytes',
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             )
 
-    def _refuse(self, bad: InvalidRequestError) -> None:
-        """Tell a caller what is wrong with its bytes, then close."""
+    def _refuse(self, error: InvalidRequestError) -> None:
+        """Respond with the error of an invalid request, then close."""
         if self._parser.our_state not in {h11.IDLE, h11.SEND_RESPONSE}:
             return
-        responder = Responder(self._parser, self._sock, last=True)
-        text = f'{bad.cause}\n'.encode()
-        kind = ('content-type', 'text/plain; charset=utf-8')
-        responder.respond(ResponseHead(bad.status, (kind,)), text)
+        responder = Responder(self._parser, self._sock, close_after=True)
+        body = f'{error.cause}\n'.encode()
+        content_type = ('content-type', 'text/plain; charset=utf-8')
+        responder.respond(ResponseHead(error.status, (content_type,)), body)
--- a/packages/gateway/dandelionyoke_gateway/_errors.py
+++ b/packages/gateway/dandelionyoke_gateway/_errors.py
@@ -1,11 +1,11 @@
-"""How an exchange with a target or the store fails."""
+"""Errors of exchanges with targets, the store and callers."""
 
 
 class ExchangeError(Exception):
-    """No whole answer came.
+    """No complete response was received.
 
-    `sent` is False only if no byte of the request left, so that it surely
-    did not run.
+    `sent` is False only if no byte of the request was sent, so that it
+    certainly did not run.
     """
 
     def __init__(self, cause: str, *, sent: bool) -> None:
@@ -15,7 +15,7 @@
 
 
 class ExchangeTimeoutError(ExchangeError):
-    """The time for the exchange was over before the answer was whole."""
+    """The deadline passed before the response was complete."""
 
 
 class AddressError(Exception):
@@ -23,13 +23,13 @@
 
     def __init__(self, address: str, cause: OSError) -> None:
         super().__init__(
-            f'Cannot listen on {address}: {cause.strerror}. End the process '
-            'that holds the address, or name another one in the settings.'
+            f'Cannot listen on {address}: {cause.strerror}. Stop the process '
+            'that uses the address, or set another one in the settings.'
         )
 
 
 class InvalidRequestError(Exception):
-    """A caller's bytes are no proper request; `status` says how it is told."""
+    """A caller sent an invalid request; `status` is the response status."""
 
     def __init__(self, cause: str, status: int) -> None:
         super().__init__(cause)
@@ -38,4 +38,4 @@
 
 
 class CallerDisconnectedError(Exception):
-    """The caller's connection ended."""
+    """The caller closed its connection, or it broke."""
--- a/packages/gateway/dandelionyoke_gateway/_target_connection.py
+++ b/packages/gateway/dandelionyoke_gateway/_target_connection.py
@@ -1,8 +1,8 @@
-"""One connection to a target or the store, one exchange at a time.
+"""HTTP/1.1 client connection to a target or the store.
 
-h11 stands in for urllib3 here: it shows bytes that came after a whole answer
-and takes an answer that begins before the request was sent; urllib3 hides
-both, and a later request would get another one's bytes.
+It uses h11 instead of urllib3, because h11 exposes bytes after a complete
+response and accepts a response that begins before the request is sent.
+urllib3 hides both, and a later request could receive the bytes of another one.
 """
 
 from typing import Any
@@ -24,18 +24,22 @@
 READ_BYTES = 65536
 MAX_HEAD_BYTES = 65536
 
-# A target closes an idle connection after a time that it may tell. Without
-# it, a connection is not trusted for longer than this: a request that
-# crosses the close may have run, and one that must not run twice is lost.
+# A target closes idle connections after a timeout, which it may announce.
+# Without an announcement an idle connection is not reused after this time: a
+# request sent while the target closes it may have run, so that a call that
+# must not run twice would be lost.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-# A request has to arrive before the target's own time is over.
+# A request must arrive before the idle timeout of the target ends.
 IDLE_TIMEOUT_MARGIN_S = 0.5
 
 _BODILESS = frozenset(('GET', 'HEAD', 'DELETE', 'OPTIONS'))
 
 
 class TargetConnection:
-    """A socket, its parser and how long it may still be used."""
+    """A socket, its parser and the deadline for its reuse.
+
+    One exchange at a time.
+    """
 
     def __init__(self, address: str, sock: socket.socket) -> None:
         self.address = address
@@ -43,86 +47,91 @@
         self._parser = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        self._sender: GreenThread | None = None
-        self._idle_s = DEFAULT_IDLE_TIMEOUT_S
-        self._may_stay = True
+        self._send_task: GreenThread | None = None
+        self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
+        self._is_reusable = True
         self._is_closed = False
         self.idle_deadline_s = 0.0
 
     def send(self, head: RequestHead, body: bytes) -> None:
-        """Send a request; its rest goes out while the answer is awaited.
+        """Send a request; its rest is sent in the background.
 
         Raises:
-            ExchangeError: nothing could be sent.
+            ExchangeError: the first write failed.
         """
-        wire = _request_bytes(self._parser, head, body)
+        data = _request_bytes(self._parser, head, body)
         try:
-            done = _send_some(self._sock, wire)
-        except OSError as broken:
-            raise ExchangeError(f'cannot send: {broken}', sent=True) from broken
-        if done < len(wire):
-            self._sender = eventlet.spawn(self._send_rest, wire[done:])
+            sent_count = _send_some(self._sock, data)
+        except OSError as error:
+            raise ExchangeError(f'cannot send: {error}', sent=True) from error
+        if sent_count < len(data):
+            self._send_task = eventlet.spawn(self._send_rest, data[sent_count:])
 
-    def read_head(self, until_s: float) -> ResponseHead:
-        """Read the head of the answer.
+    def read_head(self, deadline_s: float) -> ResponseHead:
+        """Read the head of the response.
 
         Raises:
-            ExchangeError: the answer broke off or is not HTTP.
+            ExchangeError: the response was cut off or is not HTTP.
         """
-        event = self._next_event(until_s)
+        event = self._next_event(deadline_s)
         while isinstance(event, h11.InformationalResponse):
-            event = self._next_event(until_s)
+            event = self._next_event(deadline_s)
         if not isinstance(event, h11.Response):
-            raise ExchangeError('the answer has no head', sent=True)
+            raise ExchangeError('the response has no head', sent=True)
         head = ResponseHead(event.status_code, decode_headers(event.headers))
-        self._note_keep_alive(head)
+        self._record_keep_alive(head)
         return head
 
-    def read_chunk(self, until_s: float) -> bytes | None:
-        """Read some of the answer's body; None at its proper end.
+    def read_chunk(self, deadline_s: float) -> bytes | None:
+        """Read a part of the response body; None at its regular end.
 
         Raises:
-            ExchangeError: the answer broke off.
+            ExchangeError: the response was cut off.
         """
         while True:
-            event = self._next_event(until_s)
+            event = self._next_event(deadline_s)
             if isinstance(event, h11.Data):
                 return bytes(event.data)
             if isinstance(event, h11.EndOfMessage):
                 return None
-            raise ExchangeError('the answer broke off', sent=True)
+            raise ExchangeError('the response was cut off', sent=True)
+
+    def read_body(self, deadline_s: float, max_bytes: int) -> bytes:
+        """Read the rest of the response body.
 
-    def read_body(self, until_s: float, most_bytes: int) -> bytes:
-        """Read the whole rest of the answer."""
-        pieces: list[bytes] = []
+        Raises:
+            ExchangeError: the response was cut off or exceeds `max_bytes`.
+        """
+        chunks: list[bytes] = []
         size = 0
-        while (piece := self.read_chunk(until_s)) is not None:
-            pieces.append(piece)
-            size += len(piece)
-            if size > most_bytes:
-                raise ExchangeError('the answer is too large', sent=True)
-        return b''.join(pieces)
+        while (chunk := self.read_chunk(deadline_s)) is not None:
+            chunks.append(chunk)
+            size += len(chunk)
+            if size > max_bytes:
+                raise ExchangeError('the response is too large', sent=True)
+        return b''.join(chunks)
 
     def prepare_reuse(self) -> bool:
-        """Make ready for another request; False if it must be closed.
+        """Prepare for the next request; False if that is not possible.
 
-        Bytes behind a whole answer belong to nobody. Left in place they
-        would be taken for the answer to the next caller's request.
+        Bytes after a complete response belong to no request. If the
+        connection were reused, they would be taken for the response to the
+        request of the next caller.
         """
         rest, _ = self._parser.trailing_data
-        is_sent = self._sender is None or self._sender.dead
-        if rest or not is_sent or not self._may_stay:
+        is_sent = self._send_task is None or self._send_task.dead
+        if rest or not is_sent or not self._is_reusable:
             return False
         try:
             self._parser.start_next_cycle()
         except h11.ProtocolError:
             return False
-        self._sender = None
-        self.idle_deadline_s = clock_s() + self._idle_s
+        self._send_task = None
+        self.idle_deadline_s = clock_s() + self._idle_timeout_s
         return True
 
     def is_healthy(self) -> bool:
-        """Whether neither bytes nor an end have come while it was idle."""
+        """Whether an idle connection is open, not expired and has no input."""
         if clock_s() >= self.idle_deadline_s:
             return False
         self._sock.settimeout(0)
@@ -135,59 +144,61 @@
         return False
 
     def close(self) -> None:
-        """Reset the connection; what has not arrived yet never will."""
+        """Reset the connection, so that unsent bytes are never delivered."""
         if self._is_closed:
             return
         self._is_closed = True
-        if self._sender is not None:
-            self._sender.kill()
+        if self._send_task is not None:
+            self._send_task.kill()
         self._sock.close()
 
     def _send_rest(self, rest: bytes) -> None:
-        # The first piece went out without waiting; the rest has to wait for
-        # room in the kernel. The connection's close ends it.
+        # The first part was sent without blocking; the rest waits for space in
+        # the send buffer. Closing the connection ends this.
         self._sock.settimeout(None)
         try:
             self._sock.sendall(rest)
         except OSError:
-            # The reader sees the broken connection too, and tells its caller.
-            self._may_stay = False
+            # Reading the response fails as well and reports the error.
+            self._is_reusable = False
 
-    def _next_event(self, until_s: float) -> Any:
+    def _next_event(self, deadline_s: float) -> Any:
         while True:
             try:
                 event = self._parser.next_event()
-            except h11.RemoteProtocolError as bad:
-                cause = f'the answer is not HTTP: {bad}'
-                raise ExchangeError(cause, sent=True) from bad
+            except h11.RemoteProtocolError as error:
+                cause = f'the response is not HTTP: {error}'
+                raise ExchangeError(cause, sent=True) from error
             if event is not h11.NEED_DATA:
                 return event
-            self._receive(until_s)
+            self._receive(deadline_s)
 
-    def _receive(self, until_s: float) -> None:
-        left_s = until_s - clock_s()
-        if left_s <= 0:
-            raise ExchangeTimeoutError('no answer in time', sent=True)
+    def _receive(self, deadline_s: float) -> None:
+        remaining_s = deadline_s - clock_s()
+        if remaining_s <= 0:
+            raise ExchangeTimeoutError('no response in time', sent=True)
         try:
-            self._parser.receive_data(receive(self._sock, READ_BYTES, left_s))
-        except TimeoutError as late:
+            self._parser.receive_data(
+                receive(self._sock, READ_BYTES, remaining_s)
+            )
+        except TimeoutError as error:
             raise ExchangeTimeoutError(
-                _timeout_cause(late), sent=True
-            ) from late
-        except OSError as broken:
-            raise ExchangeError(f'{broken}', sent=True) from broken
+                _timeout_cause(error), sent=True
+            ) from error
+        except OSError as error:
+            raise ExchangeError(f'{error}', sent=True) from error
 
-    def _note_keep_alive(self, head: ResponseHead) -> None:
+    def _record_keep_alive(self, head: ResponseHead) -> None:
         if 'close' in (head.header('connection') or '').lower():
-            self._may_stay = False
-        self._idle_s = _idle_time_s(head.header('keep-alive'))
+            self._is_reusable = False
+        self._idle_timeout_s = _parse_idle_timeout_s(head.header('keep-alive'))
 
 
 def connect(address: str, timeout_s: float) -> TargetConnection:
     """Open a connection.
 
     Raises:
-        ExchangeError: the target took no connection in time.
+        ExchangeError: the connection failed or timed out.
     """
     host, _, port = address.rpartition(':')
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -196,12 +207,12 @@
     sock.settimeout(timeout_s)
     try:
         sock.connect((host, int(port)))
-    except OSError as broken:
+    except OSError as error:
         sock.close()
-        cause = f'cannot connect: {broken}'
-        raise ExchangeError(cause, sent=False) from broken
+        cause = f'cannot connect: {error}'
+        raise ExchangeError(cause, sent=False) from error
     except BaseException:
-        # The caller left while this waited.
+        # For example, the caller disconnected and this task was killed.
         sock.close()
         raise
     return TargetConnection(address, sock)
@@ -213,36 +224,36 @@
     headers = list(head.headers)
     if body or head.method not in _BODILESS:
         headers.append(('content-length', str(len(body))))
-    wire = parser.send(
+    data = parser.send(
         h11.Request(method=head.method, target=head.target, headers=headers)
     )
     if body:
-        wire += parser.send(h11.Data(data=body))
-    return bytes(wire + parser.send(h11.EndOfMessage()))
+        data += parser.send(h11.Data(data=body))
+    return bytes(data + parser.send(h11.EndOfMessage()))
 
 
-def _send_some(sock: socket.socket, wire: bytes) -> int:
-    """Send what the kernel takes at once."""
+def _send_some(sock: socket.socket, data: bytes) -> int:
+    """Send what fits into the send buffer; return the number of bytes."""
     sock.settimeout(0)
     try:
-        return int(sock.fd.send(wire))
+        return int(sock.fd.send(data))
     except BlockingIOError:
         return 0
 
 
-def _timeout_cause(late: TimeoutError) -> str:
-    """Tell the end of a call's own time from that of its connection.
+def _timeout_cause(error: TimeoutError) -> str:
+    """Distinguish the deadline of a call from a timeout of the kernel.
 
-    The kernel gives up a connection whose peer is out of reach. A reset after
-    that takes nothing back that was sent.
+    The kernel aborts a connection if its peer is unreachable. A reset after
+    that does not discard bytes that were already sent.
     """
-    if late.errno is None:
-        return 'no answer in time'
-    return f'the kernel gave the connection up: {late.strerror}'
+    if error.errno is None:
+        return 'no response in time'
+    return f'the kernel aborted the connection: {error.strerror}'
 
 
-def _idle_time_s(keep_alive: str | None) -> float:
-    """Read the idle time of a Keep-Alive header, less a margin."""
+def _parse_idle_timeout_s(keep_alive: str | None) -> float:
+    """Return the idle timeout of a Keep-Alive header, less a margin."""
     for parameter in (keep_alive or '').split(','):
         name, _, text = parameter.strip().partition('=')
         if name.lower() == 'timeout' and text.isdigit():
--- a/packages/gateway/dandelionyoke_gateway/_target_pool.py
+++ b/packages/gateway/dandelionyoke_gateway/_target_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to targets, kept because a new one costs a handshake."""
+"""Pool of idle connections to targets, which saves TCP handshakes."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -6,38 +6,38 @@
 
 from dandelionyoke_gateway._target_connection import TargetConnection, connect
 
-# A sound target takes a connection within a few milliseconds; one that does
-# not is left for another while the caller still has time.
+# A healthy target accepts a connection within a few milliseconds. After this
+# timeout the call still has time for another target.
 CONNECT_TIMEOUT_S = 0.8
-# More would hold a target's connections that other nodes need.
+# More would use up connections of a target that other nodes need.
 MAX_IDLE_PER_TARGET = 8
 
 
 class TargetPool:
-    """Lends connections; one whose exchange was not whole is closed."""
+    """Lends connections and closes those with an incomplete exchange."""
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[TargetConnection]] = {}
 
     @contextmanager
     def lend(self, address: str) -> Iterator[TargetConnection]:
-        """Lend a connection until its exchange ends."""
-        connection = self._take(address)
+        """Lend an idle or new connection for one exchange."""
+        connection = self._take_idle(address)
         if connection is None:
             connection = connect(address, CONNECT_TIMEOUT_S)
-        is_whole = False
+        is_complete = False
         try:
             yield connection
-            is_whole = True
+            is_complete = True
         finally:
-            self._give_back(connection, is_whole)
+            self._release(connection, is_complete)
 
     @contextmanager
     def lend_new(self, address: str) -> Iterator[TargetConnection]:
-        """Make a connection for one exchange.
+        """Open a new connection for one exchange.
 
-        An idle one may lie behind a partition that nobody has noticed yet,
-        and would hold back what is sent until the partition heals.
+        An idle connection may be cut off by an undetected network partition.
+        What is sent on it would then arrive only after the partition ends.
         """
         connection = connect(address, CONNECT_TIMEOUT_S)
         try:
@@ -50,7 +50,7 @@
         for connection in self._idle.pop(address, ()):
             connection.close()
 
-    def _take(self, address: str) -> TargetConnection | None:
+    def _take_idle(self, address: str) -> TargetConnection | None:
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
@@ -59,10 +59,10 @@
             connection.close()
         return None
 
-    def _give_back(self, connection: TargetConnection, is_whole: bool) -> None:
+    def _release(self, connection: TargetConnection, is_complete: bool) -> None:
         idle = self._idle.setdefault(connection.address, deque())
         if (
-            is_whole
+            is_complete
             and len(idle) < MAX_IDLE_PER_TARGET
             and connection.prepare_reuse()
         ):
--- a/tests/gateway/test_target_connection.py
+++ b/tests/gateway/test_target_connection.py
@@ -188,7 +188,7 @@
         error = self.assertRaises(
             ExchangeError, connection.read_head, clock_s() + 0.1
         )
-        self.assertEqual('no answer in time', error.cause)
+        self.assertEqual('no response in time', error.cause)
 
     def test_a_connection_that_the_kernel_gave_up_is_told_apart(self) -> None:
         """Guards against late orders whose log does not tell what ended them."""
@@ -197,7 +197,7 @@
             ExchangeError, connection.read_head, clock_s() + WAIT_S
         )
         self.assertEqual(
-            'the kernel gave the connection up: Connection timed out',
+            'the kernel aborted the connection: Connection timed out',
             error.cause,
         )
 
