--- a/packages/gateway/dandelionyoke_gateway/_json_fields.py
+++ b/packages/gateway/dandelionyoke_gateway/_json_fields.py
@@ -1,4 +1,4 @@
-"""Reading mappings that may come from any writer."""
+"""Validated access to the fields of untrusted JSON objects."""
 
 import json
 from collections.abc import Mapping
@@ -8,49 +8,49 @@
 
 
 class ShapeError(ValueError):
-    """A field is missing or of another type."""
+    """A field is missing or has the wrong type."""
 
 
 def mapping_of(text: str | bytes) -> Fields:
-    """Read a JSON object."""
+    """Parse a JSON object."""
     try:
-        found = json.loads(text)
-    except ValueError as bad:
-        raise ShapeError('not JSON') from bad
-    if not isinstance(found, dict):
-        raise ShapeError('not an object')
-    return found
+        value = json.loads(text)
+    except ValueError as error:
+        raise ShapeError('not valid JSON') from error
+    if not isinstance(value, dict):
+        raise ShapeError('not a JSON object')
+    return value
 
 
 def text_of(fields: Fields, name: str) -> str:
-    """Read a text that must be there and not empty."""
-    found = fields.get(name)
-    if not isinstance(found, str) or not found:
-        raise ShapeError(f'{name} is no text')
-    return found
+    """Return a required, non-empty string."""
+    value = fields.get(name)
+    if not isinstance(value, str) or not value:
+        raise ShapeError(f'{name} is not a non-empty string')
+    return value
 
 
 def number_of(fields: Fields, name: str, default: float | None = None) -> float:
-    """Read a number."""
-    found = fields.get(name, default)
-    if isinstance(found, bool) or not isinstance(found, int | float):
-        raise ShapeError(f'{name} is no number')
-    return found
+    """Return a number, or the default if the field is missing."""
+    value = fields.get(name, default)
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise ShapeError(f'{name} is not a number')
+    return value
 
 
 def whole_of(fields: Fields, name: str, default: int | None = None) -> int:
-    """Read a whole number."""
-    found = fields.get(name, default)
-    if isinstance(found, bool) or not isinstance(found, int):
-        raise ShapeError(f'{name} is no whole number')
-    return found
+    """Return an integer, or the default if the field is missing."""
+    value = fields.get(name, default)
+    if isinstance(value, bool) or not isinstance(value, int):
+        raise ShapeError(f'{name} is not an integer')
+    return value
 
 
 def objects_of(fields: Fields, name: str) -> list[Fields]:
-    """Read a list of objects; a missing one is empty."""
-    found = fields.get(name) or []
-    if not isinstance(found, list):
-        raise ShapeError(f'{name} is no list')
-    if not all(isinstance(one, dict) for one in found):
-        raise ShapeError(f'{name} holds something else than objects')
-    return found
+    """Return a list of objects; a missing field is an empty list."""
+    value = fields.get(name) or []
+    if not isinstance(value, list):
+        raise ShapeError(f'{name} is not a list')
+    if not all(isinstance(item, dict) for item in value):
+        raise ShapeError(f'{name} contains an item that is not an object')
+    return value
--- a/packages/gateway/dandelionyoke_gateway/_messages.py
+++ b/packages/gateway/dandelionyoke_gateway/_messages.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages, as both sides of the gateway see them."""
+"""Heads of HTTP requests and responses, and the handling of headers."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -7,7 +7,7 @@
 
 HeaderList = tuple[tuple[str, str], ...]
 
-# These belong to one connection and are never passed on.
+# Headers of a single connection, which are never forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
@@ -27,59 +27,65 @@
 
 @attrs.frozen
 class RequestHead:
-    """A request without its body; names of headers are in lower case."""
+    """The method, target and headers of a request.
+
+    Header names are in lower case.
+    """
 
     method: str
     target: str
     headers: HeaderList
 
     def header(self, name: str) -> str | None:
-        """Read a header; None if it is absent or stands more than once."""
+        """Return a header; None if it is absent or occurs more than once."""
         return find_header(self.headers, name)
 
 
 @attrs.frozen
 class ResponseHead:
-    """An answer without its body; names of headers are in lower case."""
+    """The status and headers of a response.
+
+    Header names are in lower case.
+    """
 
     status: int
     headers: HeaderList
 
     @property
     def is_success(self) -> bool:
-        """Whether the status is one of success."""
+        """Whether the status is 2xx."""
         return HTTPStatus.OK <= self.status < HTTPStatus.MULTIPLE_CHOICES
 
     def header(self, name: str) -> str | None:
-        """Read a header; None if it is absent or stands more than once."""
+        """Return a header; None if it is absent or occurs more than once."""
         return find_header(self.headers, name)
 
 
 def find_header(headers: HeaderList, name: str) -> str | None:
-    """Read a header that may stand once."""
-    found = [text for known, text in headers if known == name]
-    return found[0] if len(found) == 1 else None
+    """Return a header; None if it is absent or occurs more than once."""
+    values = [value for header_name, value in headers if header_name == name]
+    return values[0] if len(values) == 1 else None
 
 
 def without_connection_headers(headers: HeaderList) -> HeaderList:
-    """Drop what concerns one connection, and what it names besides."""
-    named = {
+    """Drop hop-by-hop headers and those that `Connection` lists."""
+    listed = {
         token.strip().lower()
-        for name, text in headers
+        for name, value in headers
         if name == 'connection'
-        for token in text.split(',')
+        for token in value.split(',')
     }
     return tuple(
-        (name, text)
-        for name, text in headers
-        if name not in HOP_BY_HOP_HEADERS and name not in named
+        (name, value)
+        for name, value in headers
+        if name not in HOP_BY_HOP_HEADERS and name not in listed
     )
 
 
 def decode_headers(
     raw: Sequence[tuple[bytes, bytes]],
 ) -> HeaderList:
-    """Turn the parser's headers into text."""
+    """Decode the headers of the parser from Latin-1."""
     return tuple(
-        (name.decode('latin-1'), text.decode('latin-1')) for name, text in raw
+        (name.decode('latin-1'), value.decode('latin-1')) for name, value in raw
     )
--- a/packages/gateway/dandelionyoke_gateway/_settings.py
+++ b/packages/gateway/dandelionyoke_gateway/_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a gateway, checked as a whole."""
+"""Settings of the gateway, read from INI text and validated."""
 
 import configparser
 from collections.abc import Callable, Mapping
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Endpoint:
-    """An address and port to listen on."""
+    """A host and port to listen on."""
 
     host: str
     port: int
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class GatewaySettings:
-    """All settings of a gateway."""
+    """The settings of a gateway process; names ending in `_s` are seconds."""
 
     instance_id: str
     domain: str
@@ -42,11 +42,11 @@
     duty_turn_s: float
     usage_window_s: float
     usage_late_s: float
-    # How many processors there are, and the share of each that is its own.
+    # The number of processors, and the share of each that this process gets.
     processors: float = 1.0
     processor_share: float = 1.0
-    # Over each window an organisation may use this much beyond its limit, as
-    # a share of it and in the units of the limit; 0 where nobody says.
+    # In each window an organisation may exceed its limit by a share of it,
+    # and by an absolute slack in the units of the limit. Both default to 0.
     limit_window_s: float = 0.0
     limit_overrun_share: float = 0.0
     limit_slack: float = 0.0
@@ -56,103 +56,107 @@
     """Read the settings from INI text.
 
     Raises:
-        SettingsError: with every mistake in one report.
+        SettingsError: the message lists all errors in the settings.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
-    except configparser.Error as bad:
+    except configparser.Error as error:
         raise SettingsError(
-            f'The settings are not INI: {bad.message}',
-            'Write [section] lines and option = value lines',
-        ) from bad
-    mistakes: list[str] = []
+            f'The settings are not valid INI: {error.message}',
+            'Use [section] lines and option = value lines',
+        ) from error
+    errors: list[str] = []
     values: dict[str, Any] = {}
-    for field, (section, option, check) in _OPTIONS.items():
+    for field, (section, option, parse) in _OPTIONS.items():
         raw = parser.get(section, option, fallback='')
         try:
-            values[field] = check(raw)
-        except ValueError as bad:
-            mistakes.append(f'[{section}] {option} = {raw!r}: {bad}')
-    if mistakes:
-        raise SettingsError('\n'.join(mistakes), 'Mend the settings file')
+            values[field] = parse(raw)
+        except ValueError as error:
+            errors.append(f'[{section}] {option} = {raw!r}: {error}')
+    if errors:
+        raise SettingsError('\n'.join(errors), 'Fix the settings file')
     return GatewaySettings(**values)
 
 
-def _name(raw: str) -> str:
+def _parse_name(raw: str) -> str:
     if not raw:
-        raise ValueError('a name is missing')
+        raise ValueError('must not be empty')
     return raw
 
 
-def _endpoint(raw: str) -> Endpoint:
+def _parse_endpoint(raw: str) -> Endpoint:
     host, _, port = raw.rpartition(':')
     if not host or not port.isdigit() or int(port) > MAX_PORT:
-        raise ValueError('write it as address:port')
+        raise ValueError('must have the form address:port')
     return Endpoint(host, int(port))
 
 
-def _address(raw: str) -> str:
-    _endpoint(raw)
+def _parse_address(raw: str) -> str:
+    _parse_endpoint(raw)
     return raw
 
 
-def _optional_address(raw: str) -> str | None:
-    return _address(raw) if raw else None
+def _parse_optional_address(raw: str) -> str | None:
+    return _parse_address(raw) if raw else None
 
 
-def _number(raw: str) -> float:
+def _parse_number(raw: str) -> float:
     try:
         number = float(raw)
     except ValueError:
-        raise ValueError('write a number') from None
+        raise ValueError('must be a number') from None
     if number < 0:
-        raise ValueError('it must not be negative')
+        raise ValueError('must not be negative')
     return number
 
 
-def _number_or_one(raw: str) -> float:
-    return _number(raw) if raw else 1.0
+def _parse_number_or_one(raw: str) -> float:
+    return _parse_number(raw) if raw else 1.0
 
 
-def _number_or_zero(raw: str) -> float:
-    return _number(raw) if raw else 0.0
+def _parse_number_or_zero(raw: str) -> float:
+    return _parse_number(raw) if raw else 0.0
 
 
-def _milliseconds(raw: str) -> float:
-    return _number(raw) / 1000
+def _parse_milliseconds(raw: str) -> float:
+    return _parse_number(raw) / 1000
 
 
-def _count(raw: str) -> int:
-    return int(_number(raw))
+def _parse_count(raw: str) -> int:
+    return int(_parse_number(raw))
 
 
 _Option = tuple[str, str, Callable[[str], Any]]
 
 _OPTIONS: Mapping[str, _Option] = MappingProxyType(
     {
-        'instance_id': ('gateway', 'instance_id', _name),
-        'domain': ('gateway', 'domain', _name),
-        'callers': ('gateway', 'caller_address', _endpoint),
-        'health': ('gateway', 'health_address', _endpoint),
-        'metrics': ('gateway', 'metrics_address', _endpoint),
-        'peers': ('gateway', 'peer_address', _endpoint),
-        'processors': ('gateway', 'processors', _number_or_one),
-        'processor_share': ('gateway', 'processor_share', _number_or_one),
-        'store_address': ('store', 'address', _address),
-        'duty_address': ('duties', 'address', _optional_address),
-        'revocation_s': ('bounds', 'revocation_ms', _milliseconds),
-        'drain_s': ('bounds', 'drain_ms', _milliseconds),
-        'apply_s': ('bounds', 'apply_ms', _milliseconds),
-        'grace_s': ('bounds', 'grace_s', _number),
-        'retry_share': ('bounds', 'retry_share', _number),
-        'retry_extra': ('bounds', 'retry_extra', _count),
-        'retry_window_s': ('bounds', 'retry_window_s', _number),
-        'duty_turn_s': ('bounds', 'duty_turn_ms', _milliseconds),
-        'usage_window_s': ('bounds', 'usage_window_s', _number),
-        'usage_late_s': ('bounds', 'usage_late_s', _number),
-        'limit_window_s': ('limits', 'window_s', _number_or_zero),
-        'limit_overrun_share': ('limits', 'overrun_share', _number_or_zero),
-        'limit_slack': ('limits', 'slack', _number_or_zero),
+        'instance_id': ('gateway', 'instance_id', _parse_name),
+        'domain': ('gateway', 'domain', _parse_name),
+        'callers': ('gateway', 'caller_address', _parse_endpoint),
+        'health': ('gateway', 'health_address', _parse_endpoint),
+        'metrics': ('gateway', 'metrics_address', _parse_endpoint),
+        'peers': ('gateway', 'peer_address', _parse_endpoint),
+        'processors': ('gateway', 'processors', _parse_number_or_one),
+        'processor_share': ('gateway', 'processor_share', _parse_number_or_one),
+        'store_address': ('store', 'address', _parse_address),
+        'duty_address': ('duties', 'address', _parse_optional_address),
+        'revocation_s': ('bounds', 'revocation_ms', _parse_milliseconds),
+        'drain_s': ('bounds', 'drain_ms', _parse_milliseconds),
+        'apply_s': ('bounds', 'apply_ms', _parse_milliseconds),
+        'grace_s': ('bounds', 'grace_s', _parse_number),
+        'retry_share': ('bounds', 'retry_share', _parse_number),
+        'retry_extra': ('bounds', 'retry_extra', _parse_count),
+        'retry_window_s': ('bounds', 'retry_window_s', _parse_number),
+        'duty_turn_s': ('bounds', 'duty_turn_ms', _parse_milliseconds),
+        'usage_window_s': ('bounds', 'usage_window_s', _parse_number),
+        'usage_late_s': ('bounds', 'usage_late_s', _parse_number),
+        'limit_window_s': ('limits', 'window_s', _parse_number_or_zero),
+        'limit_overrun_share': (
+            'limits',
+            'overrun_share',
+            _parse_number_or_zero,
+        ),
+        'limit_slack': ('limits', 'slack', _parse_number_or_zero),
     }
 )
