--- a/packages/gateway/dandelionyoke_gateway/_clock.py
+++ b/packages/gateway/dandelionyoke_gateway/_clock.py
@@ -1,14 +1,13 @@
-"""The clocks of a process."""
+"""The boot-time clock and the wall clock."""
 
 import time
 
 
 def clock_s() -> float:
-    """Read a clock that never jumps and runs on while a machine stands still.
+    """Read a monotonic clock that includes the time of a suspended machine.
 
-    The usual monotonic clock leaves out the time for which a machine was
-    suspended, so that a lease or a withdrawn key would seem younger than it
-    is and be trusted too long.
+    `CLOCK_MONOTONIC` leaves that time out, so that a lease or a revoked key
+    would seem younger than it is and be trusted for too long.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/packages/gateway/dandelionyoke_gateway/_event_stream.py
+++ b/packages/gateway/dandelionyoke_gateway/_event_stream.py
@@ -1,8 +1,8 @@
-"""A stream of events, cut at the ends of whole events.
+"""Splits a stream of server-sent events into complete events.
 
-A target may stop in the middle of an event. Half of one passed on, followed
-by the stream of another target, would be joined into an event that nobody
-sent.
+A target may fail in the middle of an event. If the first half were forwarded
+and followed by the stream of another target, the caller would join both into
+an event that no target sent.
 """
 
 import attrs
@@ -12,35 +12,35 @@
 
 @attrs.frozen
 class StreamEvent:
-    """The bytes of one event, its separator included, and its id if any."""
+    """The bytes of one event, with its separator, and its id if it has one."""
 
     content: bytes
     event_id: str | None
 
 
 class EventSplitter:
-    """Takes bytes as they come and gives whole events."""
+    """Buffers received bytes and returns the events that are complete."""
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._buffer = b''
 
     @property
     def is_at_event_boundary(self) -> bool:
-        """Whether all that came was whole."""
-        return not self._rest
+        """Whether no partial event is buffered."""
+        return not self._buffer
 
     def feed(self, content: bytes) -> list[StreamEvent]:
-        """Add bytes; list the events that are whole now."""
-        self._rest += content
-        found = []
-        while (end := _end_of_first(self._rest)) is not None:
-            whole = self._rest[:end]
-            self._rest = self._rest[end:]
-            found.append(StreamEvent(whole, _id_of(whole)))
-        return found
+        """Add received bytes; return the events that are complete now."""
+        self._buffer += content
+        events = []
+        while (end := _first_event_end(self._buffer)) is not None:
+            event = self._buffer[:end]
+            self._buffer = self._buffer[end:]
+            events.append(StreamEvent(event, _event_id(event)))
+        return events
 
 
-def _end_of_first(content: bytes) -> int | None:
+def _first_event_end(content: bytes) -> int | None:
     ends = [
         content.index(separator) + len(separator)
         for separator in EVENT_SEPARATORS
@@ -49,9 +49,9 @@
     return min(ends, default=None)
 
 
-def _id_of(event: bytes) -> str | None:
+def _event_id(event: bytes) -> str | None:
     for line in event.splitlines():
-        name, _, text = line.partition(b':')
+        name, _, event_id = line.partition(b':')
         if name == b'id':
-            return text.strip().decode('latin-1')
+            return event_id.strip().decode('latin-1')
     return None
--- a/packages/gateway/dandelionyoke_gateway/_log.py
+++ b/packages/gateway/dandelionyoke_gateway/_log.py
@@ -1,4 +1,4 @@
-"""Decisions as JSON lines, bounded so that logging never holds calls up."""
+"""Decision log in JSON lines, limited in rate and never blocking."""
 
 import json
 import os
@@ -9,47 +9,47 @@
 from dandelionyoke_core import CountMetric, Metrics, ObserveLatency
 from dandelionyoke_gateway._clock import clock_s
 
-# Several times what a node decides at the peak of its load; past it lines are
-# left out and counted, so that a storm of refusals costs no processor time.
+# Several times the decisions of a node at peak load. Lines beyond it are
+# dropped and counted, so that a burst of refusals costs little processor time.
 MAX_LINES_PER_S = 300
 
 
 class LineSink(Protocol):
-    """Takes lines without ever waiting."""
+    """Writes lines without blocking."""
 
     def write_line(self, line: bytes) -> None:
         """Write a line.
 
         Raises:
-            OSError: there is no room for it now, or nobody reads.
+            OSError: the buffer is full, or the reader has closed.
         """
 
 
 class DescriptorSink:
-    """Writes lines to a descriptor, such as standard output.
+    """Writes lines to a non-blocking descriptor, such as standard output.
 
-    A reader that stands still fills the pipe. Written in the usual way, the
-    next line would hold up every call of the process until it is read.
+    If the reader stops reading, the pipe fills up. A blocking write would
+    then block every call of the process until the pipe is read.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._rest = b''
+        self._unwritten = b''
         os.set_blocking(descriptor, False)
 
     def write_line(self, line: bytes) -> None:
-        """Write a line, after what is left of the one before."""
-        if self._rest:
-            written = os.write(self._descriptor, self._rest)
-            self._rest = self._rest[written:]
-        if self._rest:
+        """Write a line, after the unwritten rest of the previous one."""
+        if self._unwritten:
+            written = os.write(self._descriptor, self._unwritten)
+            self._unwritten = self._unwritten[written:]
+        if self._unwritten:
             raise BlockingIOError
         written = os.write(self._descriptor, line)
-        self._rest = line[written:]
+        self._unwritten = line[written:]
 
 
 class DecisionLog:
-    """Writes one line for each decision, at most so many a second."""
+    """Writes one line per decision, up to `MAX_LINES_PER_S`."""
 
     def __init__(
         self, sink: LineSink, instance_id: str, metrics: Metrics
@@ -57,9 +57,9 @@
         self._metrics = metrics
         self._sink = sink
         self._instance_id = instance_id
-        self._second = 0
-        self._written = 0
-        self._left_out = 0
+        self._current_second = 0
+        self._lines_in_second = 0
+        self._dropped_count = 0
         add_destinations(self._write)
 
     def decide(
@@ -70,50 +70,52 @@
         outcome: str = '',
         **inputs: str | float | None,
     ) -> None:
-        """Write a decision about a call or a belief, with its inputs.
+        """Log a decision about a call or this node's knowledge.
 
-        It is counted even where its line is left out.
+        `inputs` are the values that the decision is based on. The decision
+        is counted in the metrics even if its line is dropped.
         """
         self._metrics.count(CountMetric('decisions', label=decision))
-        if not self._has_room():
-            self._left_out += 1
+        if not self._is_within_rate():
+            self._dropped_count += 1
             return
-        left_out = self._left_out
-        self._left_out = 0
+        dropped_count = self._dropped_count
+        self._dropped_count = 0
         log_message(
             message_type=decision,
             instance_id=self._instance_id,
             subject=subject,
             outcome=outcome,
-            left_out=left_out,
+            left_out=dropped_count,
             **inputs,
         )
 
     def close(self) -> None:
-        """Write no more lines."""
+        """Stop writing lines."""
         remove_destination(self._write)
 
     def count(self, counted: CountMetric) -> None:
-        """Add to a counter; no line is written."""
+        """Increment a counter without writing a line."""
         self._metrics.count(counted)
 
     def observe(self, metric: str, elapsed_s: float) -> None:
-        """Record a duration in a histogram; no line is written."""
+        """Record a duration in a histogram without writing a line."""
         self._metrics.observe(ObserveLatency(metric, elapsed_s))
 
-    def _has_room(self) -> bool:
+    def _is_within_rate(self) -> bool:
         second = int(clock_s())
-        if second != self._second:
-            self._second = second
-            self._written = 0
-        self._written += 1
-        return self._written <= MAX_LINES_PER_S
+        if second != self._current_second:
+            self._current_second = second
+            self._lines_in_second = 0
+        self._lines_in_second += 1
+        return self._lines_in_second <= MAX_LINES_PER_S
 
     def _write(self, message: dict[str, object]) -> None:
         line = json.dumps(message, default=str) + '\n'
         try:
             self._sink.write_line(line.encode())
         except OSError:
-            # A reader that is gone or stands still must not stop the calls;
-            # the next line that gets through tells how many were left out.
-            self._left_out += int(str(message.get('left_out', 0))) + 1
+            # A reader that has closed or stopped reading must not block
+            # calls. The next line that is written tells how many lines were
+            # dropped.
+            self._dropped_count += int(str(message.get('left_out', 0))) + 1
