--- a/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
@@ -1,4 +1,4 @@
-"""Takes configurations, from the store or from another node."""
+"""Applies configurations from the store or from another node."""
 
 import zlib
 
@@ -9,7 +9,7 @@
 
 
 class ConfigurationKeeper:
-    """Puts the newest configuration in force, and never an older one."""
+    """Applies the newest configuration and never an older one."""
 
     def __init__(
         self, knowledge: Knowledge, dialect: Dialect, log: DecisionLog
@@ -19,7 +19,7 @@
         self._log = log
 
     def adopt(self, text: str, revision: int, source: str) -> None:
-        """Put a configuration in force if it is newer than the known one."""
+        """Apply a configuration if it is newer than the current one."""
         knowledge = self._knowledge
         if revision <= knowledge.configuration_revision:
             return
@@ -28,17 +28,17 @@
         knowledge.signal.notify()
         try:
             configuration = self._dialect.read_configuration(text)
-        except ConfigurationError as bad:
+        except ConfigurationError as error:
             self._log.decide(
                 'configuration.unreadable',
                 str(revision),
                 outcome='kept old',
-                cause=str(bad),
+                cause=str(error),
                 source=source,
             )
             return
-        known = knowledge.configuration
-        if known is not None and configuration.version <= known.version:
+        current = knowledge.configuration
+        if current is not None and configuration.version <= current.version:
             return
         knowledge.configuration = configuration
         knowledge.limiter.take_limits(configuration.rate_limits)
@@ -52,24 +52,25 @@
         )
 
     def adopt_packed(self, packed: bytes, revision: int, source: str) -> None:
-        """Put a configuration in force that another node sent."""
+        """Apply a compressed configuration that another node sent."""
         try:
             text = zlib.decompress(packed).decode()
-        except (zlib.error, UnicodeDecodeError) as bad:
+        except (zlib.error, UnicodeDecodeError) as error:
             self._log.decide(
                 'configuration.unreadable',
                 str(revision),
                 outcome='kept old',
-                cause=str(bad),
+                cause=str(error),
                 source=source,
             )
             return
         self.adopt(text, revision, source)
 
     def prove(self, revision: int, proven_s: float) -> bool:
-        """Take a proof that a revision was the newest at a moment.
+        """Record that a revision was the newest at the time `proven_s`.
 
-        It proves nothing of an older revision that is in force here.
+        Return False and record nothing if this node has another revision:
+        the proof says nothing about an older one.
         """
         if revision != self._knowledge.configuration_revision:
             return False
--- a/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
@@ -1,4 +1,4 @@
-"""Takes listings of the targets, from the store or from another node."""
+"""Applies lists of targets from the store or from another node."""
 
 from collections.abc import Iterable
 
@@ -11,21 +11,21 @@
 
 
 class RegistryKeeper:
-    """Keeps the registry and the log in step."""
+    """Updates the target registry and logs its changes."""
 
     def __init__(self, knowledge: Knowledge, log: DecisionLog) -> None:
         self._knowledge = knowledge
         self._log = log
-        self._known: frozenset[str] = frozenset()
-        self._told = knowledge.listing.mark
-        self._awaits_grace_end = False
+        self._usable_ids: frozenset[str] = frozenset()
+        self._announced_mark = knowledge.listing.mark
+        self._is_grace_end_scheduled = False
 
     def replace(
         self, targets: Iterable[RegisteredTarget], proven_s: float
     ) -> None:
-        """Take all targets as they were at a moment."""
+        """Replace all targets by those listed at the time `proven_s`."""
         self._knowledge.listing.replace(targets, proven_s)
-        self._adopt('store')
+        self._apply('store')
 
     def change(
         self,
@@ -33,18 +33,18 @@
         gone: Iterable[str],
         proven_s: float,
     ) -> None:
-        """Take the changes up to a moment."""
+        """Apply the changes up to the time `proven_s`."""
         self._knowledge.listing.change(changed, gone, proven_s)
-        self._adopt('store')
+        self._apply('store')
 
     def take_news(
         self, changes: ListingChanges, proven_s: float, peer_id: str
     ) -> bool:
-        """Take what another node tells; False if this one knows better.
+        """Apply changes that another node sent; False if they are stale.
 
-        An entry that did not change there since the last time is as this
-        node has it, or was read here later: so changes may be added to a
-        listing only where they are the newer of the two.
+        An entry that has not changed at the peer since its last message is
+        the same here, or was read here later. Therefore changes are only
+        applied to a listing that is not newer than they are.
         """
         listing = self._knowledge.listing
         if listing.proven_s is not None and proven_s < listing.proven_s:
@@ -53,48 +53,48 @@
             listing.replace(changes.changed, proven_s)
         else:
             listing.change(changes.changed, changes.gone, proven_s)
-        self._adopt(peer_id)
+        self._apply(peer_id)
         return True
 
     def failed(self) -> None:
-        """Note that no listing is to be had."""
+        """Record that the store returned no listing."""
         self._knowledge.registry.store_failed(clock_s())
 
-    def _adopt(self, source: str) -> None:
+    def _apply(self, source: str) -> None:
         listing = self._knowledge.listing
         targets = listing.targets
         self._knowledge.registry.replace(targets, clock_s())
-        self._await_grace_end()
-        if listing.mark != self._told:
-            self._told = listing.mark
+        self._schedule_grace_end()
+        if listing.mark != self._announced_mark:
+            self._announced_mark = listing.mark
             self._knowledge.signal.notify()
         usable = frozenset(
-            one.target_id for one in targets if not one.is_leaving
+            target.target_id for target in targets if not target.is_leaving
         )
-        if usable == self._known:
+        if usable == self._usable_ids:
             return
         self._log.decide(
             'registry.changed',
             'targets',
-            come=','.join(sorted(usable - self._known)),
-            gone=','.join(sorted(self._known - usable)),
+            come=','.join(sorted(usable - self._usable_ids)),
+            gone=','.join(sorted(self._usable_ids - usable)),
             source=source,
         )
-        self._known = usable
+        self._usable_ids = usable
         self._knowledge.forget_targets(usable)
 
-    def _await_grace_end(self) -> None:
-        """End the grace of missing targets on time.
+    def _schedule_grace_end(self) -> None:
+        """Schedule the end of the grace period of missing targets.
 
-        The next listing may come most of a second later, in which a target
-        that has left would still get work.
+        The next listing may arrive most of a second later, and a target that
+        has left would receive calls until then.
         """
-        left_s = self._knowledge.registry.grace_left_s(clock_s())
-        if left_s is not None and not self._awaits_grace_end:
-            self._awaits_grace_end = True
-            spawn_after(left_s, self._end_grace)
+        remaining_s = self._knowledge.registry.grace_left_s(clock_s())
+        if remaining_s is not None and not self._is_grace_end_scheduled:
+            self._is_grace_end_scheduled = True
+            spawn_after(remaining_s, self._end_grace)
 
     def _end_grace(self) -> None:
-        self._awaits_grace_end = False
+        self._is_grace_end_scheduled = False
         self._knowledge.registry.end_grace(clock_s())
-        self._await_grace_end()
+        self._schedule_grace_end()
--- a/packages/gateway/dandelionyoke_gateway/_store_follower.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_follower.py
@@ -1,4 +1,4 @@
-"""Follows the keys below a prefix of the store, over failures."""
+"""Watches the keys under a prefix of the store and recovers from failures."""
 
 from eventlet import sleep
 
@@ -13,16 +13,16 @@
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._ports import Store
 
-# The store forgets its history after a time, or at once; a watch that goes on
-# from older changes would fail where a listing does not.
+# The store may compact its history at any time. After a longer gap all keys
+# are listed again, as a watch from an old revision would fail.
 MAX_WATCH_GAP_S = 10.0
 
 
 class StoreFollower:
-    """Lists a prefix, then hears of its changes.
+    """Lists the keys under a prefix, then watches for changes.
 
-    After a failure a change may have been lost, or the history that a watch
-    would go on from is gone, so that all is listed again.
+    After a failure all keys are listed again, because a change may have been
+    lost, or the store may have compacted the revision to watch from.
     """
 
     def __init__(self, store: Store, prefix: str, back_off: BackOff) -> None:
@@ -30,36 +30,37 @@
         self._prefix = prefix
         self._back_off = back_off
         self._revision: int | None = None
-        self._answered_s = 0.0
-        # Whether the last listing held all keys and not only changes.
+        self._last_listing_s = 0.0
+        # Whether the last result lists all keys, not only the changed ones.
         self.was_whole = False
 
     def ask(self, watch_s: float) -> StoreResult:
-        """Wait for a listing; the caller pauses after anything else.
+        """Return the next listing, or the result of a failed operation.
 
-        A change is waited for up to `watch_s`, unless all is listed.
+        The caller must pause after a failure. Waits up to `watch_s` for a
+        change, unless all keys are listed.
         """
-        if clock_s() - self._answered_s > MAX_WATCH_GAP_S:
+        if clock_s() - self._last_listing_s > MAX_WATCH_GAP_S:
             self.restart()
-        answer = self._store.perform(self._question(watch_s))
-        if not isinstance(answer, StoreListing):
+        result = self._store.perform(self._next_operation(watch_s))
+        if not isinstance(result, StoreListing):
             self._revision = None
-            return answer
+            return result
         self._back_off.reset()
         self.was_whole = self._revision is None
-        self._revision = answer.revision
-        self._answered_s = clock_s()
-        return answer
+        self._revision = result.revision
+        self._last_listing_s = clock_s()
+        return result
 
     def restart(self) -> None:
-        """List all the next time."""
+        """List all keys with the next operation."""
         self._revision = None
 
     def pause(self) -> None:
-        """Wait before the next question after a failure."""
+        """Wait for the backoff delay after a failure."""
         sleep(self._back_off.next_s())
 
-    def _question(self, watch_s: float) -> StoreList | StoreWatch:
+    def _next_operation(self, watch_s: float) -> StoreList | StoreWatch:
         operation = OperationId(f'follow {self._prefix}')
         if self._revision is None:
             return StoreList(operation, self._prefix)
