--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -1,4 +1,4 @@
-"""Calls of callers: whose they are, where they go, how they end."""
+"""Authentication, routing and refusal of the calls of callers."""
 
 import traceback
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Tools:
-    """What every call needs besides its own facts."""
+    """The dependencies that all calls share."""
 
     knowledge: Knowledge
     dialect: Dialect
@@ -48,14 +48,14 @@
     prefills: PrefillQueue
     limits: RateLimits
     log: DecisionLog
-    # Takes the fingerprint of a call, and the id and address of a target
-    # that broke it off.
+    # Reports that a target broke a call off. Takes the fingerprint of the
+    # call, and the id and the address of the target.
     suspect: Callable[[str, str, str], None]
 
 
 @attrs.define
 class CallContext:
-    """A call that was let in, on its way to its end."""
+    """The state of one call from its admission until its response."""
 
     call: Call
     request: CallerRequest
@@ -69,29 +69,32 @@
     is_usage_counted: bool = False
 
     @property
-    def until_s(self) -> float:
-        """When the call must have its answer.
+    def deadline_s(self) -> float:
+        """The time by which the caller must have its response.
 
-        Its own time, or less where this process ends before.
+        Earlier than the deadline of the call itself if this process shuts
+        down before that.
         """
-        end_s = self.departure.answer_by_s()
-        if end_s is None:
+        shutdown_deadline_s = self.departure.answer_by_s()
+        if shutdown_deadline_s is None:
             return self.own_deadline_s
-        return min(self.own_deadline_s, end_s)
+        return min(self.own_deadline_s, shutdown_deadline_s)
 
     @property
     def fingerprint(self) -> str:
-        """What the call and its repetitions have in common."""
-        return fingerprint(self.name, self.call.path, self.request.body)
+        """A hash that the call and its repetitions have in common."""
+        return fingerprint(
+            self.organisation_name, self.call.path, self.request.body
+        )
 
     @property
-    def name(self) -> str | None:
-        """The organisation for which the call runs."""
+    def organisation_name(self) -> str | None:
+        """The name of the organisation that the call is made for."""
         return None if self.organisation is None else self.organisation.name
 
     @property
     def priority(self) -> int:
-        """The priority of the call; the lower goes first."""
+        """The priority of the call; lower values go first."""
         if self.organisation is not None:
             if self.organisation.priority is not None:
                 return self.organisation.priority
@@ -99,7 +102,7 @@
 
 
 class RefusedError(Exception):
-    """The system ends a call without a target's answer."""
+    """The gateway refuses a call without the response of a target."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.cause.value)
@@ -110,7 +113,7 @@
 
 
 class CallDesk:
-    """Takes each request of a caller to its answer."""
+    """Admits the requests of callers and hands them to a forwarder."""
 
     def __init__(
         self,
@@ -119,50 +122,50 @@
         forward_stream: CallForwarder,
     ) -> None:
         self._tools = tools
-        self._carry_plain = forward_plain
-        self._carry_stream = forward_stream
+        self._forward_plain = forward_plain
+        self._forward_stream = forward_stream
 
     def handle(self, request: CallerRequest, responder: Responder) -> None:
-        """Answer a request; returns when the answer was written."""
+        """Serve a request and return once the response is written."""
         knowledge = self._tools.knowledge
         knowledge.in_progress += 1
         try:
-            self._answer(request, responder)
+            self._serve(request, responder)
         except CallerDisconnectedError:
             raise
         except Exception:
-            # A fault of this program must end one call, not the process;
-            # the log names it, and the caller sees an answer that promises
-            # nothing.
-            self._log_fault(request)
+            # A bug must end one call, not the process. It is logged, and
+            # the connection of the caller closes without a complete
+            # response, which leaves open whether the call ran.
+            self._log_internal_error(request)
         finally:
             knowledge.in_progress -= 1
 
-    def _answer(self, request: CallerRequest, responder: Responder) -> None:
+    def _serve(self, request: CallerRequest, responder: Responder) -> None:
         call = self._tools.dialect.read_call(request.head)
         if call is None:
-            bad = ResponseHead(HTTPStatus.BAD_REQUEST, ())
-            responder.respond(bad, b'the request names no attempt\n')
+            bad_request = ResponseHead(HTTPStatus.BAD_REQUEST, ())
+            responder.respond(bad_request, b'the request names no attempt\n')
             return
         departure = self._tools.knowledge.departure
         if departure.refuses(request.arrived_s):
-            elsewhere = Refusal(Cause.LEAVING, ELSEWHERE_S)
-            self._refuse(call, responder, elsewhere, Attempts(1))
+            leaving = Refusal(Cause.LEAVING, ELSEWHERE_S)
+            self._refuse(call, responder, leaving, Attempts(1))
             return
         try:
-            context = self._open(call, request, responder)
-        except RefusedError as refused:
-            self._refuse(call, responder, refused.refusal, Attempts(1))
+            context = self._admit(call, request, responder)
+        except RefusedError as error:
+            self._refuse(call, responder, error.refusal, Attempts(1))
             return
         try:
-            self._carry(context)
-        except RefusedError as refused:
-            self._refuse(call, responder, refused.refusal, context.attempts)
+            self._forward(context)
+        except RefusedError as error:
+            self._refuse(call, responder, error.refusal, context.attempts)
 
-    def _open(
+    def _admit(
         self, call: Call, request: CallerRequest, responder: Responder
     ) -> CallContext:
-        """Find the route and the organisation of a call."""
+        """Find the route, the organisation and the service of a call."""
         configuration = self._tools.knowledge.configuration
         if configuration is None:
             raise RefusedError(Refusal(Cause.NO_CONFIGURATION, SOON_S))
@@ -174,7 +177,7 @@
         service = configuration.services.get(name)
         if service is None:
             raise RefusedError(Refusal(Cause.NO_TARGET, SOON_S))
-        time_s = min(call.time_left_s or route.timeout_s, route.timeout_s)
+        timeout_s = min(call.time_left_s or route.timeout_s, route.timeout_s)
         return CallContext(
             call,
             request,
@@ -182,7 +185,7 @@
             route,
             service,
             organisation,
-            request.arrived_s + time_s,
+            request.arrived_s + timeout_s,
             Attempts(route.max_attempts),
             self._tools.knowledge.departure,
         )
@@ -199,26 +202,26 @@
             raise RefusedError(Refusal(Cause.UNKNOWN_KEY))
         return organisation
 
-    def _carry(self, context: CallContext) -> None:
+    def _forward(self, context: CallContext) -> None:
         crashes = self._tools.knowledge.crashes
         if crashes.refuses(context.fingerprint, clock_s()):
             refusal = Refusal(Cause.QUARANTINED, crashes.retry_after_s)
             raise RefusedError(refusal)
         charge = self._charge(context)
         try:
-            self._carry_by_kind(context)
+            self._forward_by_kind(context)
         finally:
             if charge is not None and not context.attempts.may_have_run:
                 self._tools.limits.refund(charge)
 
-    def _carry_by_kind(self, context: CallContext) -> None:
+    def _forward_by_kind(self, context: CallContext) -> None:
         if context.route.kind is CallKind.STREAM:
-            self._carry_stream(self._tools, context)
+            self._forward_stream(self._tools, context)
         else:
-            self._carry_plain(self._tools, context)
+            self._forward_plain(self._tools, context)
 
     def _charge(self, context: CallContext) -> Charge | None:
-        """Hold a call against its organisation's limit."""
+        """Charge a call against the rate limit of its organisation."""
         organisation = context.organisation
         if organisation is None or organisation.rate_limit is None:
             return None
@@ -229,9 +232,9 @@
         )
         try:
             self._tools.limits.take(charge)
-        except OverLimitError as over:
-            refusal = Refusal(Cause.OVER_LIMIT, over.retry_after_s)
-            raise RefusedError(refusal) from over
+        except OverLimitError as error:
+            refusal = Refusal(Cause.OVER_LIMIT, error.retry_after_s)
+            raise RefusedError(refusal) from error
         return charge
 
     def _refuse(
@@ -263,7 +266,7 @@
         head = self._tools.dialect.refusal_head(status, retry_after_s)
         responder.respond(head, f'{refusal.cause.value}\n'.encode())
 
-    def _log_fault(self, request: CallerRequest) -> None:
+    def _log_internal_error(self, request: CallerRequest) -> None:
         self._tools.log.decide(
             'call.fault',
             request.head.target,
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -1,4 +1,4 @@
-"""A call to a plain service: one whole answer."""
+"""Forwards a call to a plain service, which sends one buffered response."""
 
 from http import HTTPStatus
 
@@ -11,15 +11,15 @@
 from dandelionyoke_gateway._messages import ResponseHead
 from dandelionyoke_gateway._ports import AnswerFacts, Forwarding
 
-MAX_ANSWER_BYTES = 8388608
-# Each target refuses at most once; beyond this the service as a whole is
-# full, and the caller is better told to come back.
+MAX_RESPONSE_BYTES = 8388608
+# Each target refuses a call at most once. After this many the service as a
+# whole is overloaded, and the caller is asked to retry later.
 MAX_SENDS = 4
 
 
 @attrs.frozen
 class BufferedResponse:
-    """A target's answer with its body."""
+    """The complete response of a target."""
 
     head: ResponseHead
     facts: AnswerFacts
@@ -27,40 +27,40 @@
 
 
 def carry_plain(tools: Tools, context: CallContext) -> None:
-    """Send a call to targets until one has answered."""
-    answer = _PlainCall(tools, context).find_answer()
-    head = tools.dialect.answer_head(answer.head)
-    context.responder.respond(head, answer.body)
+    """Send a call to one target after another until one responds."""
+    response = _PlainCall(tools, context).find_response()
+    head = tools.dialect.answer_head(response.head)
+    context.responder.respond(head, response.body)
 
 
 class _PlainCall:
-    """One call and the targets that were asked for its answer."""
+    """The attempts to get the response to one call."""
 
     def __init__(self, tools: Tools, context: CallContext) -> None:
         self._tools = tools
         self._knowledge = tools.knowledge
         self._context = context
-        self._tried: set[str] = set()
+        self._tried_ids: set[str] = set()
         self._cause = Cause.NO_TARGET
-        # A target's own failure, for the case that no other one does better.
-        self._failure: BufferedResponse | None = None
+        # A 5xx response of a target, used if no other target does better.
+        self._error_response: BufferedResponse | None = None
 
-    def find_answer(self) -> BufferedResponse:
-        """Ask targets until one has answered for good.
+    def find_response(self) -> BufferedResponse:
+        """Ask one target after another until one gives a final response.
 
         Raises:
-            RefusedError: none has.
+            RefusedError: no target did.
         """
         self._knowledge.budget.earn(clock_s())
         for _ in range(MAX_SENDS):
             target = self._next_target()
             if target is None:
                 break
-            answer = self._try(target)
-            if answer is not None:
-                return answer
-        if self._failure is not None:
-            return self._failure
+            response = self._send_to(target)
+            if response is not None:
+                return response
+        if self._error_response is not None:
+            return self._error_response
         raise RefusedError(Refusal(self._cause, SOON_S))
 
     def _next_target(self) -> RegisteredTarget | None:
@@ -72,20 +72,20 @@
         if not context.attempts.may_run_again(context.route.is_repeatable):
             return None
         target = self._knowledge.placement.plain_target(
-            context.service.name, self._tried, now_s
+            context.service.name, self._tried_ids, now_s
         )
-        # A first send is no repetition, whatever connections failed before.
+        # The first send is no retry, even if connections failed before it.
         is_repeated = bool(context.attempts.targets)
         if target is None or not is_repeated:
             return target
         return target if self._knowledge.budget.spend(now_s) else None
 
-    def _try(self, target: RegisteredTarget) -> BufferedResponse | None:
-        """Ask one target; None if the next one is to be asked."""
-        self._tried.add(target.target_id)
+    def _send_to(self, target: RegisteredTarget) -> BufferedResponse | None:
+        """Send the call to one target; None to go on with the next target."""
+        self._tried_ids.add(target.target_id)
         self._knowledge.loads.began(target.target_id)
         try:
-            answer = self._ask(target)
+            response = self._exchange(target)
         except ExchangeError as error:
             self._cause = record_failure(
                 self._tools, self._context, target, error
@@ -93,9 +93,9 @@
             return None
         finally:
             self._knowledge.loads.ended(target.target_id)
-        return self._judge(target, answer)
+        return self._evaluate(target, response)
 
-    def _ask(self, target: RegisteredTarget) -> BufferedResponse:
+    def _exchange(self, target: RegisteredTarget) -> BufferedResponse:
         context = self._context
         forwarding = Forwarding(
             target_id=target.target_id,
@@ -108,20 +108,20 @@
             sent_s = clock_s()
             context.attempts.sent(target.target_id)
             connection.send(head, context.request.body)
-            answer_head = connection.read_head(context.deadline_s)
-            body = connection.read_body(context.deadline_s, MAX_ANSWER_BYTES)
-            facts = self._tools.dialect.read_answer(answer_head)
-            validate_response(answer_head, facts, context)
+            response_head = connection.read_head(context.deadline_s)
+            body = connection.read_body(context.deadline_s, MAX_RESPONSE_BYTES)
+            facts = self._tools.dialect.read_answer(response_head)
+            validate_response(response_head, facts, context)
         if facts.is_signed and not facts.is_not_run:
             count_usage_once(self._tools, context, sent_s)
-        return BufferedResponse(answer_head, facts, body)
+        return BufferedResponse(response_head, facts, body)
 
-    def _judge(
-        self, target: RegisteredTarget, answer: BufferedResponse
+    def _evaluate(
+        self, target: RegisteredTarget, response: BufferedResponse
     ) -> BufferedResponse | None:
-        """Return an answer that goes to the caller as it is."""
-        loads, facts = self._knowledge.loads, answer.facts
-        self._tell(target, facts)
+        """Return the response if it goes to the caller, else None."""
+        loads, facts = self._knowledge.loads, response.facts
+        self._log_response(target, facts)
         apply_response_facts(self._tools, target, facts)
         if facts.is_not_run:
             self._context.attempts.refused()
@@ -131,14 +131,16 @@
         self._context.attempts.ran()
         if facts.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             loads.succeeded(target.target_id)
-            return answer
+            return response
         loads.failed(target.target_id, clock_s())
         if facts.is_signed:
-            self._failure = answer
+            self._error_response = response
         self._cause = Cause.BROKEN
         return None
 
-    def _tell(self, target: RegisteredTarget, facts: AnswerFacts) -> None:
+    def _log_response(
+        self, target: RegisteredTarget, facts: AnswerFacts
+    ) -> None:
         context = self._context
         since_arrival_s = clock_s() - context.request.arrived_s
         self._tools.log.observe('plain.answer', since_arrival_s)
@@ -156,32 +158,32 @@
 def validate_response(
     head: ResponseHead, facts: AnswerFacts, context: CallContext
 ) -> None:
-    """Refuse an answer that belongs to another call or is not the target's.
+    """Check that a response belongs to this call and comes from a target.
 
     Raises:
-        ExchangeError: the answer must not reach the caller.
+        ExchangeError: the response must not reach the caller.
     """
     if facts.attempt_id not in {None, context.call.attempt_id}:
-        raise ExchangeError('the answer is to another call', sent=True)
+        raise ExchangeError('the response belongs to another call', sent=True)
     if head.is_success and not (facts.is_signed and facts.attempt_id):
-        raise ExchangeError('a success without a signature', sent=True)
+        raise ExchangeError('a success response without a signature', sent=True)
 
 
 def count_usage_once(
-    tools: Tools, context: CallContext, began_s: float
+    tools: Tools, context: CallContext, started_s: float
 ) -> None:
-    """Count a call once, however often it is repeated."""
+    """Count the usage of a call once, however often it is retried."""
     if context.is_usage_counted:
         return
     context.is_usage_counted = True
     if context.organisation_name is not None:
-        tools.knowledge.usage.began(context.organisation_name, began_s)
+        tools.knowledge.usage.began(context.organisation_name, started_s)
 
 
 def apply_response_facts(
     tools: Tools, target: RegisteredTarget, facts: AnswerFacts
 ) -> None:
-    """Take what a target said of itself besides its answer."""
+    """Record the load and the identity that a target reported."""
     knowledge = tools.knowledge
     if facts.busy is not None:
         knowledge.loads.reported(target.target_id, facts.busy, clock_s())
@@ -198,13 +200,13 @@
     target: RegisteredTarget,
     error: ExchangeError,
 ) -> Cause:
-    """Draw the conclusions from an exchange that failed."""
+    """Record a failed exchange and return its cause."""
     now_s = clock_s()
     if error.sent:
         tools.knowledge.loads.failed(target.target_id, now_s)
     else:
         tools.knowledge.loads.unreachable(target.target_id, now_s)
-    # The others that are open there may have gone silent as well.
+    # Other open connections to the target may have failed as well.
     tools.pool.drop(target.address)
     tools.log.decide(
         'attempt.failed',
--- a/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
@@ -1,4 +1,4 @@
-"""Has a prompt read apart from the stream that follows."""
+"""Disaggregated prefill: runs the prefill of a call on a separate engine."""
 
 from http import HTTPStatus
 
@@ -30,20 +30,21 @@
 
 MAX_PREFILL_BYTES = 65536
 
-# A caller gives up on a stream that has not begun after this long, or four
-# times its goal or eight times its longest pause.
+# A caller is assumed to give up on a stream without a first token after the
+# longest of this time, four times its time-to-first-token goal and eight times
+# its longest acceptable pause between tokens.
 MIN_PATIENCE_S = 2.0
 PATIENCE_PER_GOAL = 4
 PATIENCE_PER_PAUSE = 8
 
-# A prompt is short if a decode engine, which prefills at half the pace, has
-# read it within this share of the goal.
+# A prompt is short if a decode engine, which prefills at half the speed,
+# needs at most this share of the goal for it.
 SHORT_PROMPT_GOAL_SHARE = 0.1
 DECODE_ENGINE_SLOWDOWN = 2
 
-# A prompt whose shared part is fetched counts as slow over so many times the
-# mean of the last ones, this share of the goal, and so many times the time for
-# this one alone.
+# The prefill of a prompt with a fetched shared prefix is slow if it takes
+# longer than the largest of: this multiple of the recent mean, this share of
+# the goal, and this multiple of the expected time of this prompt alone.
 SLOW_FETCH_MEAN_FACTOR = 2.5
 SLOW_FETCH_GOAL_SHARE = 0.5
 SLOW_FETCH_PREFILL_FACTOR = 2
@@ -51,49 +52,49 @@
 
 @attrs.frozen
 class PrefilledPrompt:
-    """A prompt that was read, and the engine that keeps its cache."""
+    """A prefilled prompt and the engine that holds its KV cache."""
 
-    home: RegisteredTarget
+    target: RegisteredTarget
     cache: CacheSource
 
 
 class PromptPrefiller:
-    """Finds an engine for a call's prompt, waits for it, has it read.
+    """Waits for a prefill engine and runs the prefill of a call on it.
 
-    Nothing runs by this, so that it may be repeated, and a call that comes
-    to nothing here is refused as not run.
+    A prefill does not count as running the call: it may be repeated, and a
+    call that fails here is refused as not run.
     """
 
     def __init__(self, state: StreamCallState) -> None:
-        self._state = tries
+        self._state = state
         self._tools = state.tools
         self._knowledge = state.tools.knowledge
         self._context = state.context
         self._watch = self._knowledge.watch_of(self._context.service.name)
-        # Whether an engine was asked to read the prompt.
+        # Whether a prefill request was sent to an engine.
         self.has_sent_prefill = False
 
     def prefill(self) -> PrefilledPrompt | None:
-        """Have the prompt read apart; None where no engine does that."""
+        """Run the prefill separately; None if the decode engine must do it."""
         prompt = self._context.call.prompt
         if prompt is None or self._context.service.engine is None:
             return None
         if self._is_short(prompt):
             return None
-        readers = self._knowledge.placement.readers(
+        engines = self._knowledge.placement.readers(
             self._context.service.name, self._state.tried_ids, clock_s()
         )
-        if not readers:
+        if not engines:
             return None
-        asked_s = clock_s()
-        grant = self._enter(prompt)
-        return self._read_in_turn(prompt, grant, asked_s)
+        queued_s = clock_s()
+        grant = self._enter_queue(prompt)
+        return self._prefill_with_grant(prompt, grant, queued_s)
 
-    def _enter(self, prompt: Prompt) -> PrefillGrant:
-        """Wait for an engine.
+    def _enter_queue(self, prompt: Prompt) -> PrefillGrant:
+        """Wait in the prefill queue for an engine.
 
         Raises:
-            RefusedError: the prompt would be read too late to be of use.
+            RefusedError: the prefill would end too late to be useful.
         """
         request = PrefillRequest(
             service=self._context.service.name,
@@ -101,117 +102,120 @@
             rank=self._context.priority,
             arrived_s=self._context.request.arrived_s,
             goal_s=self._context.route.goal_s,
-            useful_until_s=self._useful_until_s(),
+            useful_until_s=self._deadline_s(),
             avoid=frozenset(self._state.tried_ids),
         )
         try:
             return self._tools.prefills.enter(request)
-        except TooLateError as late:
+        except TooLateError as error:
             self._watch.strain.turned_away(clock_s())
-            refusal = Refusal(Cause.TOO_LATE, late.retry_after_s)
-            raise RefusedError(refusal) from late
+            refusal = Refusal(Cause.TOO_LATE, error.retry_after_s)
+            raise RefusedError(refusal) from error
 
-    def _read_in_turn(
-        self, prompt: Prompt, grant: PrefillGrant, asked_s: float
+    def _prefill_with_grant(
+        self, prompt: Prompt, grant: PrefillGrant, queued_s: float
     ) -> PrefilledPrompt | None:
-        """Have the prompt read, then give the place in the queue back."""
-        began_s, place = clock_s(), grant.home
-        read_s: float | None = None
+        """Run the prefill, then leave the prefill queue."""
+        started_s, placement = clock_s(), grant.home
+        prefill_s: float | None = None
         try:
-            cache = None if place is None else self._prefill(place)
+            cache = None if placement is None else self._prefill_on(placement)
             if cache is not None:
-                read_s = clock_s() - began_s
+                prefill_s = clock_s() - started_s
         finally:
-            self._tools.prefills.leave(grant, PrefillResult(read_s))
-        if place is None or cache is None or read_s is None:
+            self._tools.prefills.leave(grant, PrefillResult(prefill_s))
+        if placement is None or cache is None or prefill_s is None:
             return None
-        self._note_fetch(prompt, place, read_s)
+        self._record_fetch(prompt, placement, prefill_s)
         self._state.log_decision(
             'prompt.read',
-            place.target,
-            source=place.source.target_id if place.source else None,
+            placement.target,
+            source=placement.source.target_id if placement.source else None,
             tokens=prompt.token_count,
-            waited_s=began_s - asked_s,
-            took_s=read_s,
+            waited_s=started_s - queued_s,
+            took_s=prefill_s,
             placed_by=grant.placed_by,
         )
-        return PrefilledPrompt(place.target, cache)
+        return PrefilledPrompt(placement.target, cache)
 
-    def _note_fetch(
-        self, prompt: Prompt, place: PrefillHome, read_s: float
+    def _record_fetch(
+        self, prompt: Prompt, placement: PrefillHome, prefill_s: float
     ) -> None:
-        if place.source is not None:
-            source_id = place.source.target_id
-            if read_s > self._slow_fetch_s(prompt):
+        if placement.source is not None:
+            source_id = placement.source.target_id
+            if prefill_s > self._slow_fetch_s(prompt):
                 self._knowledge.fetches.failed(source_id, clock_s())
             else:
                 self._knowledge.fetches.succeeded(source_id)
 
     def _slow_fetch_s(self, prompt: Prompt) -> float:
-        alone_s = self._watch.pace.found.expected_s(prompt.token_count) or 0.0
+        expected_s = (
+            self._watch.pace.found.expected_s(prompt.token_count) or 0.0
+        )
         return max(
             SLOW_FETCH_MEAN_FACTOR * self._watch.line.mean_s,
             SLOW_FETCH_GOAL_SHARE * self._context.route.goal_s,
-            SLOW_FETCH_PREFILL_FACTOR * alone_s,
+            SLOW_FETCH_PREFILL_FACTOR * expected_s,
         )
 
     def _is_short(self, prompt: Prompt) -> bool:
-        """Whether the decode engine prefills the prompt as well.
+        """Whether the decode engine should prefill the prompt itself.
 
-        A short prompt apart waits in line behind long ones and goes to two
-        engines, for a reading that hardly holds the second one up. That one
-        keeps no parts of prompts: it reads all, at the pace of tokens that
-        were not kept, however quick the readers are with those they keep.
+        A separate prefill of a short prompt waits in the queue behind long
+        ones and occupies two engines, to save the decode engine a prefill
+        that hardly delays it. A decode engine caches no shared prefixes. It
+        prefills all tokens at the speed for uncached tokens, however fast the
+        prefill engines are with the prefixes that they cache.
         """
-        read_s = self._watch.pace.unkept.expected_s(prompt.token_count)
-        if read_s is None:
+        prefill_s = self._watch.pace.unkept.expected_s(prompt.token_count)
+        if prefill_s is None:
             return False
         return (
-            DECODE_ENGINE_SLOWDOWN * read_s
+            DECODE_ENGINE_SLOWDOWN * prefill_s
             < SHORT_PROMPT_GOAL_SHARE * self._context.route.goal_s
         )
 
-    def _prefill(self, place: PrefillHome) -> CacheSource:
-        """Have an engine read the prompt; nothing runs by this."""
-        home, source = place.target, place.source
+    def _prefill_on(self, placement: PrefillHome) -> CacheSource:
+        """Send the prefill request to an engine; this does not run the call."""
+        target, source = placement.target, placement.source
         forwarding = attrs.evolve(
-            self._state.new_forwarding(home),
+            self._state.new_forwarding(target),
             is_prefill=True,
             fetch_from=None if source is None else source.address,
         )
         head = self._state.new_request_head(forwarding)
         loads = self._knowledge.loads
-        loads.began(home.target_id)
+        loads.began(target.target_id)
         try:
-            handle = self._ask_prefill(home, head)
+            handle = self._exchange(target, head)
         except ExchangeError as error:
-            raise self._state.new_retryable_error(home, error) from error
+            raise self._state.new_retryable_error(target, error) from error
         finally:
-            loads.ended(home.target_id)
+            loads.ended(target.target_id)
         if handle is None:
-            self._state.tried_ids.add(home.target_id)
-            loads.refused(home.target_id, clock_s())
-            self._state.log_decision('prompt.refused', home)
+            self._state.tried_ids.add(target.target_id)
+            loads.refused(target.target_id, clock_s())
+            self._state.log_decision('prompt.refused', target)
             raise RetryableError(Cause.NO_RETRY)
-        loads.succeeded(home.target_id)
-        return CacheSource(home.address, handle)
+        loads.succeeded(target.target_id)
+        return CacheSource(target.address, handle)
 
-    def _ask_prefill(
-        self, home: RegisteredTarget, head: RequestHead
+    def _exchange(
+        self, target: RegisteredTarget, head: RequestHead
     ) -> str | None:
-        until_s = self._useful_until_s()
-        with self._tools.pool.lend(home.address) as connection:
+        deadline_s = self._deadline_s()
+        with self._tools.pool.lend(target.address) as connection:
             self.has_sent_prefill = True
             connection.send(head, self._context.request.body)
-            answer = connection.read_head(until_s)
-            body = connection.read_body(until_s, MAX_PREFILL_BYTES)
-            facts = self._tools.dialect.read_answer(answer)
-            apply_response_facts(self._tools, home, facts)
+            response = connection.read_head(deadline_s)
+            body = connection.read_body(deadline_s, MAX_PREFILL_BYTES)
+            facts = self._tools.dialect.read_answer(response)
+            apply_response_facts(self._tools, target, facts)
             if facts.status != HTTPStatus.OK:
                 return None
             return self._tools.dialect.read_prefill(body)
 
-    def _useful_until_s(self) -> float:
+    def _deadline_s(self) -> float:
         route = self._context.route
         patience_s = max(
             MIN_PATIENCE_S,
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -1,4 +1,4 @@
-"""A call that is answered by a stream of events."""
+"""Forwards a call whose response is a stream of events."""
 
 from http import HTTPStatus
 
@@ -37,50 +37,50 @@
 MAX_ERROR_BODY_BYTES = 1048576
 MAX_SENDS = 4
 
-# A stream that may be resumed is left for another engine when it is silent
-# for this long: half of the least time after which callers give up on it.
+# A resumable stream that sends nothing for this long moves to another engine.
+# This is half of the minimum time after which callers give up on a stream.
 STALL_TIMEOUT_S = 1.0
 
 
 def carry_stream(tools: Tools, context: CallContext) -> None:
-    """Have the prompt read, then pass the stream on."""
-    _StreamCall(tools, context).carry()
+    """Run the prefill, then forward the stream to the caller."""
+    _StreamCall(tools, context).run()
 
 
 class _StreamCall:
-    """One streamed call from its prompt to its last event."""
+    """One streamed call from its prefill to its last event."""
 
     def __init__(self, tools: Tools, context: CallContext) -> None:
         self._tools = tools
         self._knowledge = tools.knowledge
         self._context = context
         self._state = StreamCallState(tools, context)
-        self._reader = PromptPrefiller(self._state)
-        # Kept for the next try while no engine has taken its cache.
+        self._prefiller = PromptPrefiller(self._state)
+        # Kept for a retry as long as no decode engine has imported its KV cache.
         self._prompt: PrefilledPrompt | None = None
 
-    def carry(self) -> None:
-        """Make tries until one has streamed to its end."""
+    def run(self) -> None:
+        """Send the call until one stream completes; release an unused cache."""
         try:
-            self._carry()
+            self._send_with_retries()
         finally:
-            self._release(self._prompt)
+            self._release_cache(self._prompt)
 
-    def _carry(self) -> None:
+    def _send_with_retries(self) -> None:
         cause = Cause.NO_RETRY
         self._knowledge.budget.earn(clock_s())
         for number in range(MAX_SENDS):
-            if number and not self._may_try_again():
+            if number and not self._may_retry():
                 break
             try:
-                self._try()
-            except RetryableError as ended:
-                cause = ended.cause
+                self._send_once()
+            except RetryableError as error:
+                cause = error.cause
                 continue
             return
         raise RefusedError(Refusal(cause, SOON_S))
 
-    def _may_try_again(self) -> bool:
+    def _may_retry(self) -> bool:
         context = self._context
         if clock_s() >= context.deadline_s:
             return False
@@ -88,31 +88,38 @@
             return False
         if not context.attempts.may_run_again(context.route.is_repeatable):
             return False
-        return self._knowledge.budget.spend(clock_s(), self._repeated_sends())
+        return self._knowledge.budget.spend(clock_s(), self._retry_cost())
 
-    def _repeated_sends(self) -> int:
-        """Count what reaches an engine once more with the next try.
+    def _retry_cost(self) -> int:
+        """Count the sends that the next try repeats, for the retry budget.
 
-        A connection that was refused carried nothing: were it counted, a
-        crash would use up the budget before its calls reach another engine.
-        A prompt that has to be read again counts beside its stream: left
-        out, all nodes together would repeat more than they may.
+        A refused connection carried nothing. If it counted, a crash would
+        use up the budget before its calls reach another engine. A repeated
+        prefill counts in addition to the stream. Otherwise all nodes together
+        would exceed the retry limit.
         """
-        is_streamed_again = bool(self._context.attempts.targets)
-        is_read_again = self._prompt is None and self._reader.has_sent_prefill
-        return is_streamed_again + is_read_again
+        is_stream_repeated = bool(self._context.attempts.targets)
+        is_prefill_repeated = (
+            self._prompt is None and self._prefiller.has_sent_prefill
+        )
+        return is_stream_repeated + is_prefill_repeated
 
-    def _try(self) -> None:
+    def _send_once(self) -> None:
         if self._prompt is None:
-            self._prompt = self._reader.prefill()
-        self._stream(self._decode_target(self._prompt), self._prompt)
+            self._prompt = self._prefiller.prefill()
+        self._stream_from(
+            self._choose_decode_target(self._prompt), self._prompt
+        )
 
-    def _decode_target(
+    def _choose_decode_target(
         self, prompt: PrefilledPrompt | None
     ) -> RegisteredTarget:
-        near = None if prompt is None else prompt.home.domain
+        preferred_domain = None if prompt is None else prompt.target.domain
         target = self._knowledge.placement.decode_target(
-            self._context.service.name, near, self._state.tried_ids, clock_s()
+            self._context.service.name,
+            preferred_domain,
+            self._state.tried_ids,
+            clock_s(),
         )
         if target is not None:
             return target
@@ -123,15 +130,15 @@
             raise RefusedError(Refusal(Cause.NO_TARGET, SOON_S))
         return target
 
-    def _release(self, prompt: PrefilledPrompt | None) -> None:
-        """Free a cache that no engine took, so that its memory serves others."""
+    def _release_cache(self, prompt: PrefilledPrompt | None) -> None:
+        """Free the memory of a KV cache that no engine has imported."""
         if prompt is None:
             return
         eventlet.spawn_n(self._tools.engines.release_cache, prompt.cache)
 
-    # The stream.
+    # Streaming.
 
-    def _stream(
+    def _stream_from(
         self, target: RegisteredTarget, prompt: PrefilledPrompt | None
     ) -> None:
         loads = self._knowledge.loads
@@ -140,7 +147,7 @@
             self._exchange(target, prompt)
         except ExchangeError as error:
             if error.sent:
-                # Nobody knows whether the engine has taken the cache.
+                # It is unknown whether the engine has imported the KV cache.
                 self._prompt = None
             raise self._state.new_retryable_error(target, error) from error
         finally:
@@ -157,7 +164,7 @@
         with self._tools.pool.lend(target.address) as connection:
             self._context.attempts.sent(target.target_id)
             connection.send(head, self._context.request.body)
-            is_stream = self._take_head(target, connection)
+            is_stream = self._read_head(target, connection)
             if is_stream:
                 self._relay(connection)
         if is_stream:
@@ -165,14 +172,14 @@
             self._context.attempts.ran()
             self._context.responder.finish()
 
-    def _take_head(
+    def _read_head(
         self, target: RegisteredTarget, connection: TargetConnection
     ) -> bool:
-        """Take the head of an answer; tell whether a stream follows."""
+        """Read the head of a response; return whether a stream follows."""
         sent_s = clock_s()
-        answer = connection.read_head(self._silence_until_s())
-        facts = self._tools.dialect.read_answer(answer)
-        self._judge(target, answer, facts, connection)
+        response = connection.read_head(self._read_deadline_s())
+        facts = self._tools.dialect.read_answer(response)
+        self._check_response(target, response, facts, connection)
         self._prompt = None
         since_arrival_s = clock_s() - self._context.request.arrived_s
         self._tools.log.observe('stream.begin', since_arrival_s)
@@ -187,19 +194,24 @@
             since_arrival_s=since_arrival_s,
         )
         if facts.status == HTTPStatus.OK:
-            self._begin(answer)
+            self._start_response(response)
             return True
-        self._pass_failure(answer, connection)
+        self._forward_error(response, connection)
         return False
 
-    def _judge(
+    def _check_response(
         self,
         target: RegisteredTarget,
-        answer: ResponseHead,
+        response: ResponseHead,
         facts: AnswerFacts,
         connection: TargetConnection,
     ) -> None:
-        """Stop unless this is the target's own answer to this call."""
+        """Check that the target ran this call and the response belongs to it.
+
+        Raises:
+            RetryableError: the target refused the call.
+            ExchangeError: the response must not reach the caller.
+        """
         apply_response_facts(self._tools, target, facts)
         if facts.is_not_run:
             self._context.attempts.refused()
@@ -210,38 +222,40 @@
             )
             connection.read_body(self._context.deadline_s, MAX_ERROR_BODY_BYTES)
             raise RetryableError(Cause.NO_RETRY)
-        validate_response(answer, facts, self._context)
+        validate_response(response, facts, self._context)
 
-    def _pass_failure(
-        self, answer: ResponseHead, connection: TargetConnection
+    def _forward_error(
+        self, response: ResponseHead, connection: TargetConnection
     ) -> None:
-        """Pass an engine's own failure on as it is."""
+        """Forward the error response of an engine unchanged."""
         body = connection.read_body(
             self._context.deadline_s, MAX_ERROR_BODY_BYTES
         )
         self._context.attempts.ran()
         if not self._context.responder.has_started:
-            head = self._tools.dialect.answer_head(answer)
+            head = self._tools.dialect.answer_head(response)
             self._context.responder.respond(head, body)
 
-    def _begin(self, answer: ResponseHead) -> None:
+    def _start_response(self, response: ResponseHead) -> None:
         if not self._context.responder.has_started:
-            head = self._tools.dialect.answer_head(answer)
+            head = self._tools.dialect.answer_head(response)
             self._context.responder.start(head)
 
     def _relay(self, connection: TargetConnection) -> None:
         splitter = EventSplitter()
         while True:
-            piece = connection.read_chunk(self._silence_until_s())
-            if piece is None:
+            chunk = connection.read_chunk(self._read_deadline_s())
+            if chunk is None:
                 break
-            events = splitter.feed(piece)
+            events = splitter.feed(chunk)
             if events:
-                self._pass_on(events)
+                self._forward_events(events)
         if not splitter.is_at_event_boundary:
-            raise ExchangeError('the stream ended within an event', sent=True)
+            raise ExchangeError(
+                'the stream ended in the middle of an event', sent=True
+            )
 
-    def _pass_on(self, events: list[StreamEvent]) -> None:
+    def _forward_events(self, events: list[StreamEvent]) -> None:
         count_usage_once(self._tools, self._context, clock_s())
         self._context.responder.send_chunk(
             b''.join(event.content for event in events)
@@ -250,10 +264,10 @@
             if event.event_id is not None:
                 self._state.last_event_id = event.event_id
 
-    # Limits.
+    # Deadlines.
 
-    def _silence_until_s(self) -> float:
-        """Tell until when the next bytes of an answer are awaited."""
+    def _read_deadline_s(self) -> float:
+        """Return the time by which the next bytes of a response must arrive."""
         if self._context.route.is_resumable:
             return min(self._context.deadline_s, clock_s() + STALL_TIMEOUT_S)
         return self._context.deadline_s
--- a/packages/gateway/dandelionyoke_gateway/_stream_call_state.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one streamed call share: tries, heads, notes."""
+"""State that the prefill and the decode phase of a streamed call share."""
 
 from dandelionyoke_dispatch import Cause, RegisteredTarget
 from dandelionyoke_gateway._call_desk import CallContext, Tools
@@ -10,7 +10,7 @@
 
 
 class RetryableError(Exception):
-    """This send came to nothing; another one may be made."""
+    """A send failed; the call may be retried at another target."""
 
     def __init__(self, cause: Cause) -> None:
         super().__init__(cause.value)
@@ -18,7 +18,7 @@
 
 
 class StreamCallState:
-    """One streamed call and the targets that it was tried at."""
+    """One streamed call and the targets that it was already sent to."""
 
     def __init__(self, tools: Tools, context: CallContext) -> None:
         self.tools = tools
@@ -29,7 +29,7 @@
     def new_retryable_error(
         self, target: RegisteredTarget, error: ExchangeError
     ) -> RetryableError:
-        """Draw the conclusions from a send that failed."""
+        """Record a failed send and return the error to raise."""
         self.tried_ids.add(target.target_id)
         return RetryableError(
             record_failure(self.tools, self.context, target, error)
@@ -41,7 +41,7 @@
         target: RegisteredTarget,
         **inputs: str | float | None,
     ) -> None:
-        """Write a decision about the call and a target to the log."""
+        """Log a decision about the call and a target."""
         watch = self.tools.knowledge.watch_of(self.context.service.name)
         self.tools.log.decide(
             decision,
@@ -54,7 +54,7 @@
         )
 
     def new_forwarding(self, target: RegisteredTarget) -> Forwarding:
-        """Say what goes to any target with the call."""
+        """Return the forwarding data that any target gets with the call."""
         return Forwarding(
             target_id=target.target_id,
             time_left_s=self.context.deadline_s - clock_s(),
@@ -64,7 +64,7 @@
         )
 
     def new_request_head(self, forwarding: Forwarding) -> RequestHead:
-        """Write the head with which the call goes to a target."""
+        """Return the request head that the call is sent with."""
         return self.tools.dialect.call_head(
             self.context.request.head, forwarding
         )
