--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Tasks that own the sockets of calls that pass unread."""
+"""Gateway that forwards calls to targets without parsing their bodies."""
 
 from dandelionyoke_gateway._clock import (
     clock_s as clock_s,
--- a/packages/gateway/dandelionyoke_gateway/_ports.py
+++ b/packages/gateway/dandelionyoke_gateway/_ports.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of an adapter: a dialect, a store, duties, orders."""
+"""Interfaces that a platform adapter implements, and their data types."""
 
 import enum
 from typing import Protocol, Self
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class CacheSource:
-    """Where the cache of a prompt that was read lies, under which handle."""
+    """The engine address and the handle of the KV cache of a prefilled prompt."""
 
     address: str
     handle: str
@@ -27,7 +27,11 @@
 
 @attrs.frozen
 class Forwarding:
-    """What the system itself says of a call to a target."""
+    """What the gateway adds to a call that it forwards to a target.
+
+    `fetch_from` is the address of an engine from which to fetch a shared
+    prefix; `cache` is the KV cache with which to start the decode.
+    """
 
     target_id: str
     time_left_s: float
@@ -41,10 +45,11 @@
 
 @attrs.frozen
 class AnswerFacts:
-    """What the head of a target's answer says besides its status.
+    """The status and metadata in the head of a target's response.
 
-    `is_not_run` is the target's own word that it did not run the call;
-    `is_other_target` says that the address belongs to another one by now.
+    `is_not_run` means that the target states that it did not run the call.
+    `is_other_target` means that another target uses the address now.
+    `busy` is the load that the target reports.
     """
 
     status: int
@@ -57,9 +62,9 @@
 
 @attrs.frozen
 class DutyStamp:
-    """Under whose authority an order or a report is sent.
+    """The holder and the fencing token with which an order or report is sent.
 
-    No byte of it may leave after `send_until_s`, a time of `clock_s`.
+    No byte of it may be sent after `send_until_s`, a time of `clock_s`.
     """
 
     holder: str
@@ -69,7 +74,7 @@
 
 @enum.unique
 class DutyOutcome(enum.Enum):
-    """What became of a report or an order."""
+    """The result of sending a report or an order."""
 
     ACCEPTED = 'accepted'
     REFUSED = 'refused'
@@ -80,7 +85,7 @@
 
 @attrs.frozen
 class DutyAnswer:
-    """An outcome, why it was not accepted, and how long the call took."""
+    """An outcome, the cause if it was not accepted, and the elapsed time."""
 
     outcome: DutyOutcome
     cause: str
@@ -88,25 +93,25 @@
 
     @classmethod
     def answered(cls, cause: str, elapsed_s: float) -> Self:
-        """Tell an answer; no cause: it was accepted."""
+        """Create it from a response; an empty cause means accepted."""
         outcome = DutyOutcome.REFUSED if cause else DutyOutcome.ACCEPTED
         return cls(outcome, cause, elapsed_s)
 
     @classmethod
     def failed(cls, error: ExchangeError, elapsed_s: float) -> Self:
-        """Tell an exchange that brought no answer."""
+        """Create it from an exchange that failed without a response."""
         outcome = DutyOutcome.UNKNOWN if error.sent else DutyOutcome.NOT_SENT
         return cls(outcome, error.cause, elapsed_s)
 
     @property
     def is_accepted(self) -> bool:
-        """Whether it was accepted for sure."""
+        """Whether it was certainly accepted."""
         return self.outcome is DutyOutcome.ACCEPTED
 
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself, as of some hundred milliseconds ago.
+    """The state that an engine reports, up to some hundred milliseconds old.
 
     `order_count` is the number of orders that it accepted since its start.
     """
@@ -120,8 +125,8 @@
 class PhaseOrder:
     """An order to an engine to change its phase.
 
-    The engine refuses it if it has accepted another number of orders than
-    `expected_order_count`, so that a late copy of it has no effect.
+    The engine refuses it unless it has accepted exactly
+    `expected_order_count` orders, so that a delayed copy has no effect.
     """
 
     target: RegisteredTarget
@@ -131,7 +136,7 @@
 
 @attrs.frozen
 class TargetCount:
-    """An order to the platform for a number of targets in a domain."""
+    """An order to the platform to run `count` targets of a service in a domain."""
 
     service: str
     domain: str
@@ -140,76 +145,76 @@
 
 
 class Dialect(Protocol):
-    """The names and formats of calls, answers and records."""
+    """The wire formats of calls and responses, and the format of stored records."""
 
     def read_call(self, head: RequestHead) -> Call | None:
-        """Read the facts of a call; None if it names no attempt."""
+        """Read the metadata of a call; None if it has no attempt ID."""
 
     def call_head(
         self, head: RequestHead, forwarding: Forwarding
     ) -> RequestHead:
-        """Write the head with which a call goes to a target."""
+        """Return the request head to send to a target."""
 
     def read_answer(self, head: ResponseHead) -> AnswerFacts:
-        """Read the facts of a target's answer."""
+        """Read the metadata of a target's response."""
 
     def answer_head(self, head: ResponseHead) -> ResponseHead:
-        """Write the head with which a target's answer goes to the caller."""
+        """Return the response head to send to the caller."""
 
     def refusal_head(
         self, status: int, retry_after_s: float | None
     ) -> ResponseHead:
-        """Write the head of an answer of the system's own."""
+        """Return the head of a response with which the gateway refuses a call."""
 
     def read_prefill(self, body: bytes) -> str | None:
-        """Read the handle of a prompt that was read; None if there is none."""
+        """Read the KV cache handle of a prefilled prompt; None if it is missing."""
 
     def read_configuration(self, text: str) -> FleetConfiguration:
-        """Read a whole configuration.
+        """Parse a complete configuration.
 
         Raises:
-            ConfigurationError: it cannot be read; the message names the field.
+            ConfigurationError: it is invalid; the message names the field.
         """
 
     def read_target(self, key: str, text: str) -> RegisteredTarget | None:
-        """Read an entry of the registry; None if it names no target."""
+        """Parse a registry entry; None if it describes no target."""
 
     @property
     def configuration_key(self) -> str:
-        """The key that holds the newest configuration."""
+        """The store key of the newest configuration."""
 
     @property
     def registry_prefix(self) -> str:
-        """The prefix under which targets enter themselves."""
+        """The store prefix under which targets register."""
 
 
 class Store(Protocol):
-    """The platform's store."""
+    """The key-value store of the platform."""
 
     def perform(self, action: Action) -> StoreResult:
-        """Carry out a store action; never raises for a failed call."""
+        """Perform a store action; a failed call is a result, not an exception."""
 
 
 class DutyClient(Protocol):
-    """Calls that only the holder of the duty may make."""
+    """Calls that only the holder of the lease on a duty may make."""
 
     def report_usage(
         self, counts: WindowCounts, stamp: DutyStamp
     ) -> DutyAnswer:
-        """Report a window."""
+        """Report the usage counts of a window."""
 
     def order_targets(self, order: TargetCount, stamp: DutyStamp) -> DutyAnswer:
-        """Order a number of targets."""
+        """Order the platform to run a number of targets."""
 
     def order_phase(self, order: PhaseOrder, stamp: DutyStamp) -> DutyAnswer:
         """Order an engine to change its phase."""
 
 
 class EngineClient(Protocol):
-    """Calls to engines that carry no caller's request."""
+    """Calls to engines that are not made for a caller."""
 
     def read_report(self, target: RegisteredTarget) -> EngineReport | None:
-        """Read an engine's report; None if it gave none."""
+        """Fetch the report of an engine; None if that fails."""
 
     def release_cache(self, cache: CacheSource) -> None:
-        """Free a prompt that nobody will use."""
+        """Free the KV cache of a prompt that is no longer needed."""
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -1,4 +1,4 @@
-"""A gateway as a process: its sockets, its tasks, its end."""
+"""The gateway process: listening sockets, background tasks, shutdown."""
 
 import signal
 from collections.abc import Callable
@@ -56,17 +56,17 @@
 from dandelionyoke_gateway._usage_tasks import CountsTask, UsageTask
 from dandelionyoke_links import listen, set_options
 
-# The balancer asks once a second and believes two misses in a row; until it
-# has, new callers still come and are served.
+# The load balancer checks the health once a second and removes an instance
+# after two failures in a row. Until then new callers connect and are served.
 BALANCER_NOTICE_S = 3.2
-# The process must be gone before it is killed, with its last words written.
+# The process must write its last records and exit before it is killed.
 GRACE_MARGIN_S = 0.8
 DRAIN_POLL_INTERVAL_S = 0.05
 ACCEPT_RETRY_DELAY_S = 0.05
 
 
 class Adapters:
-    """What an adapter builds for a gateway out of its settings and pool."""
+    """The implementations of the ports that a platform adapter provides."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
 
 
 class Gateway:
-    """Wires the tasks to their sockets and runs until it is asked to end."""
+    """Connects the tasks to their sockets and serves until shutdown."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         self._settings = settings
         self._metrics = Metrics()
         self._log = DecisionLog(sink, settings.instance_id, self._metrics)
-        self._status = green_event.Event()
+        self._exit_status = green_event.Event()
         self._connections: set[CallerConnection] = set()
         self._random = Random()
         self._knowledge = new_knowledge(settings, self._random)
@@ -110,7 +110,7 @@
             self._local_prefills, self._knowledge, self._log
         )
         self._limits = DomainRateLimits(self._knowledge, self._log)
-        self._desk = CallDesk(
+        self._call_desk = CallDesk(
             Tools(
                 self._knowledge,
                 self._adapters.dialect,
@@ -128,38 +128,38 @@
         self._counts = CountsTask(self._knowledge, self._adapters.store)
 
     def run(self) -> ExitStatus:
-        """Serve until asked to leave and all is finished."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._on_leave)
+        """Serve until a signal stops the process and all calls have ended."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, self._on_terminate)
         signal.signal(signal.SIGHUP, self._on_reload)
         peers = _listen(self._settings.peers)
-        self._serve(self._settings.health, self._answer_health)
-        self._serve(self._settings.metrics, self._answer_metrics)
-        self._serve(self._settings.callers, self._desk.handle)
+        self._listen_and_serve(self._settings.health, self._answer_health)
+        self._listen_and_serve(self._settings.metrics, self._answer_metrics)
+        self._listen_and_serve(self._settings.callers, self._call_desk.handle)
         self._start_tasks(peers)
         self._log.decide(
             'process.started', self._settings.instance_id, outcome='listening'
         )
-        status: ExitStatus = self._status.wait()
+        status: ExitStatus = self._exit_status.wait()
         return status
 
     def _start_tasks(self, peers: socket.socket) -> None:
-        parts = self._adapters
+        adapters = self._adapters
         knowledge, log = self._knowledge, self._log
         spawn = eventlet.spawn_n
-        self._start_knowledge(peers)
-        members = MemberTask(knowledge, parts.store, self._duty.take_members)
+        self._start_knowledge_tasks(peers)
+        members = MemberTask(knowledge, adapters.store, self._duty.take_members)
         spawn(members.run)
         spawn(self._crashes.run)
-        if parts.duties is None:
+        if adapters.duties is None:
             return
         spawn(self._duty.run)
         spawn(self._counts.run)
         usage = UsageTask(
             knowledge,
-            parts.store,
+            adapters.store,
             self._duty,
-            parts.duties,
+            adapters.duties,
             log,
         )
         spawn(usage.run)
@@ -167,21 +167,21 @@
         phases = PhaseTask(
             knowledge,
             self._duty,
-            parts.duties,
-            parts.engines,
+            adapters.duties,
+            adapters.engines,
             changes,
             log,
         )
         spawn(phases.run)
         counts = EngineCountTask(
-            knowledge, self._duty, parts.duties, changes, log
+            knowledge, self._duty, adapters.duties, changes, log
         )
         spawn(counts.run)
 
-    def _start_knowledge(self, peers: socket.socket) -> None:
-        """Start what reads the store, or asks a node that reads it."""
-        parts, knowledge, log = self._adapters, self._knowledge, self._log
-        dialect, store = parts.dialect, parts.store
+    def _start_knowledge_tasks(self, peers: socket.socket) -> None:
+        """Start the tasks that read the store or ask a node that reads it."""
+        adapters, knowledge, log = self._adapters, self._knowledge, self._log
+        dialect, store = adapters.dialect, adapters.store
         pace = PaceSettings()
         reliance = Reliance(knowledge, RelianceSettings())
         configurations = ConfigurationKeeper(knowledge, dialect, log)
@@ -200,7 +200,7 @@
         self._start_links(peers, news_task)
 
     def _start_links(self, peers: socket.socket, news_task: NewsTask) -> None:
-        """Answer other nodes, and ask them for news and for engines."""
+        """Serve other nodes and query them for updates and prefill engines."""
         prefills = PrefillLinks(
             self._prefills,
             self._local_prefills,
@@ -220,7 +220,7 @@
 
     # Callers.
 
-    def _serve(self, endpoint: Endpoint, handler: Handler) -> None:
+    def _listen_and_serve(self, endpoint: Endpoint, handler: Handler) -> None:
         listener = _listen(endpoint)
         eventlet.spawn_n(self._accept, listener, handler)
 
@@ -228,9 +228,10 @@
         while True:
             try:
                 sock, _ = listener.accept()
-            except OSError as full:
-                # Out of descriptors, most likely: those in use come back.
-                self._log.decide('accept.failed', 'listener', cause=str(full))
+            except OSError as error:
+                # Usually the process is out of file descriptors; they become
+                # free again as connections close.
+                self._log.decide('accept.failed', 'listener', cause=str(error))
                 eventlet.sleep(ACCEPT_RETRY_DELAY_S)
                 continue
             eventlet.spawn_n(self._serve_connection, sock, handler)
@@ -241,7 +242,7 @@
         try:
             set_options(sock)
         except OSError:
-            # The caller left between its connection and this line.
+            # The caller disconnected right after the accept.
             sock.close()
             return
         connection = CallerConnection(
@@ -262,62 +263,64 @@
     def _answer_metrics(
         self, request: CallerRequest, responder: Responder
     ) -> None:
-        kind = ('content-type', 'text/plain; version=0.0.4')
-        responder.respond(ResponseHead(200, (kind,)), self._metrics.text())
+        content_type = ('content-type', 'text/plain; version=0.0.4')
+        responder.respond(
+            ResponseHead(200, (content_type,)), self._metrics.text()
+        )
 
-    # Signals and the end.
+    # Signals and shutdown.
 
-    def _on_leave(self, number: int, frame: object) -> None:
+    def _on_terminate(self, signal_number: int, frame: object) -> None:
         if self._knowledge.departure.is_leaving:
-            self._finish(ExitStatus.CUT)
+            self._stop(ExitStatus.CUT)
             return
         self._knowledge.departure.begin(clock_s())
-        eventlet.spawn_n(self._leave)
+        eventlet.spawn_n(self._drain)
 
-    def _on_reload(self, number: int, frame: object) -> None:
-        # Addresses and bounds of a running process do not change; a new
-        # start reads the file again. Nothing is cut.
+    def _on_reload(self, signal_number: int, frame: object) -> None:
+        # The settings of a running process do not change; they are read
+        # again at the next start. No call is cut off.
         eventlet.spawn_n(
             self._log.decide, 'process.reloaded', self._settings.instance_id
         )
 
-    def _leave(self) -> None:
-        began_s = clock_s()
+    def _drain(self) -> None:
+        started_s = clock_s()
         self._log.decide('process.leaving', self._settings.instance_id)
         self._duty.leave()
         eventlet.sleep(BALANCER_NOTICE_S)
-        last_s = began_s + self._settings.grace_s - GRACE_MARGIN_S
-        while self._knowledge.in_progress and clock_s() < last_s:
-            self._close_idle()
+        deadline_s = started_s + self._settings.grace_s - GRACE_MARGIN_S
+        while self._knowledge.in_progress and clock_s() < deadline_s:
+            self._close_idle_connections()
             eventlet.sleep(DRAIN_POLL_INTERVAL_S)
-        self._close_idle()
+        self._close_idle_connections()
         self._counts.finish()
         is_clean = not self._knowledge.in_progress
-        self._finish(ExitStatus.OK if is_clean else ExitStatus.CUT)
+        self._stop(ExitStatus.OK if is_clean else ExitStatus.CUT)
 
-    def _close_idle(self) -> None:
+    def _close_idle_connections(self) -> None:
         for connection in tuple(self._connections):
             connection.close_if_idle()
 
-    def _finish(self, status: ExitStatus) -> None:
-        if not self._status.ready():
+    def _stop(self, status: ExitStatus) -> None:
+        if not self._exit_status.ready():
             self._log.decide(
                 'process.stopped',
                 self._settings.instance_id,
                 outcome=status.name,
                 in_progress=self._knowledge.in_progress,
             )
-            self._status.send(status)
+            self._exit_status.send(status)
 
 
 def _listen(endpoint: Endpoint) -> socket.socket:
     """Open a listening socket.
 
     Raises:
-        AddressError: the address is taken, or not one of this machine.
+        AddressError: the address is in use or not local to this machine.
     """
     try:
         return listen(endpoint.host, endpoint.port)
-    except OSError as taken:
+    except OSError as error:
         address = f'{endpoint.host}:{endpoint.port}'
-        raise AddressError(address, taken) from taken
+        raise AddressError(address, error) from error
