--- a/tests/gateway/settings.py
+++ b/tests/gateway/settings.py
@@ -1,24 +1,25 @@
-"""Settings of a gateway that no test connects to anything."""
+"""Gateway settings for tests that open no connections."""
 
 import attrs
 
 from dandelionyoke_gateway import GatewaySettings
 from dandelionyoke_gateway._settings import Endpoint
 
-NOWHERE = Endpoint('127.0.0.1', 0)
+UNUSED_ENDPOINT = Endpoint('127.0.0.1', 0)
 
 
 def new_settings(instance_id: str = 'n-1') -> GatewaySettings:
+    """Return gateway settings for an instance ID."""
     return attrs.evolve(_SETTINGS, instance_id=instance_id)
 
 
 _SETTINGS = GatewaySettings(
     instance_id='n-1',
     domain='a',
-    callers=NOWHERE,
-    health=NOWHERE,
-    metrics=NOWHERE,
-    peers=NOWHERE,
+    callers=UNUSED_ENDPOINT,
+    health=UNUSED_ENDPOINT,
+    metrics=UNUSED_ENDPOINT,
+    peers=UNUSED_ENDPOINT,
     store_address='127.0.0.1:1',
     duty_address=None,
     revocation_s=5.0,
--- a/tests/gateway/test_event_stream.py
+++ b/tests/gateway/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events only."""
+"""Tests of splitting a stream into complete events."""
 
 import testtools
 
@@ -10,11 +10,11 @@
         super().setUp()
         self.splitter = EventSplitter()
 
-    def test_events_are_passed_on_when_they_are_whole(self) -> None:
-        """A target stops in the middle of an event.
+    def test_returns_only_complete_events(self) -> None:
+        """Guards against forwarding half an event when a target fails.
 
-        Half an event, joined to the stream of another target, would be one
-        that nobody sent.
+        Joined with the stream of the next target, it would form an event that
+        no target sent.
         """
         events = self.splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
         self.assertEqual(['1'], [event.event_id for event in events])
@@ -23,6 +23,6 @@
         self.assertEqual(b'id: 2\ndata: b\n\n', events[0].content)
         self.assertTrue(self.splitter.is_at_event_boundary)
 
-    def test_several_events_in_one_piece(self) -> None:
+    def test_splits_several_events_in_one_chunk(self) -> None:
         events = self.splitter.feed(b'id:1\n\nid:2\r\n\r\ndata: x\n\n')
         self.assertEqual(['1', '2', None], [event.event_id for event in events])
--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -1,4 +1,4 @@
-"""Logs that never hold calls up."""
+"""Tests of the decision log, which must not block calls."""
 
 import json
 import os
@@ -27,10 +27,10 @@
         except BlockingIOError:
             return ''
 
-    def test_a_reader_that_stands_still_holds_nothing_up(self) -> None:
-        """Whoever collects the log stops reading, and the pipe is full.
+    def test_a_stalled_reader_does_not_block_the_log(self) -> None:
+        """Guards against a full log pipe that blocks all calls.
 
-        Had the process waited, all its callers would have waited with it.
+        The log collector stops reading, so that the pipe fills up.
         """
         for _ in range(80):
             self.log.decide('call.refused', 'a1', cause='x' * 3000)
@@ -42,7 +42,7 @@
         self.assertEqual('a2', last['subject'])
         self.assertGreater(last['left_out'], 0)
 
-    def test_a_storm_is_bounded_and_counted(self) -> None:
+    def test_a_burst_is_rate_limited_and_counted(self) -> None:
         for _ in range(MAX_LINES_PER_S * 3):
             self.log.decide('call.refused', 'a1')
         lines = self.read().splitlines()
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a gateway, checked as a whole."""
+"""Tests of reading and validating the gateway settings."""
 
 import pathlib
 
@@ -10,15 +10,15 @@
 TEMPLATE = pathlib.Path(__file__).parents[2] / 'platform' / 'settings.ini'
 
 
-def filled(**options: str) -> str:
-    """Fill the template in, each placeholder with a value that fits."""
+def fill_template(**options: str) -> str:
+    """Fill each placeholder of the template with a valid value."""
     lines = []
     for line in TEMPLATE.read_text().splitlines():
-        name, _, rest = line.partition(' = ')
-        if rest:
-            given = 'n-1' if name in {'instance_id', 'domain'} else '4'
+        name, _, placeholder = line.partition(' = ')
+        if placeholder:
+            value = 'n-1' if name in {'instance_id', 'domain'} else '4'
             if name.endswith('address') or name == 'address':
-                given = '10.0.0.1:80'
+                value = '10.0.0.1:80'
             line = f'{name} = {options.get(name, given)}'
         lines.append(line)
     return '\n'.join(lines)
@@ -26,21 +26,25 @@
 
 class SettingsTest(testtools.TestCase):
     def test_the_template_has_all_options(self) -> None:
-        """Guards against a template that leaves an option to its default."""
-        settings = read_settings(filled(processors='3', processor_share='0.7'))
+        """Guards against an option that is missing from the template."""
+        settings = read_settings(
+            fill_template(processors='3', processor_share='0.7')
+        )
         self.assertEqual(
             (3, 0.7), (settings.processors, settings.processor_share)
         )
 
-    def test_a_wrong_processor_share_is_named(self) -> None:
-        """Guards against a node that ranks itself by nonsense."""
-        raised = self.assertRaises(
-            SettingsError, read_settings, filled(processor_share='much')
+    def test_an_invalid_processor_share_is_named_in_the_error(self) -> None:
+        """Guards against a node that ranks itself by an invalid capacity."""
+        error = self.assertRaises(
+            SettingsError, read_settings, fill_template(processor_share='much')
         )
-        self.assertIn('processor_share', str(raised))
+        self.assertIn('processor_share', str(error))
 
-    def test_one_whole_processor_is_the_default(self) -> None:
-        settings = read_settings(filled(processors='', processor_share=''))
+    def test_the_default_is_one_full_processor(self) -> None:
+        settings = read_settings(
+            fill_template(processors='', processor_share='')
+        )
         self.assertEqual(
             (1, 1), (settings.processors, settings.processor_share)
         )
--- a/tests/gateway/test_target_connection.py
+++ b/tests/gateway/test_target_connection.py
@@ -1,4 +1,4 @@
-"""One exchange with a target whose connection does not behave."""
+"""Tests of exchanges with targets that fail or misbehave."""
 
 import errno
 import os
@@ -17,7 +17,7 @@
 HEAD = RequestHead('POST', '/a/b', (('host', 'h'),))
 WAIT_S = 5.0
 
-# Sends a request and lives on until it is killed.
+# Sends a request and then sleeps until it is killed.
 SENDER = """
 import sys, time
 from dandelionyoke_gateway import RequestHead
@@ -32,7 +32,7 @@
 
 
 def read_request(sock: socket.socket) -> bytes:
-    """Read a request with its body."""
+    """Read a request and return its body."""
     content = b''
     while b'\r\n\r\n' not in content:
         content += sock.recv(65536)
@@ -52,26 +52,26 @@
     sock.close()
 
 
-class GivenUpSocket:
-    """A socket whose keepalive probes had no answer."""
+class TimedOutSocket:
+    """A socket of which the keepalive probes timed out."""
 
     def __init__(self) -> None:
         self.fd = self
 
-    def recv(self, most_bytes: int) -> bytes:
-        """Fail as the kernel does."""
+    def recv(self, max_bytes: int) -> bytes:
+        """Raise the error of the kernel."""
         raise TimeoutError(errno.ETIMEDOUT, os.strerror(errno.ETIMEDOUT))
 
 
 def _read_to_end(sock: socket.socket) -> None:
-    """Read all that comes; raise what broke the connection off."""
+    """Read until the end; raise the error that broke the connection."""
     while receive(sock, 65536, WAIT_S):
         continue
 
 
 class TargetConnectionTest(testtools.TestCase):
     def exchange(self, script: Script) -> TargetConnection:
-        """Connect to a server that plays a script on one connection."""
+        """Connect to a server that runs `script` on one connection."""
         listener = eventlet.listen(('127.0.0.1', 0))
         self.addCleanup(listener.close)
 
@@ -86,17 +86,19 @@
         self.addCleanup(connection.close)
         return connection
 
-    def body(self, connection: TargetConnection, sent: bytes = b'x') -> bytes:
-        until_s = clock_s() + WAIT_S
-        connection.send(HEAD, sent)
-        connection.read_head(until_s)
-        return connection.read_body(until_s, 1 << 20)
+    def body(
+        self, connection: TargetConnection, request_body: bytes = b'x'
+    ) -> bytes:
+        deadline_s = clock_s() + WAIT_S
+        connection.send(HEAD, request_body)
+        connection.read_head(deadline_s)
+        return connection.read_body(deadline_s, 1 << 20)
 
-    def test_an_unframed_answer_that_is_reset_is_not_whole(self) -> None:
-        """A target crashes while it sends an answer without a length.
+    def test_a_reset_unframed_response_is_incomplete(self) -> None:
+        """Guards against passing a truncated response as complete.
 
-        Its reset is the only sign that the answer is cut. Taken for the end,
-        the caller would get half an answer as a whole one.
+        A target crashes while it sends a response without a length. The reset
+        is the only sign that the response is cut off.
         """
 
         def script(sock: socket.socket) -> None:
@@ -108,7 +110,7 @@
         with testtools.ExpectedException(ExchangeError):
             self.body(self.exchange(script))
 
-    def test_an_unframed_answer_ends_with_its_connection(self) -> None:
+    def test_an_unframed_response_ends_at_connection_close(self) -> None:
         def script(sock: socket.socket) -> None:
             read_request(sock)
             sock.sendall(b'HTTP/1.1 200 OK\r\n\r\nall of it')
@@ -116,31 +118,32 @@
 
         self.assertEqual(b'all of it', self.body(self.exchange(script)))
 
-    def test_bytes_behind_an_answer_end_its_connection(self) -> None:
-        """A target sends a second answer that nobody asked for.
+    def test_bytes_after_a_response_prevent_reuse(self) -> None:
+        """Guards against passing one caller the response of another.
 
-        Were the connection used again, the next caller would get it.
+        A target sends a second response without a request. If the connection
+        were reused, the next caller would receive it.
         """
 
         def script(sock: socket.socket) -> None:
             read_request(sock)
-            answer = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
-            sock.sendall(answer + answer)
+            response = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
+            sock.sendall(response + response)
             eventlet.sleep(WAIT_S)
 
         connection = self.exchange(script)
         self.assertEqual(b'ok', self.body(connection))
         self.assertFalse(connection.prepare_reuse() and connection.is_healthy())
 
-    def test_late_bytes_end_an_idle_connection(self) -> None:
-        """The second answer comes only when the connection is idle."""
+    def test_late_bytes_prevent_reuse_of_an_idle_connection(self) -> None:
+        """Guards against reuse after input arrived on an idle connection."""
 
         def script(sock: socket.socket) -> None:
             read_request(sock)
-            answer = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
-            sock.sendall(answer)
+            response = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
+            sock.sendall(response)
             eventlet.sleep(0.05)
-            sock.sendall(answer)
+            sock.sendall(response)
             eventlet.sleep(WAIT_S)
 
         connection = self.exchange(script)
@@ -150,11 +153,13 @@
         eventlet.sleep(0.2)
         self.assertFalse(connection.is_healthy())
 
-    def test_an_early_answer_does_not_leave_half_a_body_behind(self) -> None:
-        """A target answers before it has read a long body.
+    def test_an_early_response_prevents_reuse_with_a_partly_sent_body(
+        self,
+    ) -> None:
+        """Guards against reuse while a request body is partly unsent.
 
-        The rest of that body is still to be sent; the connection must not
-        take another request in its place.
+        A target responds before it has read a long body. The rest of that body
+        is still to be sent, so the connection must not carry another request.
         """
 
         def script(sock: socket.socket) -> None:
@@ -166,19 +171,19 @@
         self.assertEqual(b'no', self.body(connection, b'x' * (16 << 20)))
         self.assertFalse(connection.prepare_reuse())
 
-    def test_a_body_beyond_the_kernels_buffer_arrives_whole(self) -> None:
-        """Guards against long requests that time out half sent."""
+    def test_a_body_larger_than_the_send_buffer_arrives_complete(self) -> None:
+        """Guards against large requests that time out partly sent."""
 
         def script(sock: socket.socket) -> None:
             size = len(read_request(sock))
-            answer = f'HTTP/1.1 200 OK\r\n\r\n{size}'
-            sock.sendall(answer.encode())
+            response = f'HTTP/1.1 200 OK\r\n\r\n{size}'
+            sock.sendall(response.encode())
             sock.close()
 
         connection = self.exchange(script)
         self.assertEqual(b'16777216', self.body(connection, b'x' * (16 << 20)))
 
-    def test_a_silent_target_ends_with_the_time_of_the_call(self) -> None:
+    def test_a_silent_target_times_out_at_the_deadline(self) -> None:
         def script(sock: socket.socket) -> None:
             read_request(sock)
             eventlet.sleep(WAIT_S)
@@ -190,9 +195,9 @@
         )
         self.assertEqual('no response in time', error.cause)
 
-    def test_a_connection_that_the_kernel_gave_up_is_told_apart(self) -> None:
-        """Guards against late orders whose log does not tell what ended them."""
-        connection = TargetConnection('127.0.0.1:1', GivenUpSocket())
+    def test_a_connection_aborted_by_the_kernel_has_its_own_cause(self) -> None:
+        """Guards against a log that hides why an order was delayed."""
+        connection = TargetConnection('127.0.0.1:1', TimedOutSocket())
         error = self.assertRaises(
             ExchangeError, connection.read_head, clock_s() + WAIT_S
         )
@@ -201,11 +206,12 @@
             error.cause,
         )
 
-    def test_what_was_given_up_never_arrives(self) -> None:
-        """An order waits behind a cut link while its holder loses the duty.
+    def test_bytes_of_a_closed_connection_never_arrive(self) -> None:
+        """Guards against an order that arrives after its lease was lost.
 
-        Closed in the usual way, its bytes would arrive once the link has
-        healed, after an order of the next holder.
+        An order is held back by a network partition while its sender loses
+        the duty. After a normal close its bytes would arrive when the
+        partition ends, after an order of the next holder.
         """
         received: list[bytes | OSError] = []
 
@@ -230,8 +236,8 @@
         eventlet.sleep(0.6)
         self.assertIsInstance(received[-1], ConnectionResetError)
 
-    def test_what_a_killed_process_sent_never_arrives(self) -> None:
-        """Guards against orders that outlive their killed holder."""
+    def test_bytes_of_a_killed_process_never_arrive(self) -> None:
+        """Guards against orders that arrive after their sender was killed."""
         listener = eventlet.listen(('127.0.0.1', 0))
         self.addCleanup(listener.close)
         host, port = listener.getsockname()
