--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -7,15 +7,6 @@
     AddressError as AddressError,
     ExchangeError as ExchangeError,
 )
-from dandelionyoke_gateway._json_fields import (
-    Fields as Fields,
-    ShapeError as ShapeError,
-    mapping_of as mapping_of,
-    number_of as number_of,
-    objects_of as objects_of,
-    text_of as text_of,
-    whole_of as whole_of,
-)
 from dandelionyoke_gateway._log import (
     DescriptorSink as DescriptorSink,
     LineSink as LineSink,
@@ -48,6 +39,15 @@
     GatewaySettings as GatewaySettings,
     read_settings as read_settings,
 )
+from dandelionyoke_gateway._shapes import (
+    Fields as Fields,
+    ShapeError as ShapeError,
+    mapping_of as mapping_of,
+    number_of as number_of,
+    objects_of as objects_of,
+    text_of as text_of,
+    whole_of as whole_of,
+)
 from dandelionyoke_gateway._status import (
     ExitStatus as ExitStatus,
 )
--- a/packages/gateway/dandelionyoke_gateway/_caller_connection.py
+++ b/packages/gateway/dandelionyoke_gateway/_caller_connection.py
@@ -238,13 +238,13 @@
         self._sock.settimeout(max(0.001, deadline_s - clock_s()))
         try:
             content = self._sock.recv(READ_BYTES)
-        except TimeoutError as error:
+        except TimeoutError as timeout:
             if is_idle:
                 return False
             raise InvalidRequestError(
                 f'{part} of the request was not received in time',
                 HTTPStatus.REQUEST_TIMEOUT,
-            ) from error
+            ) from timeout
         except OSError as error:
             raise CallerDisconnectedError from error
         if not content and not is_idle:
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -24,11 +24,11 @@
 from dandelionyoke_gateway._ports import (
     AnswerFacts,
 )
-from dandelionyoke_gateway._prompt_prefiller import (
+from dandelionyoke_gateway._prompt_reader import (
     PrefilledPrompt,
     PromptPrefiller,
 )
-from dandelionyoke_gateway._stream_call_state import (
+from dandelionyoke_gateway._stream_tries import (
     RetryableError,
     StreamCallState,
 )
--- a/packages/gateway/dandelionyoke_gateway/_target_connection.py
+++ b/packages/gateway/dandelionyoke_gateway/_target_connection.py
@@ -181,10 +181,10 @@
             self._parser.receive_data(
                 receive(self._sock, READ_BYTES, remaining_s)
             )
-        except TimeoutError as error:
+        except TimeoutError as timeout:
             raise ExchangeTimeoutError(
-                _timeout_cause(error), sent=True
-            ) from error
+                _timeout_cause(timeout), sent=True
+            ) from timeout
         except OSError as error:
             raise ExchangeError(f'{error}', sent=True) from error
 
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -19,7 +19,7 @@
             value = 'n-1' if name in {'instance_id', 'domain'} else '4'
             if name.endswith('address') or name == 'address':
                 value = '10.0.0.1:80'
-            line = f'{name} = {options.get(name, given)}'
+            line = f'{name} = {options.get(name, value)}'
         lines.append(line)
     return '\n'.join(lines)
 
