--- a/packages/gateway/dandelionyoke_gateway/_caller_connection.py
+++ b/packages/gateway/dandelionyoke_gateway/_caller_connection.py
@@ -242,7 +242,7 @@
             if is_idle:
                 return False
             raise InvalidRequestError(
-                f'{part} of the request was not received in time',
+                f'{part} of the request did not come in time',
                 HTTPStatus.REQUEST_TIMEOUT,
             ) from timeout
         except OSError as error:
@@ -267,7 +267,7 @@
     def _check_size(self, size: int) -> None:
         if size > self._limits.max_body_bytes:
             raise InvalidRequestError(
-                f'the body is larger than {self._limits.max_body_bytes} bytes',
+                f'the body is over {self._limits.max_body_bytes} bytes',
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             )
 
--- a/packages/gateway/dandelionyoke_gateway/_errors.py
+++ b/packages/gateway/dandelionyoke_gateway/_errors.py
@@ -15,7 +15,7 @@
 
 
 class ExchangeTimeoutError(ExchangeError):
-    """The deadline passed before the response was complete."""
+    """The exchange timed out before the response was complete."""
 
 
 class AddressError(Exception):
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -102,30 +102,32 @@
         self._knowledge = new_knowledge(settings, self._random)
         pool = TargetPool()
         self._adapters = factory(settings, pool)
-        self._crashes = CrashTask(
+        self._crash_task = CrashTask(
             self._knowledge, self._adapters.store, self._log
         )
-        self._local_prefills = LocalPrefillQueue(self._knowledge)
-        self._prefills = DomainPrefillQueue(
-            self._local_prefills, self._knowledge, self._log
+        self._local_prefill_queue = LocalPrefillQueue(self._knowledge)
+        self._prefill_queue = DomainPrefillQueue(
+            self._local_prefill_queue, self._knowledge, self._log
         )
-        self._limits = DomainRateLimits(self._knowledge, self._log)
+        self._rate_limits = DomainRateLimits(self._knowledge, self._log)
         self._call_desk = CallDesk(
             Tools(
                 self._knowledge,
                 self._adapters.dialect,
                 pool,
                 self._adapters.engines,
-                self._prefills,
-                self._limits,
+                self._prefill_queue,
+                self._rate_limits,
                 self._log,
-                self._crashes.suspect,
+                self._crash_task.suspect,
             ),
             carry_plain,
             carry_stream,
         )
-        self._duty = DutyTask(self._knowledge, self._adapters.store, self._log)
-        self._counts = CountsTask(self._knowledge, self._adapters.store)
+        self._duty_task = DutyTask(
+            self._knowledge, self._adapters.store, self._log
+        )
+        self._counts_task = CountsTask(self._knowledge, self._adapters.store)
 
     def run(self) -> ExitStatus:
         """Serve until a signal stops the process and all calls have ended."""
@@ -148,17 +150,19 @@
         knowledge, log = self._knowledge, self._log
         spawn = eventlet.spawn_n
         self._start_knowledge_tasks(peers)
-        members = MemberTask(knowledge, adapters.store, self._duty.take_members)
+        members = MemberTask(
+            knowledge, adapters.store, self._duty_task.take_members
+        )
         spawn(members.run)
-        spawn(self._crashes.run)
+        spawn(self._crash_task.run)
         if adapters.duties is None:
             return
-        spawn(self._duty.run)
-        spawn(self._counts.run)
+        spawn(self._duty_task.run)
+        spawn(self._counts_task.run)
         usage = UsageTask(
             knowledge,
             adapters.store,
-            self._duty,
+            self._duty_task,
             adapters.duties,
             log,
         )
@@ -166,17 +170,17 @@
         changes = FleetChanges()
         phases = PhaseTask(
             knowledge,
-            self._duty,
+            self._duty_task,
             adapters.duties,
             adapters.engines,
             changes,
             log,
         )
         spawn(phases.run)
-        counts = EngineCountTask(
-            knowledge, self._duty, adapters.duties, changes, log
+        engine_counts = EngineCountTask(
+            knowledge, self._duty_task, adapters.duties, changes, log
         )
-        spawn(counts.run)
+        spawn(engine_counts.run)
 
     def _start_knowledge_tasks(self, peers: socket.socket) -> None:
         """Start the tasks that read the store or ask a node that reads it."""
@@ -201,9 +205,9 @@
 
     def _start_links(self, peers: socket.socket, news_task: NewsTask) -> None:
         """Serve other nodes and query them for updates and prefill engines."""
-        prefills = PrefillLinks(
-            self._prefills,
-            self._local_prefills,
+        prefill_links = PrefillLinks(
+            self._prefill_queue,
+            self._local_prefill_queue,
             self._knowledge.loads,
             self._log,
         )
@@ -211,8 +215,8 @@
             serve_news,
             peers,
             news_task,
-            prefills,
-            SourceParts(self._limits, self._knowledge, self._log),
+            prefill_links,
+            SourceParts(self._rate_limits, self._knowledge, self._log),
             self._knowledge,
             self._adapters.store,
             self._log,
@@ -287,14 +291,14 @@
     def _drain(self) -> None:
         started_s = clock_s()
         self._log.decide('process.leaving', self._settings.instance_id)
-        self._duty.leave()
+        self._duty_task.leave()
         eventlet.sleep(BALANCER_NOTICE_S)
         deadline_s = started_s + self._settings.grace_s - GRACE_MARGIN_S
         while self._knowledge.in_progress and clock_s() < deadline_s:
             self._close_idle_connections()
             eventlet.sleep(DRAIN_POLL_INTERVAL_S)
         self._close_idle_connections()
-        self._counts.finish()
+        self._counts_task.finish()
         is_clean = not self._knowledge.in_progress
         self._stop(ExitStatus.OK if is_clean else ExitStatus.CUT)
 
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -70,7 +70,9 @@
         self._tools = state.tools
         self._knowledge = state.tools.knowledge
         self._context = state.context
-        self._watch = self._knowledge.watch_of(self._context.service.name)
+        self._service_stats = self._knowledge.watch_of(
+            self._context.service.name
+        )
         # Whether a prefill request was sent to an engine.
         self.has_sent_prefill = False
 
@@ -108,7 +110,7 @@
         try:
             return self._tools.prefills.enter(request)
         except TooLateError as error:
-            self._watch.strain.turned_away(clock_s())
+            self._service_stats.strain.turned_away(clock_s())
             refusal = Refusal(Cause.TOO_LATE, error.retry_after_s)
             raise RefusedError(refusal) from error
 
@@ -150,10 +152,10 @@
 
     def _slow_fetch_s(self, prompt: Prompt) -> float:
         expected_s = (
-            self._watch.pace.found.expected_s(prompt.token_count) or 0.0
+            self._service_stats.pace.found.expected_s(prompt.token_count) or 0.0
         )
         return max(
-            SLOW_FETCH_MEAN_FACTOR * self._watch.line.mean_s,
+            SLOW_FETCH_MEAN_FACTOR * self._service_stats.line.mean_s,
             SLOW_FETCH_GOAL_SHARE * self._context.route.goal_s,
             SLOW_FETCH_PREFILL_FACTOR * expected_s,
         )
@@ -167,7 +169,9 @@
         prefills all tokens at the speed for uncached tokens, however fast the
         prefill engines are with the prefixes that they cache.
         """
-        prefill_s = self._watch.pace.unkept.expected_s(prompt.token_count)
+        prefill_s = self._service_stats.pace.unkept.expected_s(
+            prompt.token_count
+        )
         if prefill_s is None:
             return False
         return (
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -69,8 +69,8 @@
     def _send_with_retries(self) -> None:
         cause = Cause.NO_RETRY
         self._knowledge.budget.earn(clock_s())
-        for number in range(MAX_SENDS):
-            if number and not self._may_retry():
+        for attempt_index in range(MAX_SENDS):
+            if attempt_index and not self._may_retry():
                 break
             try:
                 self._send_once()
--- a/packages/gateway/dandelionyoke_gateway/_stream_tries.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_tries.py
@@ -42,13 +42,13 @@
         **inputs: str | float | None,
     ) -> None:
         """Log a decision about the call and a target."""
-        watch = self.tools.knowledge.watch_of(self.context.service.name)
+        stats = self.tools.knowledge.watch_of(self.context.service.name)
         self.tools.log.decide(
             decision,
             self.context.call.attempt_id,
             outcome=target.target_id,
             service=self.context.service.name,
-            line_s=watch.line.expected_wait_s(),
+            line_s=stats.line.expected_wait_s(),
             busy=self.tools.knowledge.loads.busy(target.target_id, clock_s()),
             **inputs,
         )
