--- a/packages/gateway/dandelionyoke_gateway/_errors.py
+++ b/packages/gateway/dandelionyoke_gateway/_errors.py
@@ -4,8 +4,8 @@
 class ExchangeError(Exception):
     """No complete response was received.
 
-    `sent` is False only if no byte of the request was sent, so that it
-    certainly did not run.
+    `sent` is False only if no byte of the request was sent, so that the
+    request certainly did not run.
     """
 
     def __init__(self, cause: str, *, sent: bool) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -193,7 +193,7 @@
         try:
             handle = self._exchange(target, head)
         except ExchangeError as error:
-            raise self._state.new_retryable_error(target, error) from error
+            raise self._state.record_failed_send(target, error) from error
         finally:
             loads.ended(target.target_id)
         if handle is None:
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -1,4 +1,4 @@
-"""Forwards a call whose response is a stream of events."""
+"""Forwards a call that is answered with a stream of events."""
 
 from http import HTTPStatus
 
@@ -149,7 +149,7 @@
             if error.sent:
                 # It is unknown whether the engine has imported the KV cache.
                 self._prompt = None
-            raise self._state.new_retryable_error(target, error) from error
+            raise self._state.record_failed_send(target, error) from error
         finally:
             loads.ended(target.target_id)
 
--- a/packages/gateway/dandelionyoke_gateway/_stream_tries.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_tries.py
@@ -26,10 +26,10 @@
         self.tried_ids: set[str] = set()
         self.last_event_id = context.call.last_event_id
 
-    def new_retryable_error(
+    def record_failed_send(
         self, target: RegisteredTarget, error: ExchangeError
     ) -> RetryableError:
-        """Record a failed send and return the error to raise."""
+        """Record a failed send; return the error to raise for a retry."""
         self.tried_ids.add(target.target_id)
         return RetryableError(
             record_failure(self.tools, self.context, target, error)
