--- a/tests/gateway/test_log.py
+++ b/tests/gateway/test_log.py
@@ -1,4 +1,4 @@
-"""Logs that never hold calls up."""
+"""Tests of the decision log, which must not block calls."""
 
 import json
 import os
@@ -7,7 +7,7 @@
 
 from dandelionyoke_core import Metrics
 from dandelionyoke_gateway import DescriptorSink
-from dandelionyoke_gateway._log import LINES_A_SECOND, DecisionLog
+from dandelionyoke_gateway._log import MAX_LINES_PER_S, DecisionLog
 
 
 class DecisionLogTest(testtools.TestCase):
@@ -27,10 +27,10 @@
         except BlockingIOError:
             return ''
 
-    def test_a_reader_that_stands_still_holds_nothing_up(self) -> None:
-        """Whoever collects the log stops reading, and the pipe is full.
+    def test_a_stalled_reader_does_not_block_the_log(self) -> None:
+        """Guards against a full log pipe that blocks all calls.
 
-        Had the process waited, all its callers would have waited with it.
+        The log collector stops reading, so that the pipe fills up.
         """
         for _ in range(80):
             self.log.decide('call.refused', 'a1', cause='x' * 3000)
@@ -42,12 +42,12 @@
         self.assertEqual('a2', last['subject'])
         self.assertGreater(last['left_out'], 0)
 
-    def test_a_storm_is_bounded_and_counted(self) -> None:
-        for _ in range(LINES_A_SECOND * 3):
+    def test_a_burst_is_rate_limited_and_counted(self) -> None:
+        for _ in range(MAX_LINES_PER_S * 3):
             self.log.decide('call.refused', 'a1')
         lines = self.read().splitlines()
-        self.assertLessEqual(len(lines), LINES_A_SECOND * 2)
+        self.assertLessEqual(len(lines), MAX_LINES_PER_S * 2)
         self.assertIn(
-            f'decisions_total{{label="call.refused"}} {LINES_A_SECOND * 3}',
+            f'decisions_total{{label="call.refused"}} {MAX_LINES_PER_S * 3}',
             self.metrics.text().decode(),
         )
