--- a/packages/links/dandelionyoke_links/__init__.py
+++ b/packages/links/dandelionyoke_links/__init__.py
@@ -1,4 +1,4 @@
-"""Links between the processes of dandelionyoke, and their sockets."""
+"""Authenticated links between processes, and socket helpers."""
 
 from dandelionyoke_links._peers import (
     PeerHub as PeerHub,
--- a/packages/links/dandelionyoke_links/_peers.py
+++ b/packages/links/dandelionyoke_links/_peers.py
@@ -1,7 +1,7 @@
-"""Links between entries: CBOR messages over WebSocket.
+"""Links between processes: CBOR messages over WebSocket.
 
-A link is symmetric once it is up, whoever opened it. Both ends prove that
-they know the fleet's secret before any message counts.
+An established link is symmetric, whichever end opened it. Both ends prove
+that they know the fleet's shared secret before any message is accepted.
 """
 
 import contextlib
@@ -39,57 +39,59 @@
 from dandelionyoke_links._sockets import set_options
 
 MAX_FRAME_BYTES = 1_048_576
-READ_BYTES = 65_536
+READ_SIZE_BYTES = 65_536
 CONNECT_TIMEOUT_S = 2.0
 HANDSHAKE_TIMEOUT_S = 5.0
 NONCE_BYTES = 16
-OUT_OF_ROOM = frozenset((errno.EMFILE, errno.ENFILE, errno.ECONNABORTED))
-ACCEPT_PAUSE_S = 0.05
+RETRYABLE_ACCEPT_ERRORS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED)
+)
+ACCEPT_RETRY_DELAY_S = 0.05
 
-# Messages waiting for a slow peer. Beyond it they are dropped: everything
-# shared is a versioned record that is offered again on the next link.
-MAX_OUTBOX = 1024
+# Maximum number of messages queued for a slow peer. Further ones are dropped:
+# all shared state is versioned records, offered again on the next link.
+MAX_QUEUED_MESSAGES = 1024
 
-_BROKEN = (OSError, WebSocketException, cbor2.CBORDecodeError, CodecError)
+_LINK_ERRORS = (OSError, WebSocketException, cbor2.CBORDecodeError, CodecError)
 
 Emit = Callable[[Event], None]
 
 
 class LinkError(OSError):
-    """The other end of a link does not follow the protocol."""
+    """The peer closed the link or violated the protocol."""
 
 
 @attrs.frozen
 class PeerSettings:
-    """Who this entry is towards its peers; the secret is never logged."""
+    """Own id and the shared secret, which is never logged."""
 
     instance_id: InstanceId
     secret: bytes = attrs.field(repr=False)
 
 
 class _Channel:
-    """WebSocket frames with CBOR mappings over one green socket."""
+    """WebSocket connection with CBOR mappings over one green socket."""
 
     def __init__(self, sock: socket.socket, protocol: Protocol) -> None:
         self._sock = sock
         self._protocol = protocol
-        # One read can end the opening handshake and hold frames as well.
+        # The read that completes the opening handshake may also contain frames.
         self._frames: list[Frame] = []
 
     def open_client(self) -> None:
-        """Send the opening handshake and wait for its answer."""
+        """Send the opening handshake and wait for the response."""
         if isinstance(self._protocol, ClientProtocol):
             self._protocol.send_request(self._protocol.connect())
         self.flush()
         while self._protocol.state is State.CONNECTING:
-            self._feed()
+            self._receive_data()
         if self._protocol.handshake_exc is not None:
             raise LinkError(str(self._protocol.handshake_exc))
 
     def open_server(self) -> None:
-        """Wait for the opening handshake and answer it."""
+        """Wait for the opening handshake and respond to it."""
         while self._protocol.state is State.CONNECTING:
-            for event in self._feed():
+            for event in self._receive_data():
                 if isinstance(event, Request) and isinstance(
                     self._protocol, ServerProtocol
                 ):
@@ -97,51 +99,51 @@
             self.flush()
 
     def send(self, mapping: Mapping[str, Any]) -> None:
-        """Send one mapping."""
+        """Send one mapping as a binary frame."""
         self._protocol.send_binary(cbor2.dumps(dict(mapping)))
         self.flush()
 
     def receive(self) -> list[Mapping[str, Any]]:
-        """Wait for whole mappings; return those that have arrived.
+        """Wait for at least one mapping; return all that have arrived.
 
         Raises:
-            LinkError: the link has ended or a frame is no mapping.
+            LinkError: the link has ended or a frame is not a mapping.
         """
         while not self._frames:
-            self._feed()
+            self._receive_data()
             self.flush()
         frames = tuple(self._frames)
         self._frames.clear()
-        return [_mapping(frame) for frame in frames]
+        return [_decode_frame(frame) for frame in frames]
 
     def flush(self) -> None:
-        """Send what the protocol has to say."""
-        for piece in self._protocol.data_to_send():
-            if piece:
-                self._sock.sendall(piece)
+        """Write the pending output of the protocol to the socket."""
+        for data in self._protocol.data_to_send():
+            if data:
+                self._sock.sendall(data)
 
-    def stop(self) -> None:
-        """Make both tasks of the link see its end.
+    def shut_down(self) -> None:
+        """Shut the socket down so that both tasks of the link end.
 
-        Closing here would leave a reader asleep on the old descriptor; the
-        task that reads closes the socket when it wakes.
+        Closing it here would leave the reader blocked on the old descriptor;
+        the reading task closes the socket when it wakes up.
         """
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Close the socket, which no other task waits on any more."""
+        """Close the socket; no other task may still wait on it."""
         self._sock.close()
 
     def set_timeout(self, timeout_s: float | None) -> None:
-        """Bound each wait on the socket."""
+        """Set the timeout of each wait on the socket."""
         self._sock.settimeout(timeout_s)
 
-    def _feed(self) -> list[Any]:
-        piece = self._sock.recv(READ_BYTES)
-        if not piece:
+    def _receive_data(self) -> list[Any]:
+        data = self._sock.recv(READ_SIZE_BYTES)
+        if not data:
             raise LinkError('the peer closed the link')
-        self._protocol.receive_data(piece)
+        self._protocol.receive_data(data)
         if self._protocol.parser_exc is not None:
             raise LinkError(str(self._protocol.parser_exc))
         events = self._protocol.events_received()
@@ -155,25 +157,25 @@
 
 @attrs.define(eq=False)
 class _Link:
-    """One proven link: a task that reads and a task that writes."""
+    """Authenticated link, with one task that reads and one that writes."""
 
     peer_id: InstanceId
     channel: _Channel
     outbox: queue.LightQueue = attrs.field(
-        factory=lambda: queue.LightQueue(MAX_OUTBOX)
+        factory=lambda: queue.LightQueue(MAX_QUEUED_MESSAGES)
     )
 
-    def write(self) -> None:
-        """Send what is put in the outbox until the link breaks."""
+    def send_queued(self) -> None:
+        """Send queued messages until the link fails."""
         try:
             while True:
                 self.channel.send(message_to_mapping(self.outbox.get()))
-        except _BROKEN:
-            self.channel.stop()
+        except _LINK_ERRORS:
+            self.channel.shut_down()
 
 
 class PeerHub:
-    """Owns the links of this entry and the socket that takes new ones."""
+    """Links of this process to its peers, both dialled and accepted."""
 
     def __init__(self, settings: PeerSettings, emit: Emit) -> None:
         self._settings = settings
@@ -181,34 +183,34 @@
         self._links: dict[InstanceId, list[_Link]] = {}
 
     def serve(self, listener: socket.socket) -> None:
-        """Take links from peers until the listener is closed."""
+        """Accept links from peers until the listener is closed."""
         while True:
             try:
                 sock, _ = listener.accept()
             except OSError as error:
-                if error.errno in OUT_OF_ROOM:
-                    # Descriptors in use come back.
-                    sleep(ACCEPT_PAUSE_S)
+                if error.errno in RETRYABLE_ACCEPT_ERRORS:
+                    # Descriptors are freed as other connections close.
+                    sleep(ACCEPT_RETRY_DELAY_S)
                     continue
                 return
             spawn_n(self._accept, sock)
 
     def connect(self, peer_id: InstanceId, address: str) -> None:
-        """Open a link to a peer and read it until it ends."""
+        """Open a link to a peer and emit its messages until it ends."""
         try:
             channel = _dial(address)
-        except _BROKEN as error:
+        except _LINK_ERRORS as error:
             self._emit(PeerDisconnected(peer_id, str(error)))
             return
-        self._run(channel, dialled=True, expected=peer_id)
+        self._run_link(channel, dialled=True, expected=peer_id)
 
     def disconnect(self, peer_id: InstanceId) -> None:
         """Close the links to a peer."""
         for link in tuple(self._links.get(peer_id, ())):
-            link.channel.stop()
+            link.channel.shut_down()
 
     def send(self, peer_id: InstanceId, message: PeerMessage) -> bool:
-        """Queue a message; False if there is no link or no room."""
+        """Queue a message; return False without a link or if its queue is full."""
         links = self._links.get(peer_id)
         if not links:
             return False
@@ -225,12 +227,12 @@
         try:
             set_options(sock)
             channel.open_server()
-        except _BROKEN:
+        except _LINK_ERRORS:
             channel.close()
             return
-        self._run(channel, dialled=False)
+        self._run_link(channel, dialled=False)
 
-    def _run(
+    def _run_link(
         self,
         channel: _Channel,
         *,
@@ -238,29 +240,29 @@
         expected: InstanceId | None = None,
     ) -> None:
         try:
-            peer_id = self._prove(channel, dialled=dialled)
-        except _BROKEN as error:
+            peer_id = self._authenticate(channel, dialled=dialled)
+        except _LINK_ERRORS as error:
             channel.close()
             if expected is not None:
                 self._emit(PeerDisconnected(expected, str(error)))
             return
         link = _Link(peer_id, channel)
         self._add(link)
-        writer = spawn(link.write)
-        cause = self._read(link)
+        writer = spawn(link.send_queued)
+        cause = self._emit_messages(link)
         writer.kill()
         channel.close()
-        self._drop(link, cause)
+        self._remove(link, cause)
 
-    def _read(self, link: _Link) -> str:
-        """Emit each message; return why the link ended."""
+    def _emit_messages(self, link: _Link) -> str:
+        """Emit each received message; return why the link ended."""
         link.channel.set_timeout(None)
         try:
             while True:
                 for mapping in link.channel.receive():
                     message = message_from_mapping(mapping)
                     self._emit(PeerMessageArrived(link.peer_id, message))
-        except _BROKEN as error:
+        except _LINK_ERRORS as error:
             return str(error)
 
     def _add(self, link: _Link) -> None:
@@ -269,30 +271,32 @@
         if len(links) == 1:
             self._emit(PeerConnected(link.peer_id))
 
-    def _drop(self, link: _Link, cause: str) -> None:
+    def _remove(self, link: _Link, cause: str) -> None:
         links = self._links[link.peer_id]
         links.remove(link)
         if not links:
             self._links.pop(link.peer_id)
             self._emit(PeerDisconnected(link.peer_id, cause))
 
-    def _prove(self, channel: _Channel, *, dialled: bool) -> InstanceId:
-        """Prove that this end knows the secret, and check the other one.
+    def _authenticate(self, channel: _Channel, *, dialled: bool) -> InstanceId:
+        """Authenticate both ends and return the id of the peer.
 
-        Each proof covers both nonces, the sender's name and who dialled, so
-        that a proof can be neither replayed nor sent back to its maker.
+        Each proof covers both nonces, the sender's id and which end dialled,
+        so that a proof can be neither replayed nor reflected to its sender.
         """
         channel.set_timeout(HANDSHAKE_TIMEOUT_S)
         nonce = secrets.token_bytes(NONCE_BYTES)
         own_id = self._settings.instance_id
         channel.send({'nonce': nonce, 'instance_id': own_id})
         hello, *rest = channel.receive()
-        nonces = _ordered(nonce, hello.get('nonce'), own_first=dialled)
+        nonces = _join_nonces(nonce, hello.get('nonce'), own_first=dialled)
         peer_id = InstanceId(str(hello.get('instance_id')))
         channel.send({'proof': self._proof(nonces, own_id, dialled=dialled)})
         answer = rest[0] if rest else channel.receive()[0]
         expected = self._proof(nonces, peer_id, dialled=not dialled)
-        if not hmac.compare_digest(expected, _bytes(answer.get('proof'))):
+        if not hmac.compare_digest(
+            expected, _require_bytes(answer.get('proof'))
+        ):
             raise LinkError('the peer does not know the secret')
         return peer_id
 
@@ -317,19 +321,19 @@
     return channel
 
 
-def _ordered(own: bytes, other: Any, *, own_first: bool) -> bytes:
-    sent = _bytes(other)
-    return own + sent if own_first else sent + own
+def _join_nonces(own: bytes, other: Any, *, own_first: bool) -> bytes:
+    peer_nonce = _require_bytes(other)
+    return own + peer_nonce if own_first else peer_nonce + own
 
 
-def _bytes(sent: Any) -> bytes:
-    if not isinstance(sent, bytes):
-        raise LinkError('the peer sent no proof')
-    return sent
+def _require_bytes(field: Any) -> bytes:
+    if not isinstance(field, bytes):
+        raise LinkError('the peer sent no valid nonce or proof')
+    return field
 
 
-def _mapping(frame: Frame) -> Mapping[str, Any]:
+def _decode_frame(frame: Frame) -> Mapping[str, Any]:
     decoded = cbor2.loads(bytes(frame.data))
     if not isinstance(decoded, dict):
-        raise LinkError('a frame is no mapping')
+        raise LinkError('a frame is not a mapping')
     return decoded
--- a/packages/links/dandelionyoke_links/_sockets.py
+++ b/packages/links/dandelionyoke_links/_sockets.py
@@ -1,46 +1,46 @@
-"""Options of sockets that keep silent connections from hanging."""
+"""Socket options and helpers that detect dead connections."""
 
 import struct
 
 from eventlet.green import socket
 from eventlet.hubs import trampoline
 
-# Between two ends that have lost track of each other no reset comes. The
-# probes show it after about KEEPALIVE_IDLE_S + KEEPALIVE_PROBES *
-# KEEPALIVE_INTERVAL_S, which lies below the least time limit of a caller. A
-# request that is not acknowledged shows it sooner: after UNACKNOWLEDGED_MS,
-# in which two lost packets in a row are sent again.
+# A connection that is lost without a reset is detected by keepalive probes
+# after about KEEPALIVE_IDLE_S + KEEPALIVE_PROBES * KEEPALIVE_INTERVAL_S, which
+# is below the minimum time limit of a caller. Unacknowledged data detects it
+# sooner, after USER_TIMEOUT_MS, which is long enough to retransmit two
+# consecutive lost packets.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-UNACKNOWLEDGED_MS = 1000
-BACKLOG = 1024
+USER_TIMEOUT_MS = 1000
+LISTEN_BACKLOG = 1024
 
-# The option's value that ends a connection with a reset: on, after no time.
-RESET = struct.pack('ii', 1, 0)
+# SO_LINGER value (on, 0 s) that makes closing send a reset.
+LINGER_RESET = struct.pack('ii', 1, 0)
 
 
 def set_options(sock: socket.socket) -> None:
-    """Send small writes at once, and notice a peer that is out of reach."""
+    """Disable Nagle's algorithm and detect unreachable peers."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    for option, amount in (
+    for option, value in (
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
         (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
         (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     ):
-        sock.setsockopt(socket.IPPROTO_TCP, option, amount)
+        sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
 def reset_at_end(sock: socket.socket) -> None:
-    """End a connection with a reset, also when its process is killed.
+    """Make a connection end with a reset, also when its process is killed.
 
-    Any other end leaves unsent bytes to the kernel. Behind a cut link they
-    would arrive seconds later: an order of a holder that has lost its duty
-    meanwhile, or a call that was given up.
+    Otherwise the kernel keeps trying to deliver unsent bytes. After a network
+    partition they would arrive seconds later: an order from a holder that has
+    lost its duty in the meantime, or a call that was given up.
     """
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
 
 
 def listen(host: str, port: int) -> socket.socket:
@@ -48,23 +48,23 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, port))
-    sock.listen(BACKLOG)
+    sock.listen(LISTEN_BACKLOG)
     return sock
 
 
-def receive(sock: socket.socket, most_bytes: int, timeout_s: float) -> bytes:
-    """Wait for bytes; an empty answer is the peer's proper end.
+def receive(sock: socket.socket, max_bytes: int, timeout_s: float) -> bytes:
+    """Wait for bytes; return b'' if the peer closed the connection in order.
 
     Raises:
-        TimeoutError: nothing came in time.
-        OSError: the connection broke off.
+        TimeoutError: nothing arrived within `timeout_s`.
+        OSError: the connection failed.
     """
-    # The green socket's own recv tells a reset as a proper end. An answer
-    # without a length that a crash cuts short would look whole, and the
-    # caller would take half of it for all.
+    # The green socket's own recv reports a reset as an orderly close. A
+    # response without a length that is truncated by a crash would then look
+    # complete, and the caller would accept a part of it as the whole.
     while True:
         try:
-            return bytes(sock.fd.recv(most_bytes))
+            return bytes(sock.fd.recv(max_bytes))
         except BlockingIOError:
             trampoline(
                 sock.fd, read=True, timeout=timeout_s, timeout_exc=TimeoutError
