--- a/packages/wire/dandelionyoke_wire/_platform.py
+++ b/packages/wire/dandelionyoke_wire/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's lists, target orders and usage reports."""
+"""Client for the platform's lists, target orders and usage reports."""
 
 from collections.abc import Callable, Mapping
 from http import HTTPStatus
@@ -31,7 +31,7 @@
 
 READ_TIMEOUT_S = 5.0
 
-_NO_ANSWER = (
+_CALL_ERRORS = (
     TransportError,
     KeyError,
     TypeError,
@@ -41,7 +41,7 @@
 
 
 class PlatformClient:
-    """Performs platform actions; what comes back is emitted as events."""
+    """Client that performs platform actions and emits results as events."""
 
     def __init__(self, base_url: str, emit: Callable[[Event], None]) -> None:
         self._base_url = base_url.rstrip('/')
@@ -49,36 +49,38 @@
         self._pool = new_pool()
 
     def list_targets(self) -> None:
-        """Read the list of targets."""
-        self._list('/targets', _targets_listed)
+        """Fetch the list of targets."""
+        self._emit_list('/targets', _parse_targets)
 
     def list_instances(self) -> None:
-        """Read the lagging list of entry instances."""
-        self._list('/instances', _instances_listed)
+        """Fetch the list of entry instances, which may be stale."""
+        self._emit_list('/instances', _parse_instances)
 
     def order_targets(self, action: SendTargetOrder, may_send: MaySend) -> None:
-        """Send an order if `may_send` still holds as its bytes leave."""
+        """Send an order; `may_send` is checked before each write."""
         state, cause = OrderState.UNKNOWN, ''
         try:
-            reply = self._guarded('/targets/orders', action.order, may_send)
+            reply = self._call_guarded(
+                '/targets/orders', action.order, may_send
+            )
             state = OrderState(reply.body['state'])
-        except _NO_ANSWER as error:
+        except _CALL_ERRORS as error:
             cause = str(error)
         self._emit(TargetOrderAnswered(action.order.order_id, state, cause))
 
     def submit_usage(self, action: SubmitUsage, may_send: MaySend) -> None:
-        """Report a window if `may_send` still holds as its bytes leave."""
+        """Report a usage window; `may_send` is checked before each write."""
         window = action.window
         accepted: bool | None = None
         try:
-            reply = self._guarded('/usage/windows', window, may_send)
+            reply = self._call_guarded('/usage/windows', window, may_send)
         except TransportError:
             accepted = None
         else:
             accepted = reply.status == HTTPStatus.OK
         self._emit(UsageAnswered(window.window_id, accepted))
 
-    def _guarded(
+    def _call_guarded(
         self,
         path: str,
         record: TargetOrder | UsageWindow,
@@ -92,13 +94,13 @@
             READ_TIMEOUT_S,
         )
 
-    def _list(
-        self, path: str, read: Callable[[Mapping[str, Any]], Event]
+    def _emit_list(
+        self, path: str, parse: Callable[[Mapping[str, Any]], Event]
     ) -> None:
         try:
             reply = self._call('GET', path, None)
-            event = read(reply.body)
-        except _NO_ANSWER as error:
+            event = parse(reply.body)
+        except _CALL_ERRORS as error:
             event = ListingFailed(f'{path}: {error}')
         self._emit(event)
 
@@ -114,9 +116,9 @@
         )
 
 
-def _targets_listed(body: Mapping[str, Any]) -> Event:
+def _parse_targets(body: Mapping[str, Any]) -> Event:
     return TargetsListed(structure(body['targets'], tuple[Target, ...]))
 
 
-def _instances_listed(body: Mapping[str, Any]) -> Event:
+def _parse_instances(body: Mapping[str, Any]) -> Event:
     return InstancesListed(structure(body['instances'], tuple[Instance, ...]))
--- a/packages/wire/dandelionyoke_wire/_store.py
+++ b/packages/wire/dandelionyoke_wire/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store, met through its HTTP dialect (docs/PROTOCOL.md)."""
+"""Client for the HTTP API of the platform's store (docs/PROTOCOL.md)."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -37,16 +37,16 @@
 
 READ_TIMEOUT_S = 5.0
 
-# A watch is answered after its wait; the network gets this much more.
+# Added to the wait of a watch to allow for network delay.
 WATCH_MARGIN_S = 5.0
 
 _EMPTY_BODY: Mapping[str, Any] = MappingProxyType({})
 
 
 class StoreClient:
-    """Performs one store action at a time and tells how it ended.
+    """Client that performs store actions and returns their results.
 
-    `perform` blocks; inside an entry each call runs in a green thread.
+    `perform` blocks; an entry runs each call in its own green thread.
     """
 
     def __init__(
@@ -60,13 +60,15 @@
         self._read_timeout_s = read_timeout_s
 
     def perform(self, action: Action) -> StoreResult:
-        """Carry out a store action; never raises for a failed call."""
+        """Perform a store action; a failed call returns StoreFailed."""
         try:
             return self._dispatch(action)
         except TransportError as error:
             return StoreFailed(error.cause, may_have_happened=error.sent)
         except (KeyError, TypeError, ValueError) as bad:
-            return StoreFailed(f'bad answer: {bad!r}', may_have_happened=True)
+            return StoreFailed(
+                f'invalid response: {bad!r}', may_have_happened=True
+            )
 
     def _dispatch(self, action: Action) -> StoreResult:
         match action:
@@ -77,16 +79,16 @@
             case StoreDelete():
                 return self._delete(action)
             case StoreList() | StoreWatch():
-                return self._listing(action)
+                return self._list_or_watch(action)
             case LeaseGrant() | LeaseRenew() | LeaseRelease():
                 return self._lease(action)
-        raise TypeError(f'{type(action).__name__} is no store action')
+        raise TypeError(f'{type(action).__name__} is not a store action')
 
     def _get(self, action: StoreGet) -> StoreResult:
         reply = self._call('GET', _value_path(action.key))
         if reply.status == HTTPStatus.NOT_FOUND:
             return StoreItem(action.key, 0, None)
-        return _failure(reply) or _item(reply.body)
+        return _failure(reply) or _parse_item(reply.body)
 
     def _put(self, action: StorePut) -> StoreResult:
         body: dict[str, Any] = {
@@ -96,14 +98,14 @@
         if action.lease_id is not None:
             body['lease_id'] = action.lease_id
         reply = self._call('PUT', _value_path(action.key), body)
-        return _written(reply)
+        return _parse_write(reply)
 
     def _delete(self, action: StoreDelete) -> StoreResult:
         query = urlencode({'expected_revision': action.expected_revision})
         path = f'{_value_path(action.key)}?{query}'
-        return _written(self._call('DELETE', path))
+        return _parse_write(self._call('DELETE', path))
 
-    def _listing(self, action: StoreList | StoreWatch) -> StoreResult:
+    def _list_or_watch(self, action: StoreList | StoreWatch) -> StoreResult:
         if isinstance(action, StoreList):
             query = urlencode({'prefix': action.prefix})
             reply = self._call('GET', f'/store/list?{query}')
@@ -120,7 +122,7 @@
                 f'/store/watch?{query}',
                 read_timeout_s=action.wait_s + WATCH_MARGIN_S,
             )
-        return _failure(reply) or _listed(reply.body)
+        return _failure(reply) or _parse_listing(reply.body)
 
     def _lease(
         self, action: LeaseGrant | LeaseRenew | LeaseRelease
@@ -164,23 +166,23 @@
 def _failure(reply: Reply) -> StoreFailed | None:
     if reply.status == HTTPStatus.OK:
         return None
-    # 503 and 429 are answered before the store looks at a write.
+    # The store returns 503 and 429 before it processes a write.
     refused = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.TOO_MANY_REQUESTS)
     return StoreFailed(
-        f'the store answered {reply.status}',
+        f'the store returned status {reply.status}',
         may_have_happened=reply.status not in refused,
     )
 
 
-def _written(reply: Reply) -> StoreResult:
+def _parse_write(reply: Reply) -> StoreResult:
     if reply.status == HTTPStatus.CONFLICT:
-        return StoreConflict(_item(reply.body))
+        return StoreConflict(_parse_item(reply.body))
     return _failure(reply) or StoreWritten(
         str(reply.body['key']), int(reply.body['revision'])
     )
 
 
-def _item(body: Mapping[str, Any]) -> StoreItem:
+def _parse_item(body: Mapping[str, Any]) -> StoreItem:
     value = body.get('value')
     return StoreItem(
         str(body['key']),
@@ -189,8 +191,8 @@
     )
 
 
-def _listed(body: Mapping[str, Any]) -> StoreListing:
+def _parse_listing(body: Mapping[str, Any]) -> StoreListing:
     return StoreListing(
         int(body['revision']),
-        tuple(_item(found) for found in body['items']),
+        tuple(_parse_item(item) for item in body['items']),
     )
