--- a/packages/wire/dandelionyoke_wire/__init__.py
+++ b/packages/wire/dandelionyoke_wire/__init__.py
@@ -1,4 +1,4 @@
-"""Tasks that own the sockets of dandelionyoke."""
+"""I/O layer of an entry: caller-facing server, clients and their tasks."""
 
 from dandelionyoke_wire._callers import (
     CallerApp as CallerApp,
@@ -8,7 +8,7 @@
 from dandelionyoke_wire._platform import PlatformClient as PlatformClient
 from dandelionyoke_wire._runtime import (
     ActionSink as ActionSink,
-    Decider as Decider,
+    EventHandler as EventHandler,
     Inbox as Inbox,
     NodeTask as NodeTask,
     Performer as Performer,
--- a/packages/wire/dandelionyoke_wire/_engine.py
+++ b/packages/wire/dandelionyoke_wire/_engine.py
@@ -1,4 +1,4 @@
-"""Engines, met through their HTTP dialect (docs/PROTOCOL.md)."""
+"""Client for the HTTP API of engines (docs/PROTOCOL.md)."""
 
 import json
 from collections.abc import Callable, Iterator, Mapping
@@ -39,8 +39,8 @@
     Reply,
     TransportError,
     call_json,
-    timeout,
-    was_sent,
+    may_have_been_sent,
+    request_timeout,
 )
 
 Emit = Callable[[Event], None]
@@ -49,31 +49,31 @@
 CANCEL_TIMEOUT_S = 2.0
 ORDER_TIMEOUT_S = 5.0
 
-# The core judges silence much sooner; this frees a forgotten socket.
+# The core detects a silent stream much sooner; this frees leaked sockets.
 STREAM_TIMEOUT_S = 300.0
 
-READ_BYTES = 65_536
+READ_SIZE_BYTES = 65_536
 MAX_LINE_BYTES = 1_048_576
 
-_BROKEN = (urllib3.exceptions.HTTPError, OSError)
-_MALFORMED = (KeyError, TypeError, ValueError)
-_BAD_REPORT = (*_MALFORMED, BaseValidationError)
-_NO_ANSWER = (TransportError, *_MALFORMED)
-_BAD_STREAM = (*_BROKEN, *_MALFORMED)
+_CONNECTION_ERRORS = (urllib3.exceptions.HTTPError, OSError)
+_DECODE_ERRORS = (KeyError, TypeError, ValueError)
+_REPORT_ERRORS = (*_DECODE_ERRORS, BaseValidationError)
+_CALL_ERRORS = (TransportError, *_DECODE_ERRORS)
+_STREAM_ERRORS = (*_CONNECTION_ERRORS, *_DECODE_ERRORS)
 
 
 class EngineClient:
-    """Performs engine actions; what comes back is emitted as events.
+    """Client that performs engine actions and emits the results as events.
 
-    Each method blocks and is run in a green thread of its own.
+    Each method blocks and runs in its own green thread.
     """
 
     def __init__(self, pools: TargetPools, emit: Emit) -> None:
         self._pools = pools
         self._emit = emit
 
-    def start(self, action: StartAttempt) -> None:
-        """Send a call and emit its stream."""
+    def start_attempt(self, action: StartAttempt) -> None:
+        """Start an attempt and emit its stream."""
         body = {
             'attempt_id': action.attempt_id,
             'model': action.model_name,
@@ -82,20 +82,20 @@
             'max_output_tokens': action.max_output_tokens,
             'priority': action.priority,
         }
-        pool = self._pools.pool(action.address)
+        pool = self._pools.get(action.address)
         self._stream(pool, f'{action.address}/generate', body, action)
 
-    def resume(self, action: ResumeAttempt) -> None:
-        """Read on an attempt on a new connection and emit its stream."""
+    def resume_attempt(self, action: ResumeAttempt) -> None:
+        """Resume an attempt on a new connection and emit its stream."""
         body = {
             'attempt_id': action.resumed_attempt_id,
             'offset': action.offset,
         }
-        pool = self._pools.fresh(action.address)
+        pool = self._pools.replace(action.address)
         self._stream(pool, f'{action.address}/resume', body, action)
 
-    def cancel(self, action: CancelAttempt) -> None:
-        """Tell an engine to stop; a lost cancel only costs work."""
+    def cancel_attempt(self, action: CancelAttempt) -> None:
+        """Cancel an attempt; a lost cancel only wastes work of the engine."""
         try:
             self._call(
                 'POST',
@@ -105,25 +105,30 @@
                 CANCEL_TIMEOUT_S,
             )
         except TransportError:
-            self._pools.fresh(action.address)
+            self._pools.replace(action.address)
 
     def poll_load(self, action: PollLoad) -> None:
-        """Read a load report."""
+        """Poll the load report of an engine."""
         try:
             reply = self._call(
                 'GET', action.address, '/load', None, POLL_TIMEOUT_S
             )
             report = structure(dict(reply.body), LoadReport)
         except TransportError as error:
-            self._pools.fresh(action.address)
+            self._pools.replace(action.address)
             self._emit(TargetUnreachable(action.target_id, error.cause))
-        except _BAD_REPORT:
-            self._emit(TargetUnreachable(action.target_id, 'bad load report'))
+        except _REPORT_ERRORS:
+            self._emit(
+                TargetUnreachable(action.target_id, 'invalid load report')
+            )
         else:
             self._emit(LoadReported(action.target_id, report))
 
     def poll_cache_events(self, action: PollCacheEvents) -> None:
-        """Read cache events; a failed read is a gap like any other."""
+        """Poll cache events.
+
+        A failed poll emits nothing and is handled like any other gap.
+        """
         path = f'/cache-events?after={action.after_sequence}'
         try:
             reply = self._call(
@@ -133,14 +138,14 @@
                 action.target_id,
                 int(reply.body['first']),
                 int(reply.body['next']),
-                tuple(map(_cache_event, reply.body['events'])),
+                tuple(map(_parse_cache_event, reply.body['events'])),
             )
-        except _NO_ANSWER:
+        except _CALL_ERRORS:
             return
         self._emit(reported)
 
     def send_order(self, action: SendEngineOrder, may_send: MaySend) -> None:
-        """Send an order if `may_send` still holds as its bytes leave."""
+        """Send an order; `may_send` is checked before each write."""
         order = action.order
         body = {
             'order_id': order.order_id,
@@ -157,23 +162,23 @@
                 ORDER_TIMEOUT_S,
             )
         except TransportError as error:
-            self._order_ended(action, order.order_id, error.cause)
+            self._emit_order_unknown(action, order.order_id, error.cause)
         else:
-            self._order_answered(action, order.order_id, reply)
+            self._emit_order_state(action, order.order_id, reply)
 
     def read_order(self, action: ReadEngineOrder) -> None:
-        """Ask what became of an order."""
+        """Read the state of an order."""
         path = f'/orders/{action.order_id}'
         try:
             reply = self._call(
                 'GET', action.address, path, None, ORDER_TIMEOUT_S
             )
         except TransportError as error:
-            self._order_ended(action, action.order_id, error.cause)
+            self._emit_order_unknown(action, action.order_id, error.cause)
         else:
-            self._order_answered(action, action.order_id, reply)
+            self._emit_order_state(action, action.order_id, reply)
 
-    def _order_answered(
+    def _emit_order_state(
         self,
         action: SendEngineOrder | ReadEngineOrder,
         order_id: OrderId,
@@ -181,15 +186,15 @@
     ) -> None:
         try:
             state = OrderState(reply.body['state'])
-        except _MALFORMED as error:
-            self._order_ended(action, order_id, repr(error))
+        except _DECODE_ERRORS as error:
+            self._emit_order_unknown(action, order_id, repr(error))
             return
         cause = str(reply.body.get('cause', ''))
         self._emit(
             EngineOrderAnswered(action.target_id, order_id, state, cause)
         )
 
-    def _order_ended(
+    def _emit_order_unknown(
         self,
         action: SendEngineOrder | ReadEngineOrder,
         order_id: OrderId,
@@ -210,7 +215,7 @@
         read_timeout_s: float,
     ) -> Reply:
         return call_json(
-            self._pools.pool(address),
+            self._pools.get(address),
             method,
             f'{address}{path}',
             body,
@@ -231,58 +236,65 @@
                 url,
                 body=json.dumps(body).encode(),
                 headers={'Content-Type': 'application/json'},
-                timeout=timeout(STREAM_TIMEOUT_S),
+                timeout=request_timeout(STREAM_TIMEOUT_S),
                 preload_content=False,
                 redirect=False,
             )
-        except _BROKEN as error:
-            self._emit(AttemptFailed(*ids, was_sent(error), str(error)))
+        except _CONNECTION_ERRORS as error:
+            self._emit(
+                AttemptFailed(*ids, may_have_been_sent(error), str(error))
+            )
             return
-        # Closing, not releasing: a stream that was left in the middle must
-        # not go back to the pool, where the next call would read its rest.
+        # Close the connection instead of returning it to the pool, where the
+        # next call would read the rest of an unfinished stream.
         try:
-            self._emit_answer(response, *ids)
-        except _BAD_STREAM as error:
+            self._emit_response(response, *ids)
+        except _STREAM_ERRORS as error:
             self._emit(AttemptFailed(*ids, sent=True, cause=repr(error)))
         finally:
             response.close()
 
-    def _emit_answer(
+    def _emit_response(
         self,
         response: urllib3.BaseHTTPResponse,
         request_id: RequestId,
         attempt_id: AttemptId,
     ) -> None:
         if response.status != HTTPStatus.OK:
-            refused = json.loads(response.read(MAX_LINE_BYTES) or b'{}')
-            self._emit(_refused(request_id, attempt_id, refused))
+            refusal = json.loads(response.read(MAX_LINE_BYTES) or b'{}')
+            self._emit(_parse_refusal(request_id, attempt_id, refusal))
             return
         self._emit(AttemptAccepted(request_id, attempt_id))
-        for line in _lines(response):
-            event = _stream_event(request_id, attempt_id, json.loads(line))
+        for line in _read_lines(response):
+            event = _parse_stream_line(request_id, attempt_id, json.loads(line))
             self._emit(event)
             if not isinstance(event, TokensArrived):
                 return
         self._emit(
-            AttemptFailed(request_id, attempt_id, sent=True, cause='cut')
+            AttemptFailed(
+                request_id,
+                attempt_id,
+                sent=True,
+                cause='the stream ended early',
+            )
         )
 
 
-def _lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    """Yield each line as soon as it is there.
+def _read_lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+    """Yield each line as soon as it has arrived.
 
-    `read1` gives what has arrived; `stream(n)` and `read(n)` would hold
-    tokens back until n bytes are there.
+    `read1` returns the bytes that are available; `stream(n)` and `read(n)`
+    would wait for n bytes and delay tokens.
     """
     pending = b''
-    while chunk := response.read1(READ_BYTES):
+    while chunk := response.read1(READ_SIZE_BYTES):
         *lines, pending = (pending + chunk).split(b'\n')
         yield from (line for line in lines if line)
         if len(pending) > MAX_LINE_BYTES:
-            raise ValueError('a line of the stream is too long')
+            raise ValueError('a line of the stream exceeds the maximum length')
 
 
-def _stream_event(
+def _parse_stream_line(
     request_id: RequestId, attempt_id: AttemptId, line: Mapping[str, Any]
 ) -> Event:
     tokens = line.get('tokens')
@@ -303,15 +315,15 @@
             int(line['prompt_tokens']),
             int(line.get('cached_tokens', 0)),
         )
-    cause = str(line.get('error', 'bad line'))
+    cause = str(line.get('error', 'invalid stream line'))
     return AttemptFailed(request_id, attempt_id, sent=True, cause=cause)
 
 
-def _refused(
+def _parse_refusal(
     request_id: RequestId, attempt_id: AttemptId, body: Mapping[str, Any]
 ) -> Event:
     cause = str(body.get('cause', 'refused without a cause'))
-    # Only an explicit "ran: false" is proof that nothing ran.
+    # Only an explicit "ran: false" proves that nothing ran.
     if body.get('ran') is not False:
         return AttemptFailed(request_id, attempt_id, sent=True, cause=cause)
     retry_after_s = body.get('retry_after_s')
@@ -323,7 +335,7 @@
     )
 
 
-def _cache_event(body: Mapping[str, Any]) -> CacheEvent:
+def _parse_cache_event(body: Mapping[str, Any]) -> CacheEvent:
     return CacheEvent(
         int(body['sequence']), body['kind'] == 'stored', str(body['block'])
     )
--- a/packages/wire/dandelionyoke_wire/_guarded.py
+++ b/packages/wire/dandelionyoke_wire/_guarded.py
@@ -1,9 +1,9 @@
-"""Calls that may only leave while an authority lasts.
+"""Calls that may only be sent while the sender holds its lease.
 
-A holder decides to send, is paused, and sends after its term is over: two
-processes then give orders, and a target sees both. A check before the call
-is not enough, since connecting takes time. So the connection itself asks,
-right before each piece of the call leaves.
+A lease holder may decide to send, be paused, and send after its lease has
+expired. Two processes then send orders, and a target receives both. A check
+before the call is not enough, because connecting takes time. The connection
+itself therefore checks right before each write.
 """
 
 import json
@@ -21,39 +21,43 @@
     Reply,
     TransportError,
     decode_json,
-    was_sent,
+    may_have_been_sent,
 )
 
 MaySend = Callable[[], bool]
 
 HTTP_PORT = 80
 
-_BROKEN = (urllib3.exceptions.HTTPError, OSError)
+_CONNECTION_ERRORS = (urllib3.exceptions.HTTPError, OSError)
 
 
-class TermOverError(OSError):
-    """The authority ended before the call had left."""
+class LeaseExpiredError(OSError):
+    """The lease expired before the whole call was sent."""
 
 
 class GuardedConnection(HTTPConnection):
-    """A connection that asks `may_send` before each piece leaves."""
+    """Connection that checks `may_send` before each write."""
 
     def __init__(self, host: str, port: int, may_send: MaySend) -> None:
         super().__init__(host, port, timeout=CONNECT_TIMEOUT_S)
         self.may_send = may_send
-        self.bytes_left = False
+        self.has_sent_bytes = False
 
     def connect(self) -> None:
-        """Connect; what has not arrived at the end of the call never will."""
+        """Connect, and make closing discard all data not yet delivered."""
         super().connect()
         if self.sock is not None:
             reset_at_end(self.sock)
 
     def send(self, data: Any) -> None:
-        """Send one piece, or raise TermOverError."""
+        """Send data if `may_send` allows it.
+
+        Raises:
+            LeaseExpiredError: `may_send` returned False.
+        """
         if not self.may_send():
-            raise TermOverError('the term is over')
-        self.bytes_left = True
+            raise LeaseExpiredError('the lease has expired')
+        self.has_sent_bytes = True
         super().send(data)
 
 
@@ -64,10 +68,10 @@
     may_send: MaySend,
     read_timeout_s: float,
 ) -> Reply:
-    """Make one call on a connection of its own while `may_send` holds.
+    """Make one call on a new connection while `may_send` returns True.
 
     Raises:
-        TransportError: no whole answer came, or the term was over.
+        TransportError: no complete response arrived, or the lease expired.
     """
     parts = urlsplit(url)
     connection = GuardedConnection(
@@ -76,24 +80,26 @@
         may_send,
     )
     try:
-        reply = _exchange(connection, method, parts.path, body, read_timeout_s)
-    except _BROKEN as error:
-        sent = connection.bytes_left and was_sent(error)
+        reply = _send_request(
+            connection, method, parts.path, body, read_timeout_s
+        )
+    except _CONNECTION_ERRORS as error:
+        sent = connection.has_sent_bytes and may_have_been_sent(error)
         raise TransportError(str(error), sent=sent) from error
     finally:
         connection.close()
     return reply
 
 
-def _exchange(
+def _send_request(
     connection: GuardedConnection,
     method: str,
     path: str,
     body: Mapping[str, Any],
     read_timeout_s: float,
 ) -> Reply:
-    # Connect first: connecting may outlast the term, and the guard then
-    # still sees it, since no byte of the call has left.
+    # Connect first: the lease may expire while connecting, and `send` then
+    # detects this before any byte of the call is sent.
     connection.connect()
     connection.timeout = read_timeout_s
     if connection.sock is not None:
--- a/packages/wire/dandelionyoke_wire/_plain.py
+++ b/packages/wire/dandelionyoke_wire/_plain.py
@@ -1,4 +1,7 @@
-"""Plain services: any call, passed on once, without the caller's key."""
+"""Client for plain services.
+
+Each call is forwarded once, without the caller's API key.
+"""
 
 import contextlib
 import json
@@ -16,16 +19,16 @@
     ServiceAnswered,
 )
 from dandelionyoke_wire._pools import TargetPools
-from dandelionyoke_wire._transport import timeout, was_sent
+from dandelionyoke_wire._transport import may_have_been_sent, request_timeout
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 CHUNK_BYTES = 65_536
 
-_BROKEN = (urllib3.exceptions.HTTPError, OSError)
+_CONNECTION_ERRORS = (urllib3.exceptions.HTTPError, OSError)
 
 
 class PlainClient:
-    """Performs calls to plain services; the end is emitted as an event."""
+    """Client that calls plain services and emits the results as events."""
 
     def __init__(
         self, pools: TargetPools, emit: Callable[[Event], None]
@@ -34,34 +37,34 @@
         self._emit = emit
 
     def call(self, action: CallService) -> None:
-        """Send the call once and emit how it ended."""
+        """Send the call once and emit its result."""
         ids = (action.request_id, action.attempt_id)
         try:
-            event = self._exchange(action)
-        except _BROKEN as error:
-            event = AttemptFailed(*ids, was_sent(error), str(error))
+            event = self._send(action)
+        except _CONNECTION_ERRORS as error:
+            event = AttemptFailed(*ids, may_have_been_sent(error), str(error))
         if isinstance(event, AttemptFailed):
-            self._pools.fresh(action.address)
+            self._pools.replace(action.address)
         self._emit(event)
 
-    def _exchange(self, action: CallService) -> Event:
+    def _send(self, action: CallService) -> Event:
         ids = (action.request_id, action.attempt_id)
-        response = self._pools.pool(action.address).request(
+        response = self._pools.get(action.address).request(
             action.method,
             f'{action.address}{action.path}',
             body=action.body or None,
             headers=_headers(action),
-            timeout=timeout(action.timeout_s),
+            timeout=request_timeout(action.timeout_s),
             preload_content=False,
             redirect=False,
         )
         with contextlib.closing(response):
-            body = _read(response)
+            body = _read_body(response)
         if body is None:
-            return AttemptFailed(*ids, sent=True, cause='answer too large')
-        refused = _not_run(response.status, body)
-        if refused is not None:
-            return AttemptRefused(*ids, *refused)
+            return AttemptFailed(*ids, sent=True, cause='response too large')
+        refusal = _parse_refusal(response.status, body)
+        if refusal is not None:
+            return AttemptRefused(*ids, *refusal)
         return ServiceAnswered(
             *ids,
             response.status,
@@ -82,7 +85,7 @@
     return headers
 
 
-def _read(response: urllib3.BaseHTTPResponse) -> bytes | None:
+def _read_body(response: urllib3.BaseHTTPResponse) -> bytes | None:
     chunks: list[bytes] = []
     size_bytes = 0
     for chunk in response.stream(CHUNK_BYTES):
@@ -93,7 +96,7 @@
     return b''.join(chunks)
 
 
-def _not_run(status: int, body: bytes) -> tuple[str, float | None] | None:
+def _parse_refusal(status: int, body: bytes) -> tuple[str, float | None] | None:
     if status != HTTPStatus.SERVICE_UNAVAILABLE:
         return None
     try:
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -1,4 +1,4 @@
-"""The task that owns a node, and the tasks that perform its actions."""
+"""The event loop of a node, and the green threads for its actions."""
 
 import time
 from collections.abc import Callable
@@ -53,13 +53,13 @@
 from dandelionyoke_wire._pools import TargetPools
 from dandelionyoke_wire._store import StoreClient
 
-# Green threads that perform actions at once; more wait for a place.
-MAX_TASKS = 8192
+# Maximum concurrent green threads; further actions wait for a free one.
+MAX_GREEN_THREADS = 8192
 
-# Events handled in a row before other tasks get their turn.
-EVENTS_IN_A_ROW = 64
+# Events handled before the loop yields to other green threads.
+EVENTS_PER_YIELD = 64
 
-ToCaller = (
+CallerAction = (
     SendTokens
     | FinishCall
     | AnswerService
@@ -67,7 +67,7 @@
     | AnswerStatus
     | RefuseCall
 )
-ToStore = (
+StoreAction = (
     StoreGet
     | StoreList
     | StorePut
@@ -77,41 +77,41 @@
     | LeaseRenew
     | LeaseRelease
 )
-Attempt = StartAttempt | ResumeAttempt | CallService
+AttemptAction = StartAttempt | ResumeAttempt | CallService
 
-_TO_CALLER: tuple[type[Action], ...] = get_args(ToCaller)
-_TO_STORE: tuple[type[Action], ...] = get_args(ToStore)
-_ATTEMPTS: tuple[type[Action], ...] = get_args(Attempt)
+_CALLER_ACTIONS: tuple[type[Action], ...] = get_args(CallerAction)
+_STORE_ACTIONS: tuple[type[Action], ...] = get_args(StoreAction)
+_ATTEMPT_ACTIONS: tuple[type[Action], ...] = get_args(AttemptAction)
 
 
-class Decider(Protocol):
-    """A node, as the runtime sees it."""
+class EventHandler(Protocol):
+    """Interface of a node to the runtime."""
 
     def handle(self, event: Event, now_s: float) -> list[Action]:
-        """Take one event; return the actions that follow."""
+        """Handle one event and return the resulting actions."""
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next `Woken` is due, or None."""
+        """Return when the next `Woken` event is due, or None."""
 
 
 class ActionSink(Protocol):
-    """Takes what is for the process itself: logs, metrics, the end."""
+    """Receiver of actions for the process: logs, metrics and exit."""
 
     def record(self, action: Action) -> None:
-        """Take one such action."""
+        """Record one action."""
 
 
 def clock_s() -> float:
-    """Return the time for durations, which also runs during a suspend.
+    """Return a monotonic time that advances during suspend.
 
-    A clock that stops while the machine is suspended would let a holder
-    believe in a lease that has long lapsed.
+    With a clock that stops while the machine is suspended, a holder would
+    treat a lease as valid that has long expired.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Inbox:
-    """Events on their way to the node."""
+    """Queue of events for the node."""
 
     def __init__(self) -> None:
         self._events = queue.LightQueue()
@@ -120,21 +120,21 @@
         """Add an event."""
         self._events.put(event)
 
-    def take(self, wait_s: float | None) -> Event | None:
-        """Wait for an event; None when the time is up."""
+    def take(self, timeout_s: float | None) -> Event | None:
+        """Wait for an event; return None on timeout."""
         try:
-            event: Event = self._events.get(timeout=wait_s)
+            event: Event = self._events.get(timeout=timeout_s)
         except queue.Empty:
             return None
         return event
 
 
 class NodeTask:
-    """Owns a node: nothing else calls it."""
+    """Event loop of a node, and its only caller."""
 
     def __init__(
         self,
-        node: Decider,
+        node: EventHandler,
         inbox: Inbox,
         perform: Callable[[Action], None],
     ) -> None:
@@ -143,23 +143,23 @@
         self._perform = perform
 
     def run(self) -> None:
-        """Handle events and wake-ups for as long as the process lives."""
+        """Handle events and wake-ups until the process ends."""
         while True:
-            for _ in range(EVENTS_IN_A_ROW):
-                self._turn()
+            for _ in range(EVENTS_PER_YIELD):
+                self._handle_next()
             sleep(0)
 
-    def _turn(self) -> None:
-        self._act(self._inbox.take(self._wait_s()))
+    def _handle_next(self) -> None:
+        self._handle(self._inbox.take(self._wakeup_delay_s()))
         wakeup_s = self._node.next_wakeup_s()
         if wakeup_s is not None and wakeup_s <= clock_s():
-            self._act(Woken())
+            self._handle(Woken())
 
-    def _wait_s(self) -> float | None:
+    def _wakeup_delay_s(self) -> float | None:
         wakeup_s = self._node.next_wakeup_s()
         return None if wakeup_s is None else max(0, wakeup_s - clock_s())
 
-    def _act(self, event: Event | None) -> None:
+    def _handle(self, event: Event | None) -> None:
         if event is None:
             return
         for action in self._node.handle(event, clock_s()):
@@ -167,7 +167,7 @@
 
 
 class Performer:
-    """Performs actions; each that blocks has a green thread of its own."""
+    """Executor of actions; each blocking one runs in its own green thread."""
 
     def __init__(
         self,
@@ -186,22 +186,22 @@
         self._inbox = inbox
         self._mailboxes = mailboxes
         self._sink = sink
-        self._tasks = GreenPool(MAX_TASKS)
+        self._green_threads = GreenPool(MAX_GREEN_THREADS)
         self._attempts: dict[AttemptId, greenthread.GreenThread] = {}
-        self._performers = self._table()
+        self._handlers = self._handlers_by_type()
 
     def perform(self, action: Action) -> None:
-        """Start one action; never blocks on the world."""
-        performer = self._performers.get(type(action), self._sink.record)
-        performer(action)
+        """Start one action without blocking on I/O."""
+        handler = self._handlers.get(type(action), self._sink.record)
+        handler(action)
 
-    def _table(self) -> dict[type[Action], Callable[[Any], None]]:
-        spawn = self._tasks.spawn_n
+    def _handlers_by_type(self) -> dict[type[Action], Callable[[Any], None]]:
+        spawn = self._green_threads.spawn_n
         engines, platform, peers = self._engines, self.platform, self.peers
         return {
-            **dict.fromkeys(_TO_CALLER, self._deliver),
-            **dict.fromkeys(_TO_STORE, partial(spawn, self._ask_store)),
-            **dict.fromkeys(_ATTEMPTS, self._start_attempt),
+            **dict.fromkeys(_CALLER_ACTIONS, self._deliver),
+            **dict.fromkeys(_STORE_ACTIONS, partial(spawn, self._call_store)),
+            **dict.fromkeys(_ATTEMPT_ACTIONS, self._start_attempt),
             DropAttempt: self._drop_attempt,
             CancelAttempt: self._cancel_attempt,
             SendPeer: self._send_peer,
@@ -209,15 +209,15 @@
             DisconnectPeer: lambda action: peers.disconnect(action.peer_id),
             ListTargets: lambda _: spawn(platform.list_targets),
             ListInstances: lambda _: spawn(platform.list_instances),
-            SendTargetOrder: _guarded(spawn, platform.order_targets),
-            SubmitUsage: _guarded(spawn, platform.submit_usage),
+            SendTargetOrder: _perform_guarded(spawn, platform.order_targets),
+            SubmitUsage: _perform_guarded(spawn, platform.submit_usage),
             PollLoad: partial(spawn, engines.poll_load),
             PollCacheEvents: partial(spawn, engines.poll_cache_events),
-            SendEngineOrder: _guarded(spawn, engines.send_order),
+            SendEngineOrder: _perform_guarded(spawn, engines.send_order),
             ReadEngineOrder: partial(spawn, engines.read_order),
         }
 
-    def _deliver(self, action: ToCaller) -> None:
+    def _deliver(self, action: CallerAction) -> None:
         self._mailboxes.deliver(action.request_id, action)
 
     def _send_peer(self, action: SendPeer) -> None:
@@ -226,27 +226,27 @@
     def _connect_peer(self, action: ConnectPeer) -> None:
         self.peers.connect(action.peer_id, action.address)
 
-    def _ask_store(self, action: ToStore) -> None:
-        stored = self._store.perform(action)
-        self._inbox.put(StoreAnswered(action.operation_id, stored))
+    def _call_store(self, action: StoreAction) -> None:
+        result = self._store.perform(action)
+        self._inbox.put(StoreAnswered(action.operation_id, result))
 
-    def _start_attempt(self, action: Attempt) -> None:
-        task = self._tasks.spawn(self._attempt, action)
+    def _start_attempt(self, action: AttemptAction) -> None:
+        task = self._green_threads.spawn(self._run_attempt, action)
         self._attempts[action.attempt_id] = task
         task.link(lambda _: self._attempts.pop(action.attempt_id, None))
 
-    def _attempt(self, action: Attempt) -> None:
+    def _run_attempt(self, action: AttemptAction) -> None:
         match action:
             case StartAttempt():
-                self._engines.start(action)
+                self._engines.start_attempt(action)
             case ResumeAttempt():
-                self._engines.resume(action)
+                self._engines.resume_attempt(action)
             case CallService():
                 self._plain.call(action)
 
     def _cancel_attempt(self, action: CancelAttempt) -> None:
         self._drop_attempt(action)
-        self._tasks.spawn_n(self._engines.cancel, action)
+        self._green_threads.spawn_n(self._engines.cancel_attempt, action)
 
     def _drop_attempt(self, action: CancelAttempt | DropAttempt) -> None:
         task = self._attempts.pop(action.attempt_id, None)
@@ -254,10 +254,10 @@
             task.kill()
 
 
-def _guarded(
+def _perform_guarded(
     spawn: Callable[..., None], perform: Callable[[Any, MaySend], None]
 ) -> Callable[[Any], None]:
-    """Perform an order only while its term lasts."""
+    """Return a handler that lets an order be sent only before its limit."""
     return lambda action: spawn(
         perform, action, lambda: clock_s() < action.not_after_s
     )
--- a/packages/wire/dandelionyoke_wire/_transport.py
+++ b/packages/wire/dandelionyoke_wire/_transport.py
@@ -1,4 +1,4 @@
-"""HTTP calls with JSON bodies, and what can be known after a failed one."""
+"""HTTP calls with JSON bodies, and whether a failed one was sent."""
 
 import json
 from collections.abc import Mapping
@@ -15,14 +15,14 @@
 
 @attrs.frozen
 class Reply:
-    """A status and a decoded JSON body; an empty body reads as {}."""
+    """Status and decoded JSON body; an empty body is decoded as {}."""
 
     status: int
     body: Mapping[str, Any]
 
 
 class TransportError(Exception):
-    """No whole answer came. `sent` is False if no byte of the call left."""
+    """No complete response; `sent` is False if no byte of the call was sent."""
 
     def __init__(self, cause: str, *, sent: bool) -> None:
         super().__init__(cause)
@@ -31,23 +31,23 @@
 
 
 def new_pool() -> urllib3.PoolManager:
-    """Make a pool that never retries by itself.
+    """Create a pool that never retries.
 
-    A retry that the library makes on its own could run a call twice; what
-    may be sent again is decided in the core.
+    An automatic retry by the library could run a call twice; the core
+    decides which calls may be retried.
     """
     return urllib3.PoolManager(
         num_pools=POOL_SIZE, maxsize=POOL_SIZE, retries=False
     )
 
 
-def timeout(read_s: float) -> urllib3.Timeout:
-    """Bound connecting and each silence while reading."""
+def request_timeout(read_s: float) -> urllib3.Timeout:
+    """Return the limits on connecting and on each wait for response data."""
     return urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=read_s)
 
 
-def was_sent(error: Exception) -> bool:
-    """Tell whether any byte of a failed call may have left."""
+def may_have_been_sent(error: Exception) -> bool:
+    """Return whether any byte of a failed call may have been sent."""
     return not isinstance(
         error,
         urllib3.exceptions.NewConnectionError
@@ -64,10 +64,10 @@
     *,
     read_timeout_s: float,
 ) -> Reply:
-    """Make one call and decode its answer.
+    """Make one call and decode the response.
 
     Raises:
-        TransportError: no whole JSON answer came.
+        TransportError: no complete JSON response arrived.
     """
     try:
         response = pool.request(
@@ -75,11 +75,13 @@
             url,
             body=None if body is None else json.dumps(dict(body)).encode(),
             headers={'Content-Type': JSON_TYPE},
-            timeout=timeout(read_timeout_s),
+            timeout=request_timeout(read_timeout_s),
             redirect=False,
         )
     except (urllib3.exceptions.HTTPError, OSError) as error:
-        raise TransportError(str(error), sent=was_sent(error)) from error
+        raise TransportError(
+            str(error), sent=may_have_been_sent(error)
+        ) from error
     return Reply(response.status, decode_json(response.data))
 
 
@@ -87,14 +89,14 @@
     """Decode a JSON object.
 
     Raises:
-        TransportError: the bytes are no JSON object.
+        TransportError: the bytes are not a JSON object.
     """
     if not raw:
         return {}
     try:
         decoded = json.loads(raw)
-    except ValueError as bad:
-        raise TransportError('the answer is not JSON', sent=True) from bad
+    except ValueError as error:
+        raise TransportError('the response is not JSON', sent=True) from error
     if not isinstance(decoded, dict):
-        raise TransportError('the answer is no JSON object', sent=True)
+        raise TransportError('the response is not a JSON object', sent=True)
     return decoded
