--- a/packages/wire/dandelionyoke_wire/_caller_input.py
+++ b/packages/wire/dandelionyoke_wire/_caller_input.py
@@ -1,4 +1,4 @@
-"""What a caller sent, read from the WSGI environment and checked."""
+"""Parsing and validation of caller requests from the WSGI environment."""
 
 import socket
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class CallError(Exception):
-    """A call that the core never needs to see."""
+    """A call that is refused before it reaches the core."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -19,37 +19,37 @@
 
 
 def read_body(environ: Environ, limit_bytes: int) -> bytes:
-    """Read a whole body.
+    """Read the whole request body.
 
     Raises:
-        CallError: it is over the limit or ended early.
+        CallError: the body exceeds the limit or ended early.
     """
-    announced = _announced_bytes(environ)
-    if announced is not None and announced > limit_bytes:
+    content_length = _content_length(environ)
+    if content_length is not None and content_length > limit_bytes:
         raise CallError(_too_large(limit_bytes))
     body = _read(environ, limit_bytes + 1)
     if len(body) > limit_bytes:
         raise CallError(_too_large(limit_bytes))
-    if announced is not None and len(body) < announced:
-        raise CallError(_cut_short())
+    if content_length is not None and len(body) < content_length:
+        raise CallError(_truncated())
     return body
 
 
-def _read(environ: Environ, most_bytes: int) -> bytes:
+def _read(environ: Environ, max_bytes: int) -> bytes:
     try:
-        return bytes(environ['wsgi.input'].read(most_bytes))
+        return bytes(environ['wsgi.input'].read(max_bytes))
     except (OSError, ValueError) as error:
-        raise CallError(_cut_short()) from error
+        raise CallError(_truncated()) from error
 
 
-def path_of(environ: Environ) -> str:
-    """Return the path; client libraries differ on whether they add /v1."""
+def request_path(environ: Environ) -> str:
+    """Return the path without the /v1 prefix, which not all clients send."""
     path: str = environ['PATH_INFO']
     return path.removeprefix(VERSION_PREFIX)
 
 
 def bearer_key(environ: Environ) -> str:
-    """Return the key of a call; empty where it carries none."""
+    """Return the API key of a call, or an empty string without one."""
     scheme, _, key = environ.get('HTTP_AUTHORIZATION', '').partition(' ')
     return key.strip() if scheme.lower() == 'bearer' else ''
 
@@ -58,26 +58,26 @@
     """Return how many seconds the caller will wait, or None.
 
     Raises:
-        CallError: the header holds no seconds.
+        CallError: the header is not a positive number.
     """
-    found = environ.get('HTTP_X_DEADLINE_S')
-    if found is None:
+    header = environ.get('HTTP_X_DEADLINE_S')
+    if header is None:
         return None
     try:
-        deadline_s = float(found)
+        deadline_s = float(header)
     except ValueError:
         deadline_s = -1
     if not deadline_s > 0:
         raise CallError(
             malformed(
-                f'X-Deadline-S is {found!r}', 'Send seconds above 0, as in 2.5'
+                f'X-Deadline-S is {header!r}', 'Send seconds above 0, as in 2.5'
             )
         )
     return deadline_s
 
 
-def is_gone(environ: Environ) -> bool:
-    """Look, without taking bytes, whether the caller closed."""
+def is_disconnected(environ: Environ) -> bool:
+    """Check whether the caller disconnected, without consuming bytes."""
     try:
         sock = environ['wsgi.input'].get_socket()
         peeked = sock.fd.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -89,12 +89,12 @@
 
 
 def malformed(detail: str, remedy: str) -> Refusal:
-    """Refuse a call that cannot be read."""
+    """Return the refusal of a call that cannot be parsed."""
     return Refusal(RefusalKind.MALFORMED, detail, remedy)
 
 
-def no_such_path(method: str, path: str) -> Refusal:
-    """Refuse a call of something that is not served."""
+def unknown_path(method: str, path: str) -> Refusal:
+    """Return the refusal of a call to an unknown path."""
     return Refusal(
         RefusalKind.UNKNOWN_SERVICE,
         f'There is no {method} {path[:80]}',
@@ -102,18 +102,18 @@
     )
 
 
-def _announced_bytes(environ: Environ) -> int | None:
-    found = environ.get('CONTENT_LENGTH')
-    if not found:
+def _content_length(environ: Environ) -> int | None:
+    header = environ.get('CONTENT_LENGTH')
+    if not header:
         return None
-    if not found.isdecimal():
+    if not header.isdecimal():
         raise CallError(
-            malformed('Content-Length is no number', 'Send the body size')
+            malformed('Content-Length is not a number', 'Send the body size')
         )
-    return int(found)
+    return int(header)
 
 
-def _cut_short() -> Refusal:
+def _truncated() -> Refusal:
     return malformed('The body ended early', 'Send the whole body')
 
 
@@ -121,5 +121,5 @@
     return Refusal(
         RefusalKind.TOO_LARGE,
         f'The body is over {limit_bytes} bytes',
-        'Send a smaller one',
+        'Send a smaller body',
     )
--- a/packages/wire/dandelionyoke_wire/_caller_output.py
+++ b/packages/wire/dandelionyoke_wire/_caller_output.py
@@ -1,4 +1,4 @@
-"""A caller's open call, and its answer as WSGI wants it."""
+"""Calls in flight, and their responses in WSGI form."""
 
 import json
 import time
@@ -22,7 +22,7 @@
     SendTokens,
 )
 from dandelionyoke_wire import _openai as openai
-from dandelionyoke_wire._caller_input import Environ, is_gone
+from dandelionyoke_wire._caller_input import Environ, is_disconnected
 from dandelionyoke_wire._mailboxes import Mailboxes
 from dandelionyoke_wire._problems import (
     error_object,
@@ -32,39 +32,41 @@
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 
-# How often a waiting task looks whether its caller is still there.
-GONE_CHECK_S = 1.0
+# Time between two checks whether the caller is still connected.
+DISCONNECT_CHECK_INTERVAL_S = 1.0
 JSON_TYPE = 'application/json'
 
 
 @attrs.frozen
-class Answer:
+class Response:
+    """Status, headers and body of a response that is not streamed."""
+
     status: HTTPStatus | int
     headers: list[tuple[str, str]]
     body: bytes
 
 
-class Written:
-    """An answer's chunks; tells when the server is done with them."""
+class TrackedBody:
+    """Body of a response that calls `on_close` when the server is done."""
 
     def __init__(
-        self, chunks: Iterable[bytes], written: Callable[[], None]
+        self, chunks: Iterable[bytes], on_close: Callable[[], None]
     ) -> None:
         self._chunks = chunks
-        self._written = written
+        self._on_close = on_close
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(self._chunks)
 
     def close(self) -> None:
-        """Take the server's word that it is done, in full or not."""
-        self._written()
-        if isinstance(self._chunks, _Chunks):
+        """Report that the server is done, also after a failed write."""
+        self._on_close()
+        if isinstance(self._chunks, _StreamBody):
             self._chunks.close()
 
 
-class Call:
-    """One open call: its mailbox, and whether its caller is still there."""
+class PendingCall:
+    """A call in flight: its mailbox and the connection of its caller."""
 
     def __init__(
         self,
@@ -77,98 +79,106 @@
         self._mailboxes = mailboxes
         self._emit = emit
         self._environ = environ
-        self._box = mailboxes.open(request_id)
-        self._open = True
-        self._next_look_s = time.monotonic() + GONE_CHECK_S
+        self._mailbox = mailboxes.open(request_id)
+        self._is_open = True
+        self._next_check_s = time.monotonic() + DISCONNECT_CHECK_INTERVAL_S
 
-    def begin(self, event: Event) -> None:
-        """Hand the call to the node."""
+    def submit(self, event: Event) -> None:
+        """Submit the call to the node."""
         self._emit(event)
 
     def next_action(self) -> Action | None:
-        """Wait for the next part of the answer; None: the caller left.
+        """Wait for the next action; return None if the caller disconnected.
 
-        An answer that is gathered before it is written shows no broken
-        connection while its tokens come in, so the look is due by the
-        clock, not only when nothing comes.
+        A response that is buffered until it is complete writes nothing while
+        its tokens arrive, so no write can fail. The connection is therefore
+        checked at a fixed interval, not only when the mailbox is empty.
         """
         while True:
-            if self._is_look_due() and is_gone(self._environ):
+            if self._is_check_due() and is_disconnected(self._environ):
                 return None
             try:
-                action: Action = self._box.get(timeout=GONE_CHECK_S)
+                action: Action = self._mailbox.get(
+                    timeout=DISCONNECT_CHECK_INTERVAL_S
+                )
             except queue.Empty:
                 continue
             return action
 
-    def _is_look_due(self) -> bool:
+    def _is_check_due(self) -> bool:
         now_s = time.monotonic()
-        if now_s < self._next_look_s:
+        if now_s < self._next_check_s:
             return False
-        self._next_look_s = now_s + GONE_CHECK_S
+        self._next_check_s = now_s + DISCONNECT_CHECK_INTERVAL_S
         return True
 
-    def end(self, *, whole: bool) -> None:
-        """Close the mailbox; tell the node if the answer was not taken."""
-        if not self._open:
+    def close(self, *, completed: bool) -> None:
+        """Close the mailbox; emit CallerGone if the response is incomplete."""
+        if not self._is_open:
             return
-        self._open = False
+        self._is_open = False
         self._mailboxes.close(self.request_id)
-        if not whole:
+        if not completed:
             self._emit(CallerGone(self.request_id))
 
 
-def collect(call: Call, request: openai.ModelRequest) -> Answer:
+def collect_response(
+    call: PendingCall, request: openai.ModelRequest
+) -> Response:
     tokens: list[str] = []
     action = call.next_action()
     while isinstance(action, SendTokens):
         tokens.extend(action.tokens)
         action = call.next_action()
-    call.end(whole=action is not None)
+    call.close(completed=action is not None)
     if isinstance(action, FinishCall):
-        body = openai.whole_answer(call.request_id, request, tokens, action)
-        return json_answer(call.request_id, body)
-    return answer_of(call.request_id, action)
+        body = openai.completion_body(call.request_id, request, tokens, action)
+        return json_response(call.request_id, body)
+    return response_for(call.request_id, action)
 
 
-def stream_answer(
-    call: Call, request: openai.ModelRequest, start_response: StartResponse
+def stream_response(
+    call: PendingCall,
+    request: openai.ModelRequest,
+    start_response: StartResponse,
 ) -> Iterable[bytes]:
-    """Stream an answer; a refusal before the first token has its status."""
+    """Stream a response; a refusal before the first token sets the status."""
     first = call.next_action()
     if not isinstance(first, SendTokens | FinishCall):
-        call.end(whole=first is not None)
-        return send_answer(start_response, answer_of(call.request_id, first))
+        call.close(completed=first is not None)
+        return send_response(
+            start_response, response_for(call.request_id, first)
+        )
     headers = [
         ('Content-Type', 'text/event-stream'),
         ('Cache-Control', 'no-cache'),
         ('X-Request-Id', call.request_id),
     ]
     start_response(_status_line(HTTPStatus.OK), headers)
-    return _Chunks(call, request, first)
+    return _StreamBody(call, request, first)
 
 
-class _Chunks:
-    """The body of a streamed answer.
+class _StreamBody:
+    """Body of a streamed response.
 
-    The server calls `close` at the end, also when writing to the caller
-    failed; a caller that left is noticed there, and its work is ended.
+    The server calls `close` at the end, also when a write to the caller
+    failed. This detects a caller that disconnected, and ends its call.
     """
 
     def __init__(
-        self, call: Call, request: openai.ModelRequest, first: Action
+        self, call: PendingCall, request: openai.ModelRequest, first: Action
     ) -> None:
         self._call = call
-        self._chunks = self._write(request, first)
+        self._chunks = self._generate(request, first)
 
     def __iter__(self) -> Iterator[bytes]:
         return self._chunks
 
     def close(self) -> None:
-        """End the call if its answer was not written whole."""
-        self._call.end(whole=False)
+        """Close the call as incomplete, unless it was closed before."""
+        self._call.close(completed=False)
 
-    def _write(
+    def _generate(
         self, request: openai.ModelRequest, first: Action | None
     ) -> Iterator[bytes]:
         request_id = self._call.request_id
@@ -177,50 +187,50 @@
             yield openai.token_chunk(request_id, request, action.tokens)
             action = self._call.next_action()
         if isinstance(action, FinishCall):
-            yield openai.end_chunks(request_id, request, action)
+            yield openai.final_chunks(request_id, request, action)
         elif isinstance(action, RefuseCall):
             yield openai.error_chunk(error_object(action.refusal))
-        self._call.end(whole=action is not None)
+        self._call.close(completed=action is not None)
 
 
-def answer_of(request_id: RequestId, action: Action | None) -> Answer:
+def response_for(request_id: RequestId, action: Action | None) -> Response:
     match action:
         case RefuseCall():
-            return refused_answer(request_id, action.refusal)
+            return refusal_response(request_id, action.refusal)
         case AnswerService():
             headers = [
                 ('Content-Type', action.content_type or JSON_TYPE),
                 ('X-Request-Id', request_id),
             ]
-            return Answer(action.status, headers, action.body)
+            return Response(action.status, headers, action.body)
         case AnswerModels():
-            return json_answer(request_id, openai.model_list(action.models))
+            return json_response(request_id, openai.model_list(action.models))
         case AnswerStatus():
             body = json.dumps(attrs.asdict(action.status)).encode()
-            return json_answer(request_id, body)
-    # The caller has left; nobody reads this.
-    return Answer(HTTPStatus.REQUEST_TIMEOUT, [], b'')
+            return json_response(request_id, body)
+    # The caller disconnected, so this response is never read.
+    return Response(HTTPStatus.REQUEST_TIMEOUT, [], b'')
 
 
-def json_answer(request_id: RequestId, body: bytes) -> Answer:
+def json_response(request_id: RequestId, body: bytes) -> Response:
     headers = [('Content-Type', JSON_TYPE), ('X-Request-Id', request_id)]
-    return Answer(HTTPStatus.OK, headers, body)
+    return Response(HTTPStatus.OK, headers, body)
 
 
-def refused_answer(request_id: RequestId, refusal: Refusal) -> Answer:
-    return Answer(
+def refusal_response(request_id: RequestId, refusal: Refusal) -> Response:
+    return Response(
         refusal.kind.status,
         problem_headers(request_id, refusal),
         problem_body(request_id, refusal),
     )
 
 
-def send_answer(
-    start_response: StartResponse, answer: Answer
+def send_response(
+    start_response: StartResponse, response: Response
 ) -> Iterable[bytes]:
-    headers = [*answer.headers, ('Content-Length', str(len(answer.body)))]
-    start_response(_status_line(answer.status), headers)
-    return [answer.body]
+    headers = [*response.headers, ('Content-Length', str(len(response.body)))]
+    start_response(_status_line(response.status), headers)
+    return [response.body]
 
 
 def _status_line(status: int) -> str:
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -1,7 +1,7 @@
-"""The callers' side: a WSGI application that turns calls into events.
+"""WSGI application that turns calls into events.
 
-Each connection is owned by the task that the HTTP server gave it. The task
-puts an event into the node's inbox and then waits at a mailbox of its own.
+The HTTP server runs each connection in its own task. For each call the task
+puts an event into the node's inbox and waits on a mailbox of that call.
 """
 
 import secrets
@@ -27,20 +27,20 @@
     bearer_key,
     deadline_in_s,
     malformed,
-    no_such_path,
-    path_of,
     read_body,
+    request_path,
+    unknown_path,
 )
 from dandelionyoke_wire._caller_output import (
-    Answer,
-    Call,
+    PendingCall,
+    Response,
     StartResponse,
-    Written,
-    answer_of,
-    collect,
-    refused_answer,
-    send_answer,
-    stream_answer,
+    TrackedBody,
+    collect_response,
+    refusal_response,
+    response_for,
+    send_response,
+    stream_response,
 )
 from dandelionyoke_wire._mailboxes import Mailboxes
 
@@ -50,14 +50,14 @@
 
 @attrs.frozen
 class CallerSettings:
-    """Limits towards callers."""
+    """Id of this instance and the limit on request bodies."""
 
     instance_id: InstanceId
     max_body_bytes: int = 4 * 1024 * 1024
 
 
 class CallerApp:
-    """The WSGI application of an entry."""
+    """WSGI application of an entry."""
 
     def __init__(
         self,
@@ -72,8 +72,8 @@
         self._emit = emit
         self._metrics_text = metrics_text
         self._is_leaving = is_leaving
-        # Answers that the node has ended may still be on their way out; a
-        # process that stopped before they are written would cut them.
+        # Number of responses not fully written. The node may have finished
+        # them already; stopping the process now would truncate them.
         self.open_answers = 0
 
     def __call__(
@@ -85,11 +85,11 @@
         try:
             chunks = self._route(request_id, environ, start_response)
         except CallError as error:
-            answer = refused_answer(request_id, error.refusal)
-            chunks = send_answer(start_response, answer)
-        return Written(chunks, self._written)
+            response = refusal_response(request_id, error.refusal)
+            chunks = send_response(start_response, response)
+        return TrackedBody(chunks, self._response_closed)
 
-    def _written(self) -> None:
+    def _response_closed(self) -> None:
         self.open_answers -= 1
 
     def _new_request_id(self) -> RequestId:
@@ -102,44 +102,54 @@
         environ: Environ,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        path = path_of(environ)
+        path = request_path(environ)
         method = environ['REQUEST_METHOD']
         if path.startswith(SERVICES_PREFIX):
-            event = self._service_call(request_id, environ)
-            return send_answer(start_response, self._ask(event, environ))
+            event = self._parse_service_call(request_id, environ)
+            return send_response(
+                start_response, self._submit_and_wait(event, environ)
+            )
         match (method, path):
             case ('POST', '/chat/completions'):
-                return self._model(request_id, environ, start_response, True)
+                return self._call_model(
+                    request_id, environ, start_response, True
+                )
             case ('POST', '/completions'):
-                return self._model(request_id, environ, start_response, False)
+                return self._call_model(
+                    request_id, environ, start_response, False
+                )
             case ('GET', '/models'):
-                asked = ModelsAsked(request_id, bearer_key(environ))
-                return send_answer(start_response, self._ask(asked, environ))
+                models_asked = ModelsAsked(request_id, bearer_key(environ))
+                return send_response(
+                    start_response, self._submit_and_wait(models_asked, environ)
+                )
             case ('GET', '/status'):
-                status = self._ask(StatusAsked(request_id), environ)
-                return send_answer(start_response, status)
+                response = self._submit_and_wait(
+                    StatusAsked(request_id), environ
+                )
+                return send_response(start_response, response)
             case ('GET', '/healthz'):
-                return send_answer(start_response, self._health())
+                return send_response(start_response, self._health())
             case ('GET', '/metrics'):
-                return send_answer(start_response, self._metrics())
-        raise CallError(no_such_path(method, path))
+                return send_response(start_response, self._metrics())
+        raise CallError(unknown_path(method, path))
 
-    def _health(self) -> Answer:
+    def _health(self) -> Response:
         if self._is_leaving():
             status, text = HTTPStatus.SERVICE_UNAVAILABLE, b'leaving\n'
         else:
             status, text = HTTPStatus.OK, b'serving\n'
-        return Answer(status, [('Content-Type', 'text/plain')], text)
+        return Response(status, [('Content-Type', 'text/plain')], text)
 
-    def _metrics(self) -> Answer:
+    def _metrics(self) -> Response:
         headers = [('Content-Type', 'text/plain; version=0.0.4')]
-        return Answer(HTTPStatus.OK, headers, self._metrics_text())
+        return Response(HTTPStatus.OK, headers, self._metrics_text())
 
-    def _service_call(
+    def _parse_service_call(
         self, request_id: RequestId, environ: Environ
     ) -> ServiceCalled:
-        below = path_of(environ).removeprefix(SERVICES_PREFIX)
-        service_name, _, path = below.partition('/')
+        subpath = request_path(environ).removeprefix(SERVICES_PREFIX)
+        service_name, _, path = subpath.partition('/')
         query = environ.get('QUERY_STRING')
         return ServiceCalled(
             request_id,
@@ -148,12 +158,12 @@
             environ['REQUEST_METHOD'],
             f'/{path}?{query}' if query else f'/{path}',
             environ.get('CONTENT_TYPE') or '',
-            self._body(environ),
+            self._read_body(environ),
             environ.get('HTTP_IDEMPOTENCY_KEY'),
             deadline_in_s(environ),
         )
 
-    def _model(
+    def _call_model(
         self,
         request_id: RequestId,
         environ: Environ,
@@ -161,9 +171,9 @@
         chat: bool,
     ) -> Iterable[bytes]:
         try:
-            request = openai.parse_request(self._body(environ), chat=chat)
-        except openai.BodyError as bad:
-            raise CallError(malformed(bad.detail, bad.remedy)) from bad
+            request = openai.parse_request(self._read_body(environ), chat=chat)
+        except openai.InvalidBodyError as error:
+            raise CallError(malformed(error.detail, error.remedy)) from error
         event = ModelCalled(
             request_id,
             bearer_key(environ),
@@ -172,23 +182,23 @@
             request.max_output_tokens,
             deadline_in_s(environ),
         )
-        call = Call(self._mailboxes, self._emit, environ, request_id)
-        call.begin(event)
+        call = PendingCall(self._mailboxes, self._emit, environ, request_id)
+        call.submit(event)
         if request.stream:
-            return stream_answer(call, request, start_response)
-        return send_answer(start_response, collect(call, request))
+            return stream_response(call, request, start_response)
+        return send_response(start_response, collect_response(call, request))
 
-    def _ask(
+    def _submit_and_wait(
         self,
         event: ServiceCalled | ModelsAsked | StatusAsked,
         environ: Environ,
-    ) -> Answer:
+    ) -> Response:
         request_id = event.request_id
-        call = Call(self._mailboxes, self._emit, environ, request_id)
-        call.begin(event)
+        call = PendingCall(self._mailboxes, self._emit, environ, request_id)
+        call.submit(event)
         action = call.next_action()
-        call.end(whole=action is not None)
-        return answer_of(request_id, action)
+        call.close(completed=action is not None)
+        return response_for(request_id, action)
 
-    def _body(self, environ: Environ) -> bytes:
+    def _read_body(self, environ: Environ) -> bytes:
         return read_body(environ, self._settings.max_body_bytes)
--- a/packages/wire/dandelionyoke_wire/_mailboxes.py
+++ b/packages/wire/dandelionyoke_wire/_mailboxes.py
@@ -1,4 +1,4 @@
-"""Where a call's answer waits for the task that owns its connection."""
+"""Queues of actions for the tasks that own caller connections."""
 
 from eventlet import queue
 
@@ -6,26 +6,26 @@
 
 
 class Mailboxes:
-    """One queue for each open call."""
+    """One queue for each call in flight."""
 
     def __init__(self) -> None:
-        self._boxes: dict[RequestId, queue.LightQueue] = {}
+        self._mailboxes: dict[RequestId, queue.LightQueue] = {}
 
     def open(self, request_id: RequestId) -> queue.LightQueue:
-        """Make the queue of a new call."""
-        box = queue.LightQueue()
-        self._boxes[request_id] = box
-        return box
+        """Create the queue of a new call."""
+        mailbox = queue.LightQueue()
+        self._mailboxes[request_id] = mailbox
+        return mailbox
 
     def close(self, request_id: RequestId) -> None:
-        """Forget a call; later answers to it are dropped."""
-        self._boxes.pop(request_id, None)
+        """Remove the queue of a call; later actions for it are dropped."""
+        self._mailboxes.pop(request_id, None)
 
     def deliver(self, request_id: RequestId, action: Action) -> None:
-        """Put an action where the call's task waits for it."""
-        box = self._boxes.get(request_id)
-        if box is not None:
-            box.put(action)
+        """Queue an action for the task of a call."""
+        mailbox = self._mailboxes.get(request_id)
+        if mailbox is not None:
+            mailbox.put(action)
 
     def __len__(self) -> int:
-        return len(self._boxes)
+        return len(self._mailboxes)
--- a/packages/wire/dandelionyoke_wire/_openai.py
+++ b/packages/wire/dandelionyoke_wire/_openai.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible shapes of requests and answers."""
+"""OpenAI-compatible request parsing and response formatting."""
 
 import json
 import time
@@ -18,11 +18,11 @@
 
 DEFAULT_MAX_OUTPUT_TOKENS = 1024
 MAX_OUTPUT_TOKENS = 131_072
-DONE = b'data: [DONE]\n\n'
+SSE_DONE = b'data: [DONE]\n\n'
 
 
-class BodyError(ValueError):
-    """A request body is wrong; the text names what and the remedy."""
+class InvalidBodyError(ValueError):
+    """An invalid request body, with the fault and its remedy."""
 
     def __init__(self, detail: str, remedy: str) -> None:
         super().__init__(detail)
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class ModelRequest:
-    """What a caller asked of a model, checked."""
+    """Validated request for a completion or a chat completion."""
 
     model_name: ModelName
     prompt: str
@@ -43,35 +43,39 @@
 
 
 def parse_request(raw: bytes, *, chat: bool) -> ModelRequest:
-    """Check a request body.
+    """Parse and validate a request body.
 
     Raises:
-        BodyError: the body is wrong.
+        InvalidBodyError: the body is invalid.
     """
-    body = _object(raw)
+    body = _parse_object(raw)
     _refuse_unsupported(body)
     options = body.get('stream_options') or {}
     if not isinstance(options, dict):
-        raise BodyError(
+        raise InvalidBodyError(
             'stream_options is not an object', 'Send {"include_usage": true}'
         )
     return ModelRequest(
-        ModelName(_text(body, 'model', 'Name a model of GET /v1/models')),
-        _chat(body) if chat else _prompt(body),
-        _max_output_tokens(body),
-        _flag(body, 'stream'),
-        _flag(options, 'include_usage'),
+        ModelName(
+            _required_text(
+                body, 'model', 'Use a model listed by GET /v1/models'
+            )
+        ),
+        _parse_messages(body) if chat else _parse_prompt(body),
+        _parse_max_output_tokens(body),
+        _optional_flag(body, 'stream'),
+        _optional_flag(options, 'include_usage'),
         chat,
     )
 
 
-def whole_answer(
+def completion_body(
     request_id: RequestId,
     request: ModelRequest,
     tokens: Sequence[str],
     end: FinishCall,
 ) -> bytes:
-    """Write an answer that is not streamed."""
+    """Encode a response that is not streamed."""
     text = ''.join(tokens)
     choice: dict[str, Any] = {
         'index': 0,
@@ -82,39 +86,39 @@
         choice['message'] = {'role': 'assistant', 'content': text}
     else:
         choice['text'] = text
-    answer = _envelope(request_id, request, [choice], streamed=False)
-    answer['usage'] = _usage(end)
-    return json.dumps(answer).encode()
+    completion = _response_object(request_id, request, [choice], streamed=False)
+    completion['usage'] = _usage(end)
+    return json.dumps(completion).encode()
 
 
 def token_chunk(
     request_id: RequestId, request: ModelRequest, tokens: Sequence[str]
 ) -> bytes:
-    """Write one SSE event with output."""
+    """Encode one SSE event with output tokens."""
     text = ''.join(tokens)
-    return _sse(request_id, request, [_chunk_choice(request, text, None)])
+    return _sse_event(request_id, request, [_chunk_choice(request, text, None)])
 
 
-def end_chunks(
+def final_chunks(
     request_id: RequestId, request: ModelRequest, end: FinishCall
 ) -> bytes:
-    """Write the SSE events that close a whole answer."""
-    closing = _sse(
+    """Encode the SSE events that end a complete stream."""
+    events = _sse_event(
         request_id, request, [_chunk_choice(request, '', end.end_reason)]
     )
     if request.include_usage:
-        closing += _sse(request_id, request, [], _usage(end))
-    return closing + DONE
+        events += _sse_event(request_id, request, [], _usage(end))
+    return events + SSE_DONE
 
 
 def error_chunk(error: Mapping[str, str]) -> bytes:
-    """Write the SSE event that says why a stream ends early."""
+    """Encode the SSE event with the error that ends a stream early."""
     return b'data: ' + json.dumps({'error': dict(error)}).encode() + b'\n\n'
 
 
 def model_list(models: Sequence[Model]) -> bytes:
-    """Write the list of models."""
-    listed = [
+    """Encode the list of models."""
+    entries = [
         {
             'id': model.model_name,
             'object': 'model',
@@ -123,96 +127,107 @@
         }
         for model in models
     ]
-    return json.dumps({'object': 'list', 'data': listed}).encode()
+    return json.dumps({'object': 'list', 'data': entries}).encode()
 
 
-def _object(raw: bytes) -> Mapping[str, Any]:
+def _parse_object(raw: bytes) -> Mapping[str, Any]:
     try:
         body = json.loads(raw.decode())
-    except (ValueError, RecursionError) as bad:
-        raise BodyError(
+    except (ValueError, RecursionError) as error:
+        raise InvalidBodyError(
             'The body is not JSON in UTF-8', 'Send a JSON object'
-        ) from bad
+        ) from error
     if not isinstance(body, dict):
-        raise BodyError('The body is no JSON object', 'Send a JSON object')
+        raise InvalidBodyError(
+            'The body is not a JSON object', 'Send a JSON object'
+        )
     return body
 
 
 def _refuse_unsupported(body: Mapping[str, Any]) -> None:
-    """Refuse what would change the answer's shape and is not carried."""
+    """Reject unsupported options that would change the response format."""
     if body.get('n') not in {None, 1} or body.get('best_of') not in {None, 1}:
-        raise BodyError('n and best_of above 1 are not served', 'Send n = 1')
+        raise InvalidBodyError(
+            'n and best_of above 1 are not supported', 'Send n = 1'
+        )
     for option in ('tools', 'functions', 'logprobs', 'response_format'):
         if body.get(option):
-            raise BodyError(f'{option} is not served', f'Leave {option} out')
+            raise InvalidBodyError(
+                f'{option} is not supported', f'Omit {option}'
+            )
 
 
-def _text(body: Mapping[str, Any], option: str, remedy: str) -> str:
-    found = body.get(option)
-    if not isinstance(found, str) or not found:
-        raise BodyError(f'{option} is missing or not a text', remedy)
-    return found
+def _required_text(body: Mapping[str, Any], option: str, remedy: str) -> str:
+    value = body.get(option)
+    if not isinstance(value, str) or not value:
+        raise InvalidBodyError(f'{option} is missing or not a string', remedy)
+    return value
 
 
-def _flag(body: Mapping[str, Any], option: str) -> bool:
-    found = body.get(option)
-    if found is not None and not isinstance(found, bool):
-        raise BodyError(f'{option} is not true or false', f'Mend {option}')
-    return bool(found)
+def _optional_flag(body: Mapping[str, Any], option: str) -> bool:
+    value = body.get(option)
+    if value is not None and not isinstance(value, bool):
+        raise InvalidBodyError(
+            f'{option} is not a boolean', f'Set {option} to true or false'
+        )
+    return bool(value)
 
 
-def _prompt(body: Mapping[str, Any]) -> str:
-    found = body.get('prompt')
-    if isinstance(found, list) and len(found) == 1:
-        found = found[0]
-    if not isinstance(found, str):
-        raise BodyError(
-            'prompt is missing or not one text', 'Send prompt as a string'
+def _parse_prompt(body: Mapping[str, Any]) -> str:
+    prompt = body.get('prompt')
+    if isinstance(prompt, list) and len(prompt) == 1:
+        prompt = prompt[0]
+    if not isinstance(prompt, str):
+        raise InvalidBodyError(
+            'prompt is missing or not a single string',
+            'Send prompt as a string',
         )
-    return found
+    return prompt
 
 
-def _chat(body: Mapping[str, Any]) -> str:
-    found = body.get('messages')
-    if not isinstance(found, list) or not found:
-        raise BodyError(
+def _parse_messages(body: Mapping[str, Any]) -> str:
+    messages = body.get('messages')
+    if not isinstance(messages, list) or not messages:
+        raise InvalidBodyError(
             'messages is missing or empty',
             'Send a list of {"role", "content"} objects',
         )
-    return chat_prompt([_message(message) for message in found])
+    return chat_prompt([_parse_message(message) for message in messages])
 
 
-def _message(found: Any) -> ChatMessage:
-    remedy = 'Send each message as {"role": text, "content": text}'
-    if not isinstance(found, dict):
-        raise BodyError('A message is no object', remedy)
-    content = found.get('content')
+def _parse_message(message: Any) -> ChatMessage:
+    remedy = 'Send each message as {"role": string, "content": string}'
+    if not isinstance(message, dict):
+        raise InvalidBodyError('A message is not an object', remedy)
+    content = message.get('content')
     if isinstance(content, list):
-        content = ''.join(_part(part, remedy) for part in content)
+        content = ''.join(_parse_content_part(part, remedy) for part in content)
     if not isinstance(content, str):
-        raise BodyError('The content of a message is not a text', remedy)
-    return ChatMessage(_text(found, 'role', remedy), content)
+        raise InvalidBodyError(
+            'The content of a message is not a string', remedy
+        )
+    return ChatMessage(_required_text(message, 'role', remedy), content)
 
 
-def _part(found: Any, remedy: str) -> str:
-    if not isinstance(found, dict) or found.get('type') != 'text':
-        raise BodyError('Only text parts are served', remedy)
-    return _text(found, 'text', remedy)
+def _parse_content_part(part: Any, remedy: str) -> str:
+    if not isinstance(part, dict) or part.get('type') != 'text':
+        raise InvalidBodyError('Only text content parts are supported', remedy)
+    return _required_text(part, 'text', remedy)
 
 
-def _max_output_tokens(body: Mapping[str, Any]) -> int:
-    found = body.get('max_completion_tokens')
-    if found is None:
-        found = body.get('max_tokens')
-    if found is None:
+def _parse_max_output_tokens(body: Mapping[str, Any]) -> int:
+    value = body.get('max_completion_tokens')
+    if value is None:
+        value = body.get('max_tokens')
+    if value is None:
         return DEFAULT_MAX_OUTPUT_TOKENS
-    whole = isinstance(found, int) and not isinstance(found, bool)
-    if not whole or not 1 <= found <= MAX_OUTPUT_TOKENS:
-        raise BodyError(
+    is_integer = isinstance(value, int) and not isinstance(value, bool)
+    if not is_integer or not 1 <= value <= MAX_OUTPUT_TOKENS:
+        raise InvalidBodyError(
             'max_tokens is out of range',
             f'Send a whole number from 1 to {MAX_OUTPUT_TOKENS}',
         )
-    return int(found)
+    return int(value)
 
 
 def _usage(end: FinishCall) -> dict[str, int]:
@@ -223,7 +238,7 @@
     }
 
 
-def _envelope(
+def _response_object(
     request_id: RequestId,
     request: ModelRequest,
     choices: list[dict[str, Any]],
@@ -253,13 +268,13 @@
     return choice
 
 
-def _sse(
+def _sse_event(
     request_id: RequestId,
     request: ModelRequest,
     choices: list[dict[str, Any]],
     usage: dict[str, int] | None = None,
 ) -> bytes:
-    chunk = _envelope(request_id, request, choices, streamed=True)
+    chunk = _response_object(request_id, request, choices, streamed=True)
     if usage is not None:
         chunk['usage'] = usage
     return b'data: ' + json.dumps(chunk).encode() + b'\n\n'
--- a/packages/wire/dandelionyoke_wire/_problems.py
+++ b/packages/wire/dandelionyoke_wire/_problems.py
@@ -1,4 +1,4 @@
-"""Refusals as HTTP answers that a person and a client library can read."""
+"""Refusals as HTTP error responses (problem+json and OpenAI format)."""
 
 import json
 import math
@@ -7,7 +7,7 @@
 
 PROBLEM_TYPE = 'application/problem+json'
 
-# The names that OpenAI client libraries know; any other status reads as
+# Error types known to OpenAI client libraries; any other status maps to
 # `api_error`.
 _ERROR_TYPES = (
     (400, 'invalid_request_error'),
@@ -19,7 +19,7 @@
 
 
 def problem_body(request_id: RequestId, refusal: Refusal) -> bytes:
-    """Write a refusal as problem+json with an OpenAI `error` inside."""
+    """Encode a refusal as problem+json with an OpenAI `error` member."""
     return json.dumps(
         {
             'type': f'urn:dandelionyoke:{refusal.kind.value}',
@@ -36,7 +36,7 @@
 
 
 def error_object(refusal: Refusal) -> dict[str, str]:
-    """Write a refusal as the `error` object of an OpenAI answer."""
+    """Return a refusal as the `error` object of an OpenAI response."""
     return {
         'message': f'{refusal.detail}. {refusal.remedy}.',
         'type': _error_type(refusal.kind.status.value),
@@ -47,11 +47,14 @@
 def problem_headers(
     request_id: RequestId, refusal: Refusal
 ) -> list[tuple[str, str]]:
-    """Headers of a refusal; `Retry-After` is in whole seconds, rounded up."""
+    """Return the headers of a refusal.
+
+    `Retry-After` is in whole seconds, rounded up.
+    """
     headers = [('Content-Type', PROBLEM_TYPE), ('X-Request-Id', request_id)]
     if refusal.retry_after_s is not None:
-        come_back_s = max(1, math.ceil(refusal.retry_after_s))
-        headers.append(('Retry-After', str(come_back_s)))
+        retry_after_s = max(1, math.ceil(refusal.retry_after_s))
+        headers.append(('Retry-After', str(retry_after_s)))
     return headers
 
 
