--- a/tests/links/test_peers.py
+++ b/tests/links/test_peers.py
@@ -1,4 +1,4 @@
-"""Links between two processes."""
+"""Tests of links between two processes."""
 
 import eventlet
 import testtools
@@ -24,32 +24,32 @@
         self.hub = PeerHub(
             PeerSettings(InstanceId('n-1'), b'one secret'), self.events.append
         )
-        serving = eventlet.spawn(self.hub.serve, self.listener)
-        self.addCleanup(serving.kill)
+        server = eventlet.spawn(self.hub.serve, self.listener)
+        self.addCleanup(server.kill)
 
     def dial(self, secret: bytes) -> tuple[PeerHub, list[Event]]:
         events: list[Event] = []
         hub = PeerHub(PeerSettings(InstanceId('n-2'), secret), events.append)
         address = f'ws://127.0.0.1:{self.port}/'
-        dialled = eventlet.spawn(hub.connect, InstanceId('n-1'), address)
-        self.addCleanup(dialled.kill)
+        dialler = eventlet.spawn(hub.connect, InstanceId('n-1'), address)
+        self.addCleanup(dialler.kill)
         eventlet.sleep(0.3)
         return hub, events
 
-    def test_messages_pass_between_ends_that_share_a_secret(self) -> None:
+    def test_messages_are_delivered_with_a_shared_secret(self) -> None:
         hub, events = self.dial(b'one secret')
         self.assertEqual([PeerConnected(InstanceId('n-1'))], events)
-        asked = NewsAsked(3, 'n-2.x', 0.4, 5)
-        self.assertTrue(hub.send(InstanceId('n-1'), asked))
+        message = NewsAsked(3, 'n-2.x', 0.4, 5)
+        self.assertTrue(hub.send(InstanceId('n-1'), message))
         eventlet.sleep(0.1)
         self.assertEqual(
-            PeerMessageArrived(InstanceId('n-2'), asked), self.events[-1]
+            PeerMessageArrived(InstanceId('n-2'), message), self.events[-1]
         )
 
-    def test_who_does_not_know_the_secret_is_not_heard(self) -> None:
-        """Some other process of the network dials a node's port.
+    def test_a_peer_without_the_secret_is_rejected(self) -> None:
+        """Another process on the network connects to a node's peer port.
 
-        What it says of targets or keys must not be believed.
+        What it sends about targets or keys must not be accepted.
         """
         hub, events = self.dial(b'another one')
         self.assertIsInstance(events[-1], PeerDisconnected)
--- a/tests/wire/test_guarded.py
+++ b/tests/wire/test_guarded.py
@@ -1,4 +1,4 @@
-"""Orders on a connection of their own."""
+"""Tests of calls that are sent only while a lease is held."""
 
 import socket
 
@@ -11,14 +11,14 @@
 
 
 def _read_to_end(sock: socket.socket) -> None:
-    """Read all that comes; raise what broke the connection off."""
+    """Read until the end; raise the error that ended the connection."""
     while sock.recv(65536):
         continue
 
 
 class GuardedCallTest(testtools.TestCase):
-    def test_an_order_that_was_given_up_never_arrives(self) -> None:
-        """Guards against an order that arrives once a partition heals."""
+    def test_a_timed_out_order_is_never_delivered(self) -> None:
+        """A timed-out order must not arrive after a partition heals."""
         listener = socket.create_server(('127.0.0.1', 0))
         self.addCleanup(listener.close)
         host, port = listener.getsockname()
