--- a/packages/wire/dandelionyoke_wire/_openai.py
+++ b/packages/wire/dandelionyoke_wire/_openai.py
@@ -153,7 +153,7 @@
     for option in ('tools', 'functions', 'logprobs', 'response_format'):
         if body.get(option):
             raise InvalidBodyError(
-                f'{option} is not supported', f'Omit {option}'
+                f'{option} is not supported', f'Remove {option} from the body'
             )
 
 
@@ -168,7 +168,7 @@
     value = body.get(option)
     if value is not None and not isinstance(value, bool):
         raise InvalidBodyError(
-            f'{option} is not a boolean', f'Set {option} to true or false'
+            f'{option} is not a boolean', f'Send a boolean as {option}'
         )
     return bool(value)
 
