--- a/packages/wire/dandelionyoke_wire/_caller_input.py
+++ b/packages/wire/dandelionyoke_wire/_caller_input.py
@@ -108,7 +108,7 @@
         return None
     if not header.isdecimal():
         raise CallError(
-            malformed('Content-Length is not a number', 'Send the body size')
+            malformed('Content-Length is no number', 'Send the body size')
         )
     return int(header)
 
@@ -121,5 +121,5 @@
     return Refusal(
         RefusalKind.TOO_LARGE,
         f'The body is over {limit_bytes} bytes',
-        'Send a smaller body',
+        'Send a smaller one',
     )
--- a/packages/wire/dandelionyoke_wire/_engine.py
+++ b/packages/wire/dandelionyoke_wire/_engine.py
@@ -275,7 +275,7 @@
                 request_id,
                 attempt_id,
                 sent=True,
-                cause='the stream ended early',
+                cause='cut',
             )
         )
 
@@ -291,7 +291,7 @@
         *lines, pending = (pending + chunk).split(b'\n')
         yield from (line for line in lines if line)
         if len(pending) > MAX_LINE_BYTES:
-            raise ValueError('a line of the stream exceeds the maximum length')
+            raise ValueError('a line of the stream is too long')
 
 
 def _parse_stream_line(
@@ -315,7 +315,7 @@
             int(line['prompt_tokens']),
             int(line.get('cached_tokens', 0)),
         )
-    cause = str(line.get('error', 'invalid stream line'))
+    cause = str(line.get('error', 'bad line'))
     return AttemptFailed(request_id, attempt_id, sent=True, cause=cause)
 
 
--- a/packages/wire/dandelionyoke_wire/_openai.py
+++ b/packages/wire/dandelionyoke_wire/_openai.py
@@ -57,9 +57,7 @@
         )
     return ModelRequest(
         ModelName(
-            _required_text(
-                body, 'model', 'Use a model listed by GET /v1/models'
-            )
+            _required_text(body, 'model', 'Name a model of GET /v1/models')
         ),
         _parse_messages(body) if chat else _parse_prompt(body),
         _parse_max_output_tokens(body),
@@ -139,7 +137,7 @@
         ) from error
     if not isinstance(body, dict):
         raise InvalidBodyError(
-            'The body is not a JSON object', 'Send a JSON object'
+            'The body is no JSON object', 'Send a JSON object'
         )
     return body
 
@@ -148,19 +146,19 @@
     """Reject unsupported options that would change the response format."""
     if body.get('n') not in {None, 1} or body.get('best_of') not in {None, 1}:
         raise InvalidBodyError(
-            'n and best_of above 1 are not supported', 'Send n = 1'
+            'n and best_of above 1 are not served', 'Send n = 1'
         )
     for option in ('tools', 'functions', 'logprobs', 'response_format'):
         if body.get(option):
             raise InvalidBodyError(
-                f'{option} is not supported', f'Remove {option} from the body'
+                f'{option} is not served', f'Leave {option} out'
             )
 
 
 def _required_text(body: Mapping[str, Any], option: str, remedy: str) -> str:
     value = body.get(option)
     if not isinstance(value, str) or not value:
-        raise InvalidBodyError(f'{option} is missing or not a string', remedy)
+        raise InvalidBodyError(f'{option} is missing or not a text', remedy)
     return value
 
 
@@ -168,7 +166,7 @@
     value = body.get(option)
     if value is not None and not isinstance(value, bool):
         raise InvalidBodyError(
-            f'{option} is not a boolean', f'Send a boolean as {option}'
+            f'{option} is not true or false', f'Mend {option}'
         )
     return bool(value)
 
@@ -179,7 +177,7 @@
         prompt = prompt[0]
     if not isinstance(prompt, str):
         raise InvalidBodyError(
-            'prompt is missing or not a single string',
+            'prompt is missing or not one text',
             'Send prompt as a string',
         )
     return prompt
@@ -196,22 +194,20 @@
 
 
 def _parse_message(message: Any) -> ChatMessage:
-    remedy = 'Send each message as {"role": string, "content": string}'
+    remedy = 'Send each message as {"role": text, "content": text}'
     if not isinstance(message, dict):
-        raise InvalidBodyError('A message is not an object', remedy)
+        raise InvalidBodyError('A message is no object', remedy)
     content = message.get('content')
     if isinstance(content, list):
         content = ''.join(_parse_content_part(part, remedy) for part in content)
     if not isinstance(content, str):
-        raise InvalidBodyError(
-            'The content of a message is not a string', remedy
-        )
+        raise InvalidBodyError('The content of a message is not a text', remedy)
     return ChatMessage(_required_text(message, 'role', remedy), content)
 
 
 def _parse_content_part(part: Any, remedy: str) -> str:
     if not isinstance(part, dict) or part.get('type') != 'text':
-        raise InvalidBodyError('Only text content parts are supported', remedy)
+        raise InvalidBodyError('Only text parts are served', remedy)
     return _required_text(part, 'text', remedy)
 
 
--- a/packages/wire/dandelionyoke_wire/_plain.py
+++ b/packages/wire/dandelionyoke_wire/_plain.py
@@ -61,7 +61,7 @@
         with contextlib.closing(response):
             body = _read_body(response)
         if body is None:
-            return AttemptFailed(*ids, sent=True, cause='response too large')
+            return AttemptFailed(*ids, sent=True, cause='answer too large')
         refusal = _parse_refusal(response.status, body)
         if refusal is not None:
             return AttemptRefused(*ids, *refusal)
--- a/packages/wire/dandelionyoke_wire/_store.py
+++ b/packages/wire/dandelionyoke_wire/_store.py
@@ -66,9 +66,7 @@
         except TransportError as error:
             return StoreFailed(error.cause, may_have_happened=error.sent)
         except (KeyError, TypeError, ValueError) as bad:
-            return StoreFailed(
-                f'invalid response: {bad!r}', may_have_happened=True
-            )
+            return StoreFailed(f'bad answer: {bad!r}', may_have_happened=True)
 
     def _dispatch(self, action: Action) -> StoreResult:
         match action:
@@ -169,7 +167,7 @@
     # The store returns 503 and 429 before it processes a write.
     refused = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.TOO_MANY_REQUESTS)
     return StoreFailed(
-        f'the store returned status {reply.status}',
+        f'the store answered {reply.status}',
         may_have_happened=reply.status not in refused,
     )
 
--- a/packages/wire/dandelionyoke_wire/_transport.py
+++ b/packages/wire/dandelionyoke_wire/_transport.py
@@ -96,7 +96,7 @@
     try:
         decoded = json.loads(raw)
     except ValueError as error:
-        raise TransportError('the response is not JSON', sent=True) from error
+        raise TransportError('the answer is not JSON', sent=True) from error
     if not isinstance(decoded, dict):
-        raise TransportError('the response is not a JSON object', sent=True)
+        raise TransportError('the answer is no JSON object', sent=True)
     return decoded
