--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -14,7 +14,7 @@
 from eventlet.greenthread import GreenThread
 
 from dandelionyoke_gateway import clock_s
-from dandelionyoke_platform import _words as words
+from dandelionyoke_platform import _wire_names as wire
 
 JSON_HEADERS = [('Content-Type', 'application/json')]
 STEP_S = 0.02
@@ -147,22 +147,22 @@
             name: found[0]
             for name, found in parse_qs(environ.get('QUERY_STRING', '')).items()
         }
-        if path == words.USAGE_CALL:
+        if path == wire.USAGE_PATH:
             return self._report(environ, body)
-        if path == words.SCALE_CALL:
+        if path == wire.SCALE_PATH:
             self.orders.append(body)
             return 200, {}
         self.calls[_address(environ), path] += 1
         if self.is_out or _address(environ) in self.refused:
             return 503, {}
-        if path == words.KEY_CALL:
+        if path == wire.KEY_PATH:
             item = self.items.get(query['key'])
             return (200, item.fields()) if item else (404, {})
-        if path == words.RANGE_CALL:
+        if path == wire.RANGE_PATH:
             return 200, self._range(query['path_prefix'])
-        if path == words.WATCH_CALL:
+        if path == wire.WATCH_PATH:
             return self._watch(query)
-        if path == words.WRITE_CALL:
+        if path == wire.TRANSACTION_PATH:
             done = self._write(body)
             return (504, {}) if self.loses else done
         return self._lease(environ['REQUEST_METHOD'], path, body)
@@ -228,7 +228,7 @@
     def _lease(
         self, method: str, path: str, body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
-        if path == words.LEASE_CALL:
+        if path == wire.LEASE_PATH:
             self.revision += 1
             ttl_s = body['ttl_ms'] / 1000
             self.leases[self.revision] = (clock_s() + ttl_s, ttl_s)
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -15,7 +15,7 @@
 from testtools.content import text_content
 
 from dandelionyoke_gateway import clock_s
-from dandelionyoke_platform import _words as words
+from dandelionyoke_platform import _wire_names as wire
 from tests.platform.path import (
     HOST,
     KEY,
@@ -203,7 +203,7 @@
         self.store.calls.clear()
         eventlet.sleep(4)
         watches = sorted(
-            self.store.calls[one.store_address, words.WATCH_CALL]
+            self.store.calls[one.store_address, wire.WATCH_PATH]
             for one in programs
         )
         self.assertEqual(0, watches[0])
