--- a/packages/core/dandelionyoke_core/_actions.py
+++ b/packages/core/dandelionyoke_core/_actions.py
@@ -1,4 +1,4 @@
-"""What a node asks of the world; the wire performs these."""
+"""Actions: input and output that a node requests and the wire performs."""
 
 import attrs
 
@@ -25,15 +25,15 @@
 
 @attrs.frozen
 class Action:
-    """Base of all that a node asks for."""
+    """Base class of all actions."""
 
 
-# Callers.
+# Answers to callers.
 
 
 @attrs.frozen
 class SendTokens(Action):
-    """Pass output on to the caller."""
+    """Forward output tokens to the caller."""
 
     request_id: RequestId
     tokens: tuple[str, ...]
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class FinishCall(Action):
-    """Close a whole answer."""
+    """Complete the answer to a model call."""
 
     request_id: RequestId
     end_reason: str
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class AnswerService(Action):
-    """Pass a plain service's answer on to the caller."""
+    """Forward a plain service's answer to the caller."""
 
     request_id: RequestId
     status: int
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class AnswerModels(Action):
-    """List models to the caller."""
+    """Send the list of models to the caller."""
 
     request_id: RequestId
     models: tuple[Model, ...]
@@ -69,9 +69,10 @@
 
 @attrs.frozen
 class NodeStatus:
-    """What a node knows of itself, for the operator's command.
+    """State of a node, for the operator's status command.
 
-    `knowledge_age_s` is the age of its configuration; None: it has none.
+    `knowledge_age_s` is the age of its configuration, None if it has none.
+    `live` lists the entry instances that it considers alive.
     """
 
     instance_id: InstanceId
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class AnswerStatus(Action):
-    """Tell the operator what this node knows of itself."""
+    """Send this node's state to the operator."""
 
     request_id: RequestId
     status: NodeStatus
@@ -95,7 +96,7 @@
 
 @attrs.frozen
 class RefuseCall(Action):
-    """End a call with a refusal, in the stream if one has begun."""
+    """End a call with a refusal, inside the stream if one has started."""
 
     request_id: RequestId
     refusal: Refusal
@@ -121,10 +122,10 @@
 
 @attrs.frozen
 class ResumeAttempt(Action):
-    """Read on an engine's attempt from an offset, on a new connection.
+    """Continue reading an engine's attempt at an offset, on a new connection.
 
-    The new stream is matched by `attempt_id`; the engine knows the work by
-    `resumed_attempt_id`.
+    Events of the new stream carry `attempt_id`; `resumed_attempt_id` is the
+    id under which the engine runs the attempt.
     """
 
     request_id: RequestId
@@ -137,7 +138,7 @@
 
 @attrs.frozen
 class CancelAttempt(Action):
-    """Tell an engine to stop, and stop reading."""
+    """Tell an engine to stop an attempt, and stop reading its output."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -147,7 +148,7 @@
 
 @attrs.frozen
 class DropAttempt(Action):
-    """Close this side's connection of an attempt and forget it."""
+    """Close the connection of an attempt without telling the engine."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -182,7 +183,7 @@
 
 @attrs.frozen
 class PollCacheEvents(Action):
-    """Read an engine's cache events after a sequence."""
+    """Read an engine's cache events after a sequence number."""
 
     target_id: TargetId
     address: str
@@ -193,9 +194,9 @@
 class SendEngineOrder(Action):
     """Send an order, but never after `not_after_s` of this node's clock.
 
-    A process that was paused between deciding and sending would send with
-    an authority that it has lost; the wire compares the clock right before
-    each byte leaves and answers UNKNOWN instead of sending late.
+    A process that is paused between decision and sending may have lost its
+    lease meanwhile. The wire therefore checks the clock right before each
+    write and answers UNKNOWN instead of sending late.
     """
 
     target_id: TargetId
@@ -206,7 +207,7 @@
 
 @attrs.frozen
 class ReadEngineOrder(Action):
-    """Ask an engine what became of an order."""
+    """Ask an engine for the state of an order."""
 
     target_id: TargetId
     address: str
@@ -215,7 +216,7 @@
 
 @attrs.frozen
 class SendTargetOrder(Action):
-    """Order targets of the platform, but never after `not_after_s`."""
+    """Order targets from the platform, but never after `not_after_s`."""
 
     order: TargetOrder
     not_after_s: float
@@ -223,7 +224,7 @@
 
 @attrs.frozen
 class SubmitUsage(Action):
-    """Report a closed window, but never after `not_after_s`."""
+    """Report a closed usage window, but never after `not_after_s`."""
 
     window: UsageWindow
     not_after_s: float
@@ -244,7 +245,7 @@
 
 @attrs.frozen
 class StoreGet(Action):
-    """Read a key: StoreItem or StoreFailed."""
+    """Read a key. Answered by StoreItem or StoreFailed."""
 
     operation_id: OperationId
     key: str
@@ -252,9 +253,9 @@
 
 @attrs.frozen
 class StoreList(Action):
-    """Read all keys below a prefix: StoreListing or StoreFailed.
+    """Read all keys below a prefix. Answered by StoreListing or StoreFailed.
 
-    `may_be_old` lets the store answer from a copy that is seconds behind.
+    `may_be_old` allows a stale read from a replica that is seconds behind.
     """
 
     operation_id: OperationId
@@ -264,7 +265,7 @@
 
 @attrs.frozen
 class StorePut(Action):
-    """Write a key if it is at the expected revision (0: absent).
+    """Write a key if it is at the expected revision (0: the key is absent).
 
     Answered by StoreWritten, StoreConflict or StoreFailed.
     """
@@ -278,7 +279,7 @@
 
 @attrs.frozen
 class StoreDelete(Action):
-    """Remove a key if it is at the expected revision."""
+    """Delete a key if it is at the expected revision."""
 
     operation_id: OperationId
     key: str
@@ -287,7 +288,7 @@
 
 @attrs.frozen
 class StoreWatch(Action):
-    """Wait for changes below a prefix: StoreListing or StoreFailed."""
+    """Watch a prefix for changes. Answered by StoreListing or StoreFailed."""
 
     operation_id: OperationId
     prefix: str
@@ -297,7 +298,7 @@
 
 @attrs.frozen
 class LeaseGrant(Action):
-    """Ask for a lease: LeaseGranted or StoreFailed."""
+    """Request a lease. Answered by LeaseGranted or StoreFailed."""
 
     operation_id: OperationId
     ttl_s: float
@@ -305,7 +306,7 @@
 
 @attrs.frozen
 class LeaseRenew(Action):
-    """Renew a lease: LeaseGranted, LeaseLapsed or StoreFailed."""
+    """Renew a lease. Answered by LeaseGranted, LeaseLapsed or StoreFailed."""
 
     operation_id: OperationId
     lease_id: LeaseId
@@ -313,7 +314,7 @@
 
 @attrs.frozen
 class LeaseRelease(Action):
-    """Give a lease up; its keys are removed."""
+    """Release a lease; the store deletes its keys."""
 
     operation_id: OperationId
     lease_id: LeaseId
@@ -339,18 +340,18 @@
 
 @attrs.frozen
 class SendPeer(Action):
-    """Send a message over a link; dropped if the link is not up."""
+    """Send a message over a link; it is dropped if the link is down."""
 
     peer_id: InstanceId
     message: PeerMessage
 
 
-# Explanations and the process itself.
+# Logging, metrics and the process.
 
 
 @attrs.frozen
 class WriteLog(Action):
-    """Write one log record. `subject` is the id that it is about."""
+    """Write one log record; `subject` is the id of the thing it concerns."""
 
     kind: str
     subject: str
@@ -360,7 +361,7 @@
 
 @attrs.frozen
 class CountMetric(Action):
-    """Add to a counter."""
+    """Increase a counter."""
 
     metric: str
     amount: int = 1
@@ -369,7 +370,7 @@
 
 @attrs.frozen
 class ObserveLatency(Action):
-    """Record a duration in a histogram."""
+    """Add a duration to a latency histogram."""
 
     metric: str
     elapsed_s: float
@@ -377,6 +378,6 @@
 
 @attrs.frozen
 class StopProcess(Action):
-    """All is finished; the process may end."""
+    """End the process; `clean` is False if calls in progress are cut off."""
 
     clean: bool
--- a/packages/core/dandelionyoke_core/_entities.py
+++ b/packages/core/dandelionyoke_core/_entities.py
@@ -1,4 +1,4 @@
-"""What the operator declares: the typed content of a configuration."""
+"""Entities of a configuration and changes to them."""
 
 import enum
 from collections.abc import Mapping
@@ -22,7 +22,7 @@
 
 @enum.unique
 class ServiceKind(enum.Enum):
-    """What stands behind a service."""
+    """Kind of the targets of a service."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
@@ -30,12 +30,12 @@
 
 @attrs.frozen
 class Organisation:
-    """A customer: its place in the queue and its limits over all entries.
+    """A customer, with its priority and its limits across all entries.
 
-    `priority` is 0 (lowest) to 9; `weight` is its part of the served work
-    among organisations of equal priority. `knowledge_age_limit_s` bounds how
-    old an entry's configuration may be for its calls to be served; None
-    means that an entry cut off from the platform serves on.
+    `priority` is 0 (lowest) to 9; `weight` sets its share of the served work
+    among organisations of equal priority. `knowledge_age_limit_s` is the
+    maximum age of an entry's configuration at which the entry still serves
+    its calls; with None an entry cut off from the platform keeps serving.
     """
 
     organisation_id: OrganisationId
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class ApiKey:
-    """A key of an organisation, kept as the SHA-256 of its text, in hex."""
+    """API key of an organisation, stored as the SHA-256 of its text in hex."""
 
     key_hash: str
     organisation_id: OrganisationId
@@ -58,11 +58,11 @@
 
 @attrs.frozen
 class Service:
-    """A group of targets that are interchangeable for their callers.
+    """Group of targets that are interchangeable for callers.
 
-    `reclaimable_share` (0 to 1) is the most of its work that may go to
-    reclaimable targets. `unrepeatable` lists calls that run at most once,
-    as `METHOD /path`; a path that ends in `*` covers all below it.
+    `reclaimable_share` (0 to 1) is the maximum share of its work that may go
+    to reclaimable (spot) targets. `unrepeatable` lists calls that run at most
+    once, as `METHOD /path`; a path that ends in `*` covers all paths below it.
     """
 
     service_name: ServiceName
@@ -75,7 +75,7 @@
 
 @attrs.frozen
 class Model:
-    """A model that callers name, and the service that carries it."""
+    """Model that callers can name, and the service that serves it."""
 
     model_name: ModelName
     service_name: ServiceName
@@ -89,7 +89,7 @@
 
 @enum.unique
 class Section(enum.Enum):
-    """The sections of a configuration, one for each type of entity."""
+    """Section of a configuration, one per type of entity."""
 
     ORGANISATION = 'organisation'
     KEY = 'key'
@@ -106,7 +106,7 @@
 
 @attrs.frozen
 class Remove:
-    """Remove one entity, which has to exist."""
+    """Remove one entity, which must exist."""
 
     section: Section
     name: str
@@ -117,10 +117,11 @@
 
 @attrs.frozen
 class Change:
-    """One accepted change; the log of changes is the audit trail.
+    """Committed change; the list of all changes is the audit trail.
 
     `revision` is the configuration's revision after the change (1 for the
-    first); `committed_wall_s` is seconds since the epoch at the operator.
+    first); `committed_wall_s` is seconds since the epoch on the operator's
+    clock.
     """
 
     change_id: ChangeId
@@ -133,7 +134,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """A whole configuration at one revision; 0 is the empty one."""
+    """Whole configuration at one revision; revision 0 is empty."""
 
     revision: int = 0
     organisations: Mapping[OrganisationId, Organisation] = attrs.field(
--- a/packages/core/dandelionyoke_core/_errors.py
+++ b/packages/core/dandelionyoke_core/_errors.py
@@ -1,8 +1,8 @@
-"""The exception tree. Each message names what is wrong and the remedy."""
+"""Exception classes; each message states the problem and the remedy."""
 
 
 class DandelionyokeError(Exception):
-    """Base of all errors that dandelionyoke raises on purpose."""
+    """Base class of the errors that dandelionyoke raises itself."""
 
     def __init__(self, problem: str, remedy: str) -> None:
         super().__init__(f'{problem}. {remedy}.')
@@ -11,12 +11,12 @@
 
 
 class ConfigurationError(DandelionyokeError):
-    """A configuration value is missing or wrong."""
+    """Raised when a configuration value is missing or invalid."""
 
 
 class SettingsError(DandelionyokeError):
-    """A setting of a process is missing or wrong."""
+    """Raised when a setting of a process is missing or invalid."""
 
 
 class CodecError(DandelionyokeError):
-    """Bytes from outside are not a message of this system."""
+    """Raised when received or stored data cannot be decoded."""
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -1,4 +1,4 @@
-"""What reaches a node: everything outside becomes one of these."""
+"""Events: all input that a node handles."""
 
 import attrs
 
@@ -25,26 +25,26 @@
 
 @attrs.frozen
 class Event:
-    """Base of all that a node handles."""
+    """Base class of all events."""
 
 
 @attrs.frozen
 class Notice(Event):
-    """An event from one part of a node to its other parts."""
+    """Event that one part of a node sends to its other parts."""
 
 
 @attrs.frozen
 class PeerMessage:
-    """Base of all that entries send to each other."""
+    """Base class of all messages between entry instances."""
 
 
 @attrs.frozen
 class SharedRecord(PeerMessage):
-    """A small versioned record that every entry in its scope learns.
+    """Small versioned record that is replicated to every entry in its scope.
 
-    Of two records with one `record_key` the higher `version` wins, whoever
-    relays it. Subclasses add their content. Membership drops a record
-    `lifetime_s` after it was first heard.
+    Of two records with the same `record_key` the one with the higher
+    `version` wins, whichever peer relays it. Subclasses add their content.
+    Membership expires a record `lifetime_s` after it was first received.
     """
 
     record_key: str
@@ -52,12 +52,12 @@
     lifetime_s: float
 
 
-# Callers.
+# Calls.
 
 
 @attrs.frozen
 class ModelCalled(Event):
-    """A caller asks a model. `deadline_in_s` counts from arrival."""
+    """A caller calls a model; `deadline_in_s` is relative to the arrival."""
 
     request_id: RequestId
     bearer_key: str = attrs.field(repr=False)
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class ModelsAsked(Event):
-    """A caller asks which models its key may use."""
+    """A caller requests the list of models that its key may use."""
 
     request_id: RequestId
     bearer_key: str = attrs.field(repr=False)
@@ -92,24 +92,24 @@
 
 @attrs.frozen
 class StatusAsked(Event):
-    """The operator asks what this node knows of itself."""
+    """The operator requests the state of this node."""
 
     request_id: RequestId
 
 
 @attrs.frozen
 class CallerGone(Event):
-    """The caller's connection ended before its answer did."""
+    """The caller disconnected before its answer was complete."""
 
     request_id: RequestId
 
 
-# Attempts at targets. Each is matched by request, attempt and offset.
+# Attempts at targets, matched by request id, attempt id and offset.
 
 
 @attrs.frozen
 class AttemptAccepted(Event):
-    """The target took the work and began its answer."""
+    """The target accepted the attempt and started its answer."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -117,7 +117,7 @@
 
 @attrs.frozen
 class TokensArrived(Event):
-    """Output tokens; `offset` counts from the whole answer's first token."""
+    """Output tokens arrived; `offset` is their position in the whole answer."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -127,7 +127,7 @@
 
 @attrs.frozen
 class AttemptEnded(Event):
-    """The whole output was sent; `offset` is its length in tokens."""
+    """The target sent the whole output; `offset` is its length in tokens."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -139,7 +139,7 @@
 
 @attrs.frozen
 class AttemptRefused(Event):
-    """The target says that it did not run this attempt."""
+    """The target stated that it did not run this attempt."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -149,7 +149,7 @@
 
 @attrs.frozen
 class AttemptFailed(Event):
-    """The attempt broke; `sent` is False if no byte of it left."""
+    """The attempt failed; `sent` is False if no byte of it was sent."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -159,7 +159,7 @@
 
 @attrs.frozen
 class ServiceAnswered(Event):
-    """A plain service's whole answer."""
+    """A plain service sent its whole answer."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -173,7 +173,7 @@
 
 @attrs.frozen
 class LoadReported(Event):
-    """An engine's load report was read."""
+    """A load report of an engine arrived."""
 
     target_id: TargetId
     report: LoadReport
@@ -181,7 +181,7 @@
 
 @attrs.frozen
 class TargetUnreachable(Event):
-    """A poll of a target failed."""
+    """Polling a target failed."""
 
     target_id: TargetId
     cause: str
@@ -189,7 +189,7 @@
 
 @attrs.frozen
 class CacheEventsReported(Event):
-    """Cache events after a sequence; `first_sequence` shows a gap."""
+    """Cache events arrived; `first_sequence` reveals a gap before them."""
 
     target_id: TargetId
     first_sequence: int
@@ -199,7 +199,7 @@
 
 @attrs.frozen
 class EngineOrderAnswered(Event):
-    """What an engine said of an order; UNKNOWN where no answer came."""
+    """An engine answered an order; the state is UNKNOWN without an answer."""
 
     target_id: TargetId
     order_id: OrderId
@@ -209,7 +209,7 @@
 
 @attrs.frozen
 class TargetOrderAnswered(Event):
-    """What the platform said of an order; UNKNOWN where no answer came."""
+    """The platform answered an order; UNKNOWN without an answer."""
 
     order_id: OrderId
     state: OrderState
@@ -218,28 +218,28 @@
 
 @attrs.frozen
 class TargetsListed(Event):
-    """The platform's list of targets."""
+    """The platform's list of targets arrived."""
 
     targets: tuple[Target, ...]
 
 
 @attrs.frozen
 class InstancesListed(Event):
-    """The platform's lagging list of entry instances."""
+    """The platform's list of entry instances arrived; it may be stale."""
 
     instances: tuple[Instance, ...]
 
 
 @attrs.frozen
 class ListingFailed(Event):
-    """The platform gave no list."""
+    """Reading a list from the platform failed."""
 
     cause: str
 
 
 @attrs.frozen
 class UsageAnswered(Event):
-    """Whether the platform took a usage window; None: not known."""
+    """The platform accepted a usage window or not; None if unknown."""
 
     window_id: WindowId
     accepted: bool | None
@@ -247,7 +247,7 @@
 
 @attrs.frozen
 class StoreAnswered(Event):
-    """The end of a store operation."""
+    """A store operation ended."""
 
     operation_id: OperationId
     result: StoreResult
@@ -258,14 +258,14 @@
 
 @attrs.frozen
 class PeerConnected(Event):
-    """A link to a peer is up and the peer has proved that it belongs."""
+    """A link to a peer is up and the peer is authenticated."""
 
     peer_id: InstanceId
 
 
 @attrs.frozen
 class PeerDisconnected(Event):
-    """A link to a peer ended or could not be opened."""
+    """A link to a peer closed or could not be opened."""
 
     peer_id: InstanceId
     cause: str
@@ -279,26 +279,26 @@
     message: PeerMessage
 
 
-# The process itself.
+# The process.
 
 
 @attrs.frozen
 class Started(Event):
-    """The process is up; `wall_s` is seconds since the epoch."""
+    """The process has started; `wall_s` is seconds since the epoch."""
 
     wall_s: float
 
 
 @attrs.frozen
 class Woken(Event):
-    """A wake-up that a part asked for is due."""
+    """A wake-up time that a part returned from `next_wakeup_s` is due."""
 
 
 @attrs.frozen
 class ShutdownRequested(Event):
-    """The process was asked to leave; nothing may be cut."""
+    """The process must drain and stop without cutting calls off."""
 
 
 @attrs.frozen
 class ShutdownForced(Event):
-    """The process was asked a second time, and cuts short."""
+    """A second stop request: the process ends and cuts calls off."""
--- a/packages/core/dandelionyoke_core/_names.py
+++ b/packages/core/dandelionyoke_core/_names.py
@@ -1,4 +1,4 @@
-"""Identifiers, each with a type of its own so that none stands for another."""
+"""Identifier types, one per kind, so that kinds cannot be confused."""
 
 from typing import NewType
 
--- a/packages/core/dandelionyoke_core/_notices.py
+++ b/packages/core/dandelionyoke_core/_notices.py
@@ -1,4 +1,4 @@
-"""What the parts of a node tell each other."""
+"""Notices: events between the parts of a node."""
 
 import attrs
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class ConfigurationInForce(Notice):
-    """A higher revision is in force in this node."""
+    """This node applies a higher revision of the configuration."""
 
     snapshot: Snapshot
     changes: tuple[Change, ...] = ()
@@ -25,21 +25,21 @@
 
 @attrs.frozen
 class KeyWithdrawn(Notice):
-    """A key stopped being valid; its work in progress ends."""
+    """An API key was revoked; its calls in progress end."""
 
     key_hash: str
 
 
 @attrs.frozen
 class CallAdmitted(Notice):
-    """A queued call may go to a target now."""
+    """A queued call may be sent to a target now."""
 
     request_id: RequestId
 
 
 @attrs.frozen
 class CallRejected(Notice):
-    """A queued call is given up on."""
+    """A queued call is refused."""
 
     request_id: RequestId
     refusal: Refusal
@@ -47,11 +47,11 @@
 
 @attrs.frozen
 class CallDelivered(Notice):
-    """Output reached the caller for the first time; for usage.
+    """Usage to count: output forwarded to the caller for the first time.
 
-    A call is told with `requests` 1 once, at its end; output tokens are
-    told as they are passed on, so that a cut answer is counted as far as
-    it went.
+    `requests` is 1 only once per call, at its end. Output tokens are
+    reported as they are forwarded, so that an answer that is cut off counts
+    up to that point.
     """
 
     request_id: RequestId
@@ -64,14 +64,14 @@
 
 @attrs.frozen
 class ClaimGranted(Notice):
-    """This node, and no other, may send the call, once."""
+    """This node alone may send the call, and only once."""
 
     request_id: RequestId
 
 
 @attrs.frozen
 class ClaimAnswered(Notice):
-    """The call has an end on record, which is its answer again."""
+    """The call has a stored result, which is returned as its answer."""
 
     request_id: RequestId
     status: int
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class ClaimRefused(Notice):
-    """The call may not be sent by this request."""
+    """This request may not send the call."""
 
     request_id: RequestId
     refusal: Refusal
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class TargetCrashed(Notice):
-    """A target ended or restarted with these attempts in progress."""
+    """A target died or restarted while these attempts were in progress."""
 
     target_id: TargetId
     attempt_ids: tuple[AttemptId, ...]
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class TargetLeaving(Notice):
-    """A target gets no new work from now on."""
+    """A target is draining and receives no new work."""
 
     target_id: TargetId
     cause: str
@@ -105,7 +105,7 @@
 
 @attrs.frozen
 class ShareRecord(Notice):
-    """Spread a record; `everywhere` is False for this domain only."""
+    """Replicate a record; `everywhere` is False for this domain only."""
 
     record: SharedRecord
     everywhere: bool = False
@@ -113,7 +113,7 @@
 
 @attrs.frozen
 class RecordLearned(Notice):
-    """A record that is newer than what this node knew."""
+    """A peer sent a record that is newer than the one this node has."""
 
     record: SharedRecord
     from_peer: InstanceId
@@ -121,7 +121,7 @@
 
 @attrs.frozen
 class DutyGained(Notice):
-    """This node holds a duty of its domain, with a fencing number."""
+    """This node now holds a duty of its domain, with a fencing token."""
 
     duty: str
     fence: int
@@ -130,7 +130,7 @@
 
 @attrs.frozen
 class DutyExtended(Notice):
-    """The term of a duty now ends at `until_s` of this node's clock."""
+    """The lease of a duty now lasts until `until_s` of this node's clock."""
 
     duty: str
     fence: int
@@ -139,7 +139,7 @@
 
 @attrs.frozen
 class DutyLost(Notice):
-    """This node must not act for the duty any more."""
+    """This node no longer holds the duty and must stop acting for it."""
 
     duty: str
     fence: int
@@ -147,7 +147,7 @@
 
 @attrs.frozen
 class PeersKnown(Notice):
-    """The entries that this node takes for live, itself included."""
+    """The entries that this node considers live, including itself."""
 
     live: tuple[InstanceId, ...]
     live_in_domain: tuple[InstanceId, ...]
@@ -155,4 +155,4 @@
 
 @attrs.frozen
 class Leaving(Notice):
-    """This node is going; duties go to others, nothing is cut."""
+    """This node is draining: it hands duties over and cuts no call off."""
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -1,7 +1,7 @@
-"""How the parts of a node call each other, apart from notices.
+"""Interfaces through which the parts of a node call each other directly.
 
-A part that another one has to ask on the spot offers a `Protocol`; the
-naive versions of the differential tests offer the same.
+Notices carry everything else. The naive reference implementations of the
+differential tests implement the same protocols.
 """
 
 from typing import ClassVar, Protocol
@@ -26,53 +26,53 @@
 
 
 class Part(Protocol):
-    """A state machine inside a node.
+    """State machine inside a node.
 
-    `handles` names the event types that it takes; a node gives it no other.
-    `next_wakeup_s` is when it wants a `Woken`, or None.
+    `handles` lists the event types that it accepts; a node passes it no
+    others. A node sends it `Woken` at `next_wakeup_s`, unless that is None.
     """
 
     handles: ClassVar[tuple[type[Event], ...]]
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when this part has to be woken, or None."""
+        """Return the time of the next wake-up, or None."""
 
 
 class Directory(Protocol):
-    """The configuration in force in this node."""
+    """Access to the configuration that this node applies."""
 
     @property
     def snapshot(self) -> Snapshot:
-        """The whole configuration; revision 0 while nothing is known."""
+        """The whole configuration; revision 0 until one is received."""
 
     def knowledge_age_s(self, now_s: float) -> float | None:
-        """Seconds since it was last confirmed; None: never."""
+        """Return the seconds since the last confirmation; None if never."""
 
 
 @attrs.frozen
 class Identity:
-    """Who a call runs for."""
+    """Organisation and key on behalf of which a call runs."""
 
     organisation: Organisation
     key_hash: str
 
 
 class Authenticator(Protocol):
-    """Tells whose key a call carries."""
+    """Authentication of calls by their API key."""
 
     def authenticate(self, bearer_key: str, now_s: float) -> Identity | Refusal:
-        """Find the organisation of a key."""
+        """Return the identity that a key belongs to, or a refusal."""
 
 
 @attrs.frozen
 class Ticket:
-    """What admission needs to know of a call.
+    """Properties of a call that admission decides on.
 
-    `cost` is in prefill-token equivalents; `deadline_s` and `arrived_s`
-    are on this node's clock.
+    `deadline_s` and `arrived_s` are times of this node's clock. Costs derived
+    from a ticket are in prefill-token equivalents.
     """
 
     request_id: RequestId
@@ -86,26 +86,26 @@
 
 @attrs.frozen
 class Admitted:
-    """The call may go now."""
+    """Verdict: the call may be sent now."""
 
 
 @attrs.frozen
 class Queued:
-    """The call waits; a CallAdmitted or CallRejected follows."""
+    """Verdict: the call waits; a CallAdmitted or CallRejected follows."""
 
 
 class Admitter(Protocol):
-    """Limits and fair queues."""
+    """Admission control: limits per organisation and fair queues."""
 
     def offer(
         self, ticket: Ticket, now_s: float
     ) -> Admitted | Queued | Refusal:
-        """Decide on a new call at once."""
+        """Admit, queue or refuse a new call."""
 
     def withdraw(self, request_id: RequestId, now_s: float) -> None:
-        """Forget a queued call, or give back the place of an admitted one.
+        """Remove a queued call, or release the slot of an admitted one.
 
-        Nothing of it was served.
+        No output of the call was served.
         """
 
     def finish(
@@ -115,19 +115,19 @@
         output_tokens: int,
         now_s: float,
     ) -> None:
-        """Give back the place of a call, with what it was served."""
+        """Release the slot of a call and account for the tokens served."""
 
     def come_back_s(self, service: ServiceName, now_s: float) -> float:
-        """Estimate when a refused call would find room, in seconds."""
+        """Estimate the seconds after which a refused call should retry."""
 
 
 @attrs.frozen
 class RouteNeed:
-    """What a call needs of a target.
+    """Requirements of a call on its target.
 
-    `avoid` names targets that already failed this call; `prefer` is the
-    one that may still hold its state. `steady` work stays off reclaimable
-    targets.
+    `avoid` lists targets that already failed this call; `prefer` is the
+    target that may still hold its state. Calls with `steady` are not sent to
+    reclaimable (spot) targets.
     """
 
     organisation: OrganisationId
@@ -144,20 +144,20 @@
 
 @attrs.frozen
 class NoRoute:
-    """No target can take the call now."""
+    """No target can accept the call now."""
 
     cause: str
     retry_after_s: float
 
 
 class Router(Protocol):
-    """Chooses a target for a call, and follows what it sent."""
+    """Target selection, and tracking of the attempts in progress."""
 
     def choose(self, need: RouteNeed, now_s: float) -> Target | NoRoute:
-        """Choose a target for an attempt."""
+        """Select a target for an attempt."""
 
     def find(self, target_id: TargetId) -> Target | None:
-        """Look a target up; None when it is gone."""
+        """Return a target by its id; None if it does not exist any more."""
 
     def dispatched(
         self,
@@ -166,21 +166,21 @@
         need: RouteNeed,
         now_s: float,
     ) -> None:
-        """Count an attempt as in progress at a target."""
+        """Record that an attempt is in progress at a target."""
 
     def progressed(
         self, attempt_id: AttemptId, output_tokens: int, now_s: float
     ) -> None:
-        """Count output of an attempt (the total so far)."""
+        """Record the output tokens of an attempt (the total so far)."""
 
     def ended(
         self, attempt_id: AttemptId, now_s: float, failed: bool = False
     ) -> None:
-        """Stop counting an attempt."""
+        """Record that an attempt is no longer in progress."""
 
 
 class Claimer(Protocol):
-    """At most once for calls that may not be repeated."""
+    """At-most-once execution of calls that may not be repeated."""
 
     def claim(
         self,
@@ -188,7 +188,7 @@
         organisation: OrganisationId,
         now_s: float,
     ) -> list[Output]:
-        """Start a claim: ClaimGranted, ClaimAnswered or ClaimRefused follows."""
+        """Claim a call; ClaimGranted, ClaimAnswered or ClaimRefused follows."""
 
     def settle(
         self,
@@ -198,20 +198,20 @@
         body: bytes,
         now_s: float,
     ) -> list[Output]:
-        """Record the end of a claimed call."""
+        """Record the result of a claimed call."""
 
     def reopen(self, request_id: RequestId, now_s: float) -> list[Output]:
-        """Give a claim back on proof that the call did not run."""
+        """Release a claim because the call is proven not to have run."""
 
     def doubt(self, request_id: RequestId, now_s: float) -> list[Output]:
-        """Leave a claim in doubt for good: its end is not known."""
+        """Mark a claim permanently as having an unknown result."""
 
 
 class Quarantine(Protocol):
-    """Keeps requests away from targets that they would crash."""
+    """Protection of targets from requests that crash them."""
 
     def refusal(self, fingerprint: str, now_s: float) -> Refusal | None:
-        """Refuse a call whose fingerprint is quarantined."""
+        """Return a refusal if the fingerprint is quarantined."""
 
     def started(
         self,
@@ -220,35 +220,35 @@
         fingerprint: str,
         now_s: float,
     ) -> list[Output]:
-        """Remember what is in progress where."""
+        """Record that an attempt is in progress at a target."""
 
     def crowded(self, fingerprint: str, now_s: float) -> frozenset[TargetId]:
-        """Tell which targets a call must keep off, for its neighbours' sake.
+        """Return the targets that a suspect call must avoid.
 
-        Two suspects of one crash on one target could not be told apart if
-        it crashed too.
+        If two suspects of the same crash ran on one target and it crashed
+        too, the culprit could not be determined.
         """
 
     def ended(self, attempt_id: AttemptId, whole: bool = False) -> list[Output]:
-        """Forget an attempt that ended without harm.
+        """Remove an attempt that ended without a crash.
 
-        `whole` is whether it ran to its end, which clears its fingerprint.
+        `whole` is True if it ran to completion, which clears its fingerprint.
         """
 
     def lost(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
-        """An attempt was left at a silent target, which may have crashed."""
+        """Record that an attempt was abandoned at a target gone silent."""
 
     def broke(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
-        """An attempt broke off; its target may have crashed of it."""
+        """Record that an attempt broke off; it may have crashed its target."""
 
 
 class Peers(Protocol):
-    """Who is alive, as far as this node knows."""
+    """Entries that this node considers live."""
 
     @property
     def live(self) -> tuple[InstanceId, ...]:
-        """Live entries everywhere, this one included, sorted."""
+        """Live entries of all domains, including this one, sorted."""
 
     @property
     def live_in_domain(self) -> tuple[InstanceId, ...]:
-        """Live entries of this failure domain, this one included, sorted."""
+        """Live entries of this failure domain, including this one, sorted."""
--- a/packages/core/dandelionyoke_core/_records.py
+++ b/packages/core/dandelionyoke_core/_records.py
@@ -1,4 +1,4 @@
-"""Records of the world outside: targets, instances, loads, store values."""
+"""Records of targets, instances, load, orders, usage and store results."""
 
 import enum
 
@@ -20,7 +20,7 @@
 
 @enum.unique
 class TargetKind(enum.Enum):
-    """What kind of program a target runs."""
+    """Kind of program that a target runs."""
 
     ENGINE = 'engine'
     PLAIN = 'plain'
@@ -28,7 +28,7 @@
 
 @enum.unique
 class Presence(enum.Enum):
-    """What the platform says of an instance or a target."""
+    """State of an instance or a target, as listed by the platform."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -37,7 +37,7 @@
 
 @enum.unique
 class Role(enum.Enum):
-    """What work an engine is set up for."""
+    """Phase of the work that an engine is configured for."""
 
     MIXED = 'mixed'
     PREFILL = 'prefill'
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Target:
-    """A back end as the platform lists it."""
+    """Target (back end) as listed by the platform."""
 
     target_id: TargetId
     service: ServiceName
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class Instance:
-    """An entry instance as the platform lists it."""
+    """Entry instance as listed by the platform."""
 
     instance_id: InstanceId
     domain: Domain
@@ -70,10 +70,11 @@
 
 @attrs.frozen
 class LoadReport:
-    """What an engine said of itself, `age_s` before it was read.
+    """Load of an engine, measured `age_s` before the report was read.
 
-    `measured_s` is the engine's own monotonic clock and only comparable
-    within one `incarnation`. Blocks hold `block_tokens` tokens.
+    `measured_s` is the engine's monotonic clock and comparable only within
+    one `incarnation` (one run of its process). A KV cache block holds
+    `block_tokens` tokens.
     """
 
     engine_id: str
@@ -97,7 +98,7 @@
 
 @attrs.frozen
 class CacheEvent:
-    """A prefix block that an engine stored or removed."""
+    """Prefix block that an engine stored in or removed from its cache."""
 
     sequence: int
     stored: bool
@@ -106,7 +107,7 @@
 
 @enum.unique
 class OrderState(enum.Enum):
-    """What became of an order, as its receiver says."""
+    """State of an order according to its receiver."""
 
     DONE = 'done'
     ACCEPTED = 'accepted'
@@ -116,7 +117,7 @@
 
 @enum.unique
 class EngineOrderKind(enum.Enum):
-    """What an engine can be told to do."""
+    """Kind of order to an engine."""
 
     DRAIN = 'drain'
     UNDRAIN = 'undrain'
@@ -129,7 +130,7 @@
 
 @attrs.frozen
 class EngineOrder:
-    """An order to one engine; sent again it keeps its id and its fence."""
+    """Order to one engine; a resend keeps its id and fencing token."""
 
     order_id: OrderId
     fence: int
@@ -139,7 +140,7 @@
 
 @enum.unique
 class TargetAction(enum.Enum):
-    """What the platform can be told to do with targets."""
+    """Action that the platform can be ordered to take on targets."""
 
     ADD = 'add'
     REMOVE = 'remove'
@@ -147,7 +148,7 @@
 
 @attrs.frozen
 class TargetOrder:
-    """An order for targets of one service in one domain."""
+    """Order to the platform for targets of one service in one domain."""
 
     order_id: OrderId
     fence: int
@@ -161,7 +162,7 @@
 
 @attrs.frozen
 class UsageFigure:
-    """What one organisation used of one service."""
+    """Usage of one service by one organisation."""
 
     organisation: OrganisationId
     service: ServiceName
@@ -172,7 +173,7 @@
 
 @attrs.frozen
 class UsageWindow:
-    """A closed window's figures, as reported."""
+    """Usage figures of a closed window, as reported to the platform."""
 
     window_id: WindowId
     domain: Domain
@@ -183,7 +184,7 @@
 
 @attrs.frozen
 class StoreItem:
-    """A key's content at a revision; value None where there is none."""
+    """Value of a key at a revision; None if the key does not exist."""
 
     key: str
     revision: int
@@ -192,7 +193,7 @@
 
 @attrs.frozen
 class StoreWritten:
-    """A write took effect at this revision."""
+    """Result: a write took effect at this revision."""
 
     key: str
     revision: int
@@ -200,14 +201,14 @@
 
 @attrs.frozen
 class StoreConflict:
-    """A write did not take effect; the key's present content."""
+    """Result: a write was rejected because of the key's present revision."""
 
     present: StoreItem
 
 
 @attrs.frozen
 class StoreListing:
-    """The content below a prefix, or the changes since a revision."""
+    """Result: the items below a prefix, or the changes since a revision."""
 
     revision: int
     items: tuple[StoreItem, ...]
@@ -215,7 +216,7 @@
 
 @attrs.frozen
 class LeaseGranted:
-    """A lease was granted or renewed."""
+    """Result: a lease was granted or renewed."""
 
     lease_id: LeaseId
     ttl_s: float
@@ -223,16 +224,16 @@
 
 @attrs.frozen
 class LeaseLapsed:
-    """The lease is gone, and the keys under it too."""
+    """Result: the lease does not exist any more, nor do its keys."""
 
     lease_id: LeaseId
 
 
 @attrs.frozen
 class StoreFailed:
-    """No answer, or a refusal, from the store.
+    """Result: the store gave no answer or refused the call.
 
-    `may_have_happened` is False only where the call surely had no effect.
+    `may_have_happened` is False only if the call certainly had no effect.
     """
 
     cause: str
--- a/packages/core/dandelionyoke_core/_refusals.py
+++ b/packages/core/dandelionyoke_core/_refusals.py
@@ -1,4 +1,4 @@
-"""Why a call gets no answer, in words that a caller can act on."""
+"""Refusals: why a call gets no answer and what the caller can do."""
 
 import enum
 from http import HTTPStatus
@@ -9,7 +9,7 @@
 
 @enum.unique
 class RunState(enum.Enum):
-    """What is known of the run of a call that was refused."""
+    """Whether a refused call may have run at a target."""
 
     NO = 'no'
     UNKNOWN = 'unknown'
@@ -17,7 +17,7 @@
 
 @enum.unique
 class RefusalKind(enum.Enum):
-    """The kinds of refusal; each has one HTTP status."""
+    """Kind of refusal; each has one HTTP status."""
 
     MALFORMED = 'malformed'
     UNAUTHENTICATED = 'unauthenticated'
@@ -42,7 +42,7 @@
 
     @property
     def status(self) -> HTTPStatus:
-        """The HTTP status that carries this kind."""
+        """The HTTP status that this kind is answered with."""
         return _STATUSES[self]
 
 
@@ -74,11 +74,11 @@
 
 @attrs.frozen
 class Refusal:
-    """The final answer to a call that is given up on.
+    """Final answer to a call that is not served.
 
-    `run` is NO only when no byte of the request left this system, or each
-    target that got it said that it did not run. `retry_after_s` tells when
-    to come back; None where coming back cannot help.
+    `run` is NO only if no byte of the request left this system, or every
+    target that received it stated that it did not run it. `retry_after_s`
+    is when to retry; None if a retry cannot help.
     """
 
     kind: RefusalKind
