--- a/packages/core/dandelionyoke_core/_store_slot.py
+++ b/packages/core/dandelionyoke_core/_store_slot.py
@@ -1,4 +1,4 @@
-"""One store call at a time: which one is awaited, since when, until when."""
+"""Tracking of one pending store call at a time, with its timeout."""
 
 from random import Random
 
@@ -10,71 +10,71 @@
 
 
 @attrs.frozen
-class AwaitedCall:
-    """A store call that was sent and has no answer yet."""
+class PendingCall:
+    """Store call that was sent and has no answer yet."""
 
     operation_id: OperationId
     sent_s: float
-    until_s: float
+    deadline_s: float
 
 
 @attrs.frozen
 class EndedCall:
-    """A store call's end, with the time at which it was sent."""
+    """Result of a store call, with the time at which it was sent."""
 
     sent_s: float
     result: StoreResult
 
 
 class StoreSlot:
-    """Names the calls of one part and waits for one answer at a time."""
+    """Creates operation ids for one part and tracks its pending call."""
 
     def __init__(self, name: str, timeout_s: float, random: Random) -> None:
-        # Two starts under one instance id must not take each other's
-        # answers for their own.
+        # Random, so that processes started one after the other with the same
+        # instance id do not accept each other's answers.
         self._name = f'{name}.{random.getrandbits(64):016x}'
         self._timeout_s = timeout_s
         self._count = 0
-        self._awaited: AwaitedCall | None = None
+        self._pending: PendingCall | None = None
 
     @property
     def is_free(self) -> bool:
-        """Whether no call is under way."""
-        return self._awaited is None
+        """Whether no call is pending."""
+        return self._pending is None
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the call under way is given up, or None."""
-        return None if self._awaited is None else self._awaited.until_s
+        """Return when the pending call times out, or None."""
+        return None if self._pending is None else self._pending.deadline_s
 
     def open(self, now_s: float) -> OperationId:
-        """Name the next call; any other one is not awaited any more."""
+        """Start a call and return its id; a call still pending is dropped."""
         operation_id = self.unawaited()
-        until_s = now_s + self._timeout_s
-        self._awaited = AwaitedCall(operation_id, now_s, until_s)
+        deadline_s = now_s + self._timeout_s
+        self._pending = PendingCall(operation_id, now_s, deadline_s)
         return operation_id
 
     def unawaited(self) -> OperationId:
-        """Name a call whose answer nobody waits for."""
+        """Return an id for a call whose answer is ignored."""
         self._count += 1
         return OperationId(f'{self._name}.{self._count}')
 
     def drop(self) -> None:
-        """Wait for no answer any more."""
-        self._awaited = None
+        """Drop the pending call; its answer will be ignored."""
+        self._pending = None
 
     def answered(self, event: StoreAnswered) -> EndedCall | None:
-        """Take an answer; None when it is not the awaited one."""
-        awaited = self._awaited
-        if awaited is None or event.operation_id != awaited.operation_id:
+        """Return the result of the pending call; None for any other answer."""
+        pending = self._pending
+        if pending is None or event.operation_id != pending.operation_id:
             return None
-        self._awaited = None
-        return EndedCall(awaited.sent_s, event.result)
+        self._pending = None
+        return EndedCall(pending.sent_s, event.result)
 
     def overdue(self, now_s: float) -> EndedCall | None:
-        """Give up on a call that has had no answer for too long."""
-        awaited = self._awaited
-        if awaited is None or now_s < awaited.until_s:
+        """Return a failure if the pending call has timed out, else None."""
+        pending = self._pending
+        if pending is None or now_s < pending.deadline_s:
             return None
-        self._awaited = None
+        self._pending = None
         failed = StoreFailed('no answer in time', may_have_happened=True)
-        return EndedCall(awaited.sent_s, failed)
+        return EndedCall(pending.sent_s, failed)
