--- a/packages/core/dandelionyoke_core/_codec.py
+++ b/packages/core/dandelionyoke_core/_codec.py
@@ -1,8 +1,8 @@
-"""Messages and records as plain mappings and text, in one place.
+"""Conversion of messages and records to plain mappings and JSON text.
 
-Peers get CBOR made of these mappings; the store holds JSON of them. A field
-that a newer version adds has a default, and an unknown one is ignored, so
-that two versions can run side by side during a replacement.
+The mappings are sent to peers as CBOR and kept in the store as JSON. Fields
+that a newer version adds have defaults and unknown fields are ignored, so
+that two versions can run side by side during a rolling update.
 """
 
 import json
@@ -19,88 +19,91 @@
 Record = TypeVar('Record')
 
 TYPE_FIELD = 'type'
-_MALFORMED = (ValueError, TypeError, KeyError, cattrs.BaseValidationError)
+_DECODE_ERRORS = (ValueError, TypeError, KeyError, cattrs.BaseValidationError)
 _REMEDY = 'Run the same version of dandelionyoke on both ends'
 
 
-def _converter() -> cattrs.Converter:
+def _build_converter() -> cattrs.Converter:
     converter = cattrs.Converter()
-    # The inner union first: the outer one's hooks take up what is there.
+    # Entity is nested in Operation: the hooks of Operation capture those of
+    # Entity, so these must be registered first.
     configure_tagged_union(Entity, converter, tag_name=TYPE_FIELD)
     configure_tagged_union(Operation, converter, tag_name=TYPE_FIELD)
     return converter
 
 
-_CONVERTER = _converter()
+_CONVERTER = _build_converter()
 
 
-def _message_types(
+def _collect_message_types(
     base: type[PeerMessage],
 ) -> dict[str, type[PeerMessage]]:
-    found = {base.__name__: base}
-    for child in base.__subclasses__():
-        found.update(_message_types(child))
-    return found
+    types_by_name = {base.__name__: base}
+    for subclass in base.__subclasses__():
+        types_by_name.update(_collect_message_types(subclass))
+    return types_by_name
 
 
 class _MessageTypes:
-    """The message types by name; looked for again when a name is not known.
+    """Message types by name, collected again when a name is unknown.
 
-    A module that is imported later brings further types.
+    Modules that are imported later define further types.
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, type[PeerMessage]] = {}
+        self._types_by_name: dict[str, type[PeerMessage]] = {}
 
     def find(self, name: str) -> type[PeerMessage] | None:
-        """Find a type; None where no module has it."""
-        if name not in self._known:
-            self._known = _message_types(PeerMessage)
-        return self._known.get(name)
+        """Return a type by its name; None if no imported module defines it."""
+        if name not in self._types_by_name:
+            self._types_by_name = _collect_message_types(PeerMessage)
+        return self._types_by_name.get(name)
 
 
 _MESSAGE_TYPES = _MessageTypes()
 
 
 def record_to_json(record: object) -> str:
-    """Write a record as JSON text, the same text for the same record."""
+    """Encode a record as JSON; equal records give the same text."""
     return json.dumps(
         _CONVERTER.unstructure(record), sort_keys=True, separators=(',', ':')
     )
 
 
 def record_from_json(text: str, record_type: type[Record]) -> Record:
-    """Read a record from JSON text.
+    """Decode a record from JSON text.
 
     Raises:
-        CodecError: the text is not such a record.
+        CodecError: the text is not a valid record of this type.
     """
     try:
         return _CONVERTER.structure(json.loads(text), record_type)
-    except _MALFORMED as bad:
+    except _DECODE_ERRORS as error:
         raise CodecError(
-            f'{text[:80]!r} is no {record_type.__name__}', _REMEDY
-        ) from bad
+            f'{text[:80]!r} is not a valid {record_type.__name__}', _REMEDY
+        ) from error
 
 
 def message_to_mapping(message: PeerMessage) -> dict[str, Any]:
-    """Turn a peer message into a mapping that names its type."""
+    """Encode a peer message as a mapping that contains its type's name."""
     mapping = _CONVERTER.unstructure(message)
     mapping[TYPE_FIELD] = type(message).__name__
     return dict(mapping)
 
 
 def message_from_mapping(mapping: Mapping[str, Any]) -> PeerMessage:
-    """Read a peer message from a mapping.
+    """Decode a peer message from a mapping.
 
     Raises:
-        CodecError: the type is unknown or a field is wrong.
+        CodecError: the type is unknown or a field is missing or invalid.
     """
     name = mapping.get(TYPE_FIELD)
     message_type = _MESSAGE_TYPES.find(str(name))
     if message_type is None:
-        raise CodecError(f'{name!r} is no peer message', _REMEDY)
+        raise CodecError(f'{name!r} is not a peer message type', _REMEDY)
     try:
         return _CONVERTER.structure(mapping, message_type)
-    except _MALFORMED as bad:
-        raise CodecError(f'a {name} with a wrong field came', _REMEDY) from bad
+    except _DECODE_ERRORS as error:
+        raise CodecError(
+            f'a {name} has a missing or invalid field', _REMEDY
+        ) from error
--- a/packages/core/dandelionyoke_core/_rendezvous.py
+++ b/packages/core/dandelionyoke_core/_rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all who know the same names choose the same ones."""
+"""Rendezvous hashing: processes that know the same names agree on a choice."""
 
 import hashlib
 from collections.abc import Iterable, Sequence
@@ -12,16 +12,16 @@
 def rendezvous(
     names: Iterable[Name], subject: str, count: int
 ) -> Sequence[Name]:
-    """Choose `count` names for a subject, the first choice first.
+    """Choose `count` names for a subject, in order of preference.
 
-    A name that comes or goes moves only the subjects that it held.
+    Adding or removing a name moves only the subjects assigned to that name.
     """
     ranked = sorted(names, key=lambda name: hash_of(subject, name))
     return ranked[:count]
 
 
 def hash_of(subject: str, name: str) -> bytes:
-    """Hash a name for a subject, the same in every process."""
+    """Return the rank of a name for a subject, equal in every process."""
     return hashlib.blake2b(
         f'{subject}\x1f{name}'.encode(), digest_size=DIGEST_BYTES
     ).digest()
--- a/packages/core/dandelionyoke_core/_retry_budget.py
+++ b/packages/core/dandelionyoke_core/_retry_budget.py
@@ -1,39 +1,41 @@
-"""A bound on retries, as a share of the traffic that causes them."""
+"""Limit on retries, as a share of the traffic that causes them."""
 
 
 class RetryBudget:
-    """Saves a share of each call, and pays for retries from it.
+    """Token bucket that each call fills by a share and each retry draws from.
 
-    When targets fail, each caller's retry adds load to the rest; without a
-    bound the retries alone keep the rest overloaded after the cause is gone.
+    When targets fail, retries add load to the remaining ones. Without a limit
+    the retries alone keep these overloaded after the cause has gone.
+    `reserve` is the capacity of the bucket and its initial balance.
     """
 
     def __init__(
         self, share: float, reserve: float, refill_per_s: float
     ) -> None:
         self._share = share
-        self._reserve = reserve
+        self._capacity = reserve
         self._refill_per_s = refill_per_s
         self._balance = reserve
-        self._refilled_s: float | None = None
+        self._refilled_at_s: float | None = None
 
     def resize(self, reserve: float) -> None:
-        """Change what can be saved, when its part of a whole changes."""
-        grown = max(0, reserve - self._reserve)
-        self._reserve = reserve
-        self._balance = min(reserve, self._balance + grown)
+        """Change the capacity, when this node's part of a total changes."""
+        growth = max(0, reserve - self._capacity)
+        self._capacity = reserve
+        self._balance = min(reserve, self._balance + growth)
 
     def earn(self, now_s: float) -> None:
-        """Save the share of one new call."""
+        """Add the share of one new call."""
         self._refill(now_s)
-        self._balance = min(self._reserve, self._balance + self._share)
+        self._balance = min(self._capacity, self._balance + self._share)
 
     def spend(self, now_s: float, sends: int = 1) -> bool:
-        """Pay for a retry; False when too little was saved.
+        """Charge a retry; False if the balance does not allow it.
 
-        A retry of several sends may begin once there is enough for one, and
-        those that follow wait until it is paid: a small part of a budget
-        that many nodes share would never hold enough for all at once.
+        A retry of several sends needs a balance of one send only and may
+        overdraw the rest, which delays later retries. The small part that a
+        node has of a budget shared by many nodes would never reach the full
+        cost.
         """
         self._refill(now_s)
         if sends and self._balance < 1:
@@ -42,7 +44,7 @@
         return True
 
     def _refill(self, now_s: float) -> None:
-        if self._refilled_s is not None:
-            earned = (now_s - self._refilled_s) * self._refill_per_s
-            self._balance = min(self._reserve, self._balance + earned)
-        self._refilled_s = now_s
+        if self._refilled_at_s is not None:
+            refilled = (now_s - self._refilled_at_s) * self._refill_per_s
+            self._balance = min(self._capacity, self._balance + refilled)
+        self._refilled_at_s = now_s
