--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -1,7 +1,7 @@
-"""One node's path from caller to targets, with scripted targets.
+"""A node with scripted targets, for tests of the path of a call.
 
-The node has what it believes from the test instead of the store; the rest is
-the real thing, over real sockets within one process.
+The test sets the node's configuration and registry, which otherwise come from
+the store. All else is production code, over real sockets in one process.
 """
 
 from collections.abc import Callable, Iterable
@@ -37,14 +37,14 @@
 from dandelionyoke_platform._duties import PlatformDuties
 from tests.gateway.settings import new_settings
 
-KEY = 'a-key'
+API_KEY = 'a-key'
 HOST = 'shop.example'
-SIGNED = 'Response-Signature: s\r\nAttempt-Id: a1\r\n'
+SIGNED_HEAD = 'Response-Signature: s\r\nAttempt-Id: a1\r\n'
 
 
 @attrs.frozen
 class Seen:
-    """A request as a target saw it."""
+    """A request as received by a target."""
 
     line: str
     headers: dict[str, str]
@@ -52,34 +52,34 @@
 
 
 Piece = bytes | float | None
-# Bytes are sent, a number is a pause in seconds, None resets the connection.
+# Bytes are sent, a float is a pause in seconds, None resets the connection.
 Script = Callable[[Seen], Iterable[Piece]]
 
 
 class ScriptedTarget:
-    """A target that answers each request by a script."""
+    """A target that answers each request as its script says."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self._listener = eventlet.listen(('127.0.0.1', 0))
         self.seen: list[Seen] = []
         # Requests whose connection the node closed before the answer's end.
-        self.left = 0
+        self.abandoned_count = 0
         self._threads = [eventlet.spawn(self._accept)]
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address at which the target listens."""
         host, port = self._listener.getsockname()
         return f'{host}:{port}'
 
     def refuse_connections(self) -> None:
-        """Take no new connections; those that are open stay."""
+        """Refuse new connections; open ones stay."""
         self._threads[0].kill()
         self._listener.close()
 
     def close(self) -> None:
-        """End it with all its connections."""
+        """Stop the target and close all its connections."""
         for thread in self._threads:
             thread.kill()
         self._listener.close()
@@ -108,12 +108,12 @@
             if isinstance(piece, float):
                 sock.settimeout(piece)
                 try:
-                    gone = not sock.recv(1)
+                    is_closed = not sock.recv(1)
                 except TimeoutError:
-                    gone = False
+                    is_closed = False
                 sock.settimeout(None)
-                if gone:
-                    self.left += 1
+                if is_closed:
+                    self.abandoned_count += 1
                     return False
                 continue
             sock.sendall(piece)
@@ -124,12 +124,12 @@
     content = b''
     while b'\r\n\r\n' not in content:
         try:
-            more = sock.recv(65536)
+            data = sock.recv(65536)
         except OSError:
             return None
-        if not more:
+        if not data:
             return None
-        content += more
+        content += data
     head, _, body = content.partition(b'\r\n\r\n')
     lines = head.decode().split('\r\n')
     headers = {}
@@ -142,50 +142,50 @@
 
 
 def answer(
-    status: str = '200 OK', body: bytes = b'ok', extra: str = SIGNED
+    status: str = '200 OK', body: bytes = b'ok', extra: str = SIGNED_HEAD
 ) -> bytes:
-    """Write a whole answer."""
+    """Build a complete response."""
     head = f'HTTP/1.1 {status}\r\n{extra}Content-Length: {len(body)}\r\n\r\n'
     return head.encode() + body
 
 
 def stream_head() -> bytes:
-    """Write the head of a stream."""
+    """Build the head of a streamed response."""
     return (
-        f'HTTP/1.1 200 OK\r\n{SIGNED}Content-Type: text/event-stream\r\n'
+        f'HTTP/1.1 200 OK\r\n{SIGNED_HEAD}Content-Type: text/event-stream\r\n'
         'Transfer-Encoding: chunked\r\n\r\n'
     ).encode()
 
 
 def chunk(content: bytes) -> bytes:
-    """Write a piece of a stream; an empty one ends it."""
+    """Build a chunk of a streamed response; an empty one ends it."""
     return f'{len(content):x}\r\n'.encode() + content + b'\r\n'
 
 
 class Lines:
-    """Keeps the lines of a log."""
+    """Log sink that keeps the lines."""
 
     def __init__(self) -> None:
         self.text = ''
 
     def write_line(self, line: bytes) -> None:
-        """Take a line."""
+        """Append a line."""
         self.text += line.decode()
 
 
-class Path:
-    """A node that listens, and the targets that it knows."""
+class NodeHarness:
+    """A listening node and the targets registered at it."""
 
     def __init__(self) -> None:
-        self.output = Lines()
-        self.suspected: list[str] = []
+        self.log_lines = Lines()
+        self.suspected_targets: list[str] = []
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(7))
         self.knowledge.configuration = configuration()
         self.knowledge.freshness.prove(clock_s())
         self.pool = TargetPool()
         self.targets: list[ScriptedTarget] = []
         self._registered: list[RegisteredTarget] = []
-        self._log = DecisionLog(self.output, 'n-1', Metrics())
+        self._log = DecisionLog(self.log_lines, 'n-1', Metrics())
         self._desk = CallDesk(
             Tools(
                 self.knowledge,
@@ -195,18 +195,18 @@
                 LocalPrefillQueue(self.knowledge),
                 DomainRateLimits(self.knowledge, self._log),
                 self._log,
-                self._suspect,
+                self._record_suspect,
             ),
             carry_plain,
             carry_stream,
         )
         self._listener = eventlet.listen(('127.0.0.1', 0))
-        self._accepting = eventlet.spawn(self._accept)
+        self._accept_thread = eventlet.spawn(self._accept)
 
-    def add(
+    def add_target(
         self, script: Script, service: str = 'ledger', phase: Phase = Phase.ANY
     ) -> ScriptedTarget:
-        """Start a target and let the node know it."""
+        """Start a target and register it at the node."""
         target = ScriptedTarget(script)
         self.targets.append(target)
         self._registered.append(
@@ -223,31 +223,31 @@
         self.knowledge.registry.replace(self._registered, clock_s())
         return target
 
-    def open(self) -> socket.socket:
-        """Open a caller's connection."""
+    def connect(self) -> socket.socket:
+        """Open a connection as a caller."""
         return eventlet.connect(self._listener.getsockname())
 
     def call(
-        self, path: str = '/confirm/1', key: str = KEY, extra: str = ''
+        self, path: str = '/confirm/1', key: str = API_KEY, extra: str = ''
     ) -> bytes:
-        """Send a request on a connection of its own; read to its end."""
-        with self.open() as sock:
-            sock.sendall(request(path, key, extra))
+        """Send a request on a new connection and return the whole answer."""
+        with self.connect() as sock:
+            sock.sendall(request_bytes(path, key, extra))
             content = b''
-            while more := sock.recv(65536):
-                content += more
+            while data := sock.recv(65536):
+                content += data
         return content
 
     def close(self) -> None:
-        """End all."""
+        """Stop the node and its targets."""
         self._log.close()
-        self._accepting.kill()
+        self._accept_thread.kill()
         self._listener.close()
         for target in self.targets:
             target.close()
 
-    def _suspect(self, name: str, target_id: str, address: str) -> None:
-        self.suspected.append(target_id)
+    def _record_suspect(self, name: str, target_id: str, address: str) -> None:
+        self.suspected_targets.append(target_id)
         self.knowledge.crashes.crashed(name, target_id, clock_s())
 
     def _accept(self) -> None:
@@ -262,8 +262,8 @@
             eventlet.spawn_n(connection.serve)
 
 
-def request(path: str, key: str = KEY, extra: str = '') -> bytes:
-    """Write a caller's request."""
+def request_bytes(path: str, key: str = API_KEY, extra: str = '') -> bytes:
+    """Build a caller's request."""
     return (
         f'POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: a1\r\n'
         f'Deadline-Ms: 3000\r\nX-Api-Key: {key}\r\n{extra}'
@@ -272,29 +272,29 @@
 
 
 def configuration() -> FleetConfiguration:
-    """Three kinds of routes of two services."""
+    """Build a configuration of two services with routes of all call kinds."""
     return FleetConfiguration(
         version=1,
         routes=(
-            _route('/confirm/', CallKind.NON_IDEMPOTENT, 'ledger'),
-            _route('/look/', CallKind.IDEMPOTENT, 'ledger', 2),
-            _route('/ask/', CallKind.STREAM, 'lm'),
-            _route('/resume/', CallKind.STREAM, 'lm', 2, resumable=True),
+            _new_route('/confirm/', CallKind.NON_IDEMPOTENT, 'ledger'),
+            _new_route('/look/', CallKind.IDEMPOTENT, 'ledger', 2),
+            _new_route('/ask/', CallKind.STREAM, 'lm'),
+            _new_route('/resume/', CallKind.STREAM, 'lm', 2, resumable=True),
         ),
         services={
             'ledger': Service('ledger', 10),
             'lm': Service('lm', 10, EngineTraits(8, 1000, 5.0, 3.0)),
         },
-        organisations={KEY: Organisation('acme', 1)},
+        organisations={API_KEY: Organisation('acme', 1)},
         has_organisations=True,
     )
 
 
-def _route(
+def _new_route(
     prefix: str,
     kind: CallKind,
     service: str,
-    attempts: int = 1,
+    max_attempts: int = 1,
     *,
     resumable: bool = False,
 ) -> Route:
@@ -307,7 +307,7 @@
         goal_s=0.5,
         priority=1,
         shares=(ServiceShare(service, 1),),
-        max_attempts=attempts,
+        max_attempts=max_attempts,
         is_resumable=resumable,
         longest_pause_s=0.3,
     )
--- a/tests/platform/program.py
+++ b/tests/platform/program.py
@@ -1,4 +1,4 @@
-"""Processes of the platform's program, started by tests."""
+"""Gateway processes of the platform's program, started by tests."""
 
 import contextlib
 import itertools
@@ -13,30 +13,30 @@
 from eventlet.green import socket
 
 from dandelionyoke_gateway import clock_s
-from tests.platform.path import KEY, request
+from tests.platform.path import API_KEY, request_bytes
 from tests.platform.store_standin import StoreStandin
 
-WAIT_S = 15.0
-# Each test process has ports of its own, below the range from which the kernel
-# gives ports to connections. One of a program that is just being started again
-# would otherwise be given to another test.
+WAIT_TIMEOUT_S = 15.0
+# Each test process has its own range of ports, below the kernel's ephemeral
+# ports. The port of a program that is being restarted could otherwise be taken
+# by another test.
 FIRST_PORT = 10_000
-PORTS_EACH = 400
-SHARES = 55
+PORTS_PER_PROCESS = 400
+PORT_RANGE_COUNT = 55
 _own_ports = itertools.cycle(
     range(
-        FIRST_PORT + os.getpid() % SHARES * PORTS_EACH,
-        FIRST_PORT + (os.getpid() % SHARES + 1) * PORTS_EACH,
+        FIRST_PORT + os.getpid() % PORT_RANGE_COUNT * PORTS_PER_PROCESS,
+        FIRST_PORT + (os.getpid() % PORT_RANGE_COUNT + 1) * PORTS_PER_PROCESS,
     )
 )
 
 
 def free_port() -> int:
-    """Choose a port that no outgoing connection is given meanwhile.
+    """Return a free port that the kernel does not use for connections.
 
-    Between the choice and the program's start seconds may pass. One of the
-    kernel's own choosing was taken by a connection of another test by then,
-    and the program ended with its address in use.
+    Seconds may pass before the program listens on it. An ephemeral port was
+    taken by a connection of another test in that time, and the program failed
+    with its address in use.
     """
     for port in _own_ports:
         with socket.socket() as sock, contextlib.suppress(OSError):
@@ -44,18 +44,18 @@
             return port
 
 
-def wait_for(condition: Callable[[], object], what: str) -> None:
-    """Wait for something to come true."""
-    until_s = clock_s() + WAIT_S
+def wait_for(condition: Callable[[], object], description: str) -> None:
+    """Wait until a condition is true; fail after the timeout."""
+    deadline_s = clock_s() + WAIT_TIMEOUT_S
     while not condition():
-        if clock_s() > until_s:
-            raise AssertionError(f'{what} did not come')
+        if clock_s() > deadline_s:
+            raise AssertionError(f'{description}: timed out')
         eventlet.sleep(0.05)
 
 
 @attrs.frozen
 class Ports:
-    """Where a node listens; a restarted process takes the same ones."""
+    """Ports of a node; a restarted process uses the same ones."""
 
     callers: int = attrs.field(factory=lambda: free_port())
     health: int = attrs.field(factory=lambda: free_port())
@@ -64,7 +64,7 @@
 
 
 class Program:
-    """One process of the program."""
+    """A gateway process with its settings file and log."""
 
     def __init__(
         self,
@@ -76,14 +76,14 @@
     ) -> None:
         ports = ports or Ports()
         self.port = ports.callers
-        self.health = ports.health
+        self.health_port = ports.health
         self.store_address = store_address or store.open_address()
         self.log = pathlib.Path(folder) / f'log-{self.port}'
         settings = pathlib.Path(folder) / f'settings-{self.port}.ini'
         settings.write_text(
             f'[gateway]\ninstance_id = n-{self.port}\ndomain = {domain}\n'
             f'caller_address = 127.0.0.1:{self.port}\n'
-            f'health_address = 127.0.0.1:{self.health}\n'
+            f'health_address = 127.0.0.1:{self.health_port}\n'
             f'metrics_address = 127.0.0.1:{ports.metrics}\n'
             f'peer_address = 127.0.0.1:{ports.peers}\n'
             f'[store]\naddress = {self.store_address}\n'
@@ -103,45 +103,45 @@
             stderr=subprocess.STDOUT,
         )
 
-    def call(self, path: str = '/confirm/1', key: str = KEY) -> bytes:
-        """Send a request on a connection of its own; read its answer."""
-        return self.exchange(self.port, request(path, key))
+    def call(self, path: str = '/confirm/1', key: str = API_KEY) -> bytes:
+        """Send a request on a new connection and return the answer."""
+        return self.exchange(self.port, request_bytes(path, key))
 
     def wait_until_ready(self) -> None:
-        """Wait for a ready process; show the end of its log otherwise."""
+        """Wait until the process is ready; a failure shows the log's end."""
         try:
-            wait_for(self.is_ready, 'a ready process')
-        except AssertionError as late:
+            wait_for(self.is_ready, 'readiness of the process')
+        except AssertionError as error:
             text = self.log.read_text()[-2000:]
             status = self.process.poll()
-            raise AssertionError(f'{late} ({status}): {text}') from late
+            raise AssertionError(f'{error} ({status}): {text}') from error
 
     def is_ready(self) -> bool:
-        """Whether the balancer would send callers here."""
+        """Whether the health check tells a balancer to send calls here."""
         head = b'GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n'
-        return b' 200 ' in self.exchange(self.health, head)
+        return b' 200 ' in self.exchange(self.health_port, head)
 
     def exchange(self, port: int, content: bytes) -> bytes:
-        """Send bytes; read until the answer's body is there or the end."""
+        """Send bytes; read until the answer's head is complete or the end."""
         try:
             sock = eventlet.connect(('127.0.0.1', port))
         except OSError:
             return b''
         received = b''
         with sock, contextlib.suppress(OSError):
-            sock.settimeout(WAIT_S)
+            sock.settimeout(WAIT_TIMEOUT_S)
             sock.sendall(content)
             while b'\r\n\r\n' not in received:
-                more = sock.recv(65536)
-                if not more:
+                data = sock.recv(65536)
+                if not data:
                     break
-                received += more
+                received += data
         return received
 
-    def end(self, number: int) -> None:
-        """Send a signal."""
-        self.process.send_signal(number)
+    def end(self, signal_number: int) -> None:
+        """Send a signal to the process."""
+        self.process.send_signal(signal_number)
 
     def has_ended(self) -> bool:
-        """Whether the process is gone."""
+        """Whether the process has exited."""
         return self.process.poll() is not None
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -1,4 +1,4 @@
-"""A small store and duty API in the platform's dialect, in this process."""
+"""In-process fake of the platform's store and duty API."""
 
 import base64
 import json
@@ -17,12 +17,12 @@
 from dandelionyoke_platform import _wire_names as wire
 
 JSON_HEADERS = [('Content-Type', 'application/json')]
-STEP_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 @attrs.define
-class Item:
-    """A key's content; value None once it was removed."""
+class StoredItem:
+    """A key with its value; the value is None after removal."""
 
     key: str
     value: str | None
@@ -30,7 +30,7 @@
     lease: int = 0
 
     def fields(self) -> dict[str, Any]:
-        """Write it as the store does."""
+        """Return the fields that the store's API shows."""
         if self.value is None:
             return {
                 'key': self.key,
@@ -47,45 +47,47 @@
 
 
 class StoreStandin:
-    """Keeps items, leases and history; can be out, or turn calls away."""
+    """Fake store with leases, watches and injected faults."""
 
     def __init__(self) -> None:
         self.revision = 1
-        self.items: dict[str, Item] = {}
-        self.history: list[Item] = []
+        self.items: dict[str, StoredItem] = {}
+        self.history: list[StoredItem] = []
         self.leases: dict[int, tuple[float, float]] = {}
         self.usage: list[tuple[str, int, dict[str, Any]]] = []
         self.orders: list[dict[str, Any]] = []
-        # The same reports with the moment of their arrival.
+        # The same reports with their time of arrival.
         self.reports: list[tuple[float, str, int, dict[str, Any]]] = []
         self.is_out = False
-        # Writes are done, and their answers lost.
+        # Writes are performed, but their answers are lost.
         self.loses = False
-        # Older changes than this are not known any more.
+        # Watches after an older revision than this are refused (410).
         self.forgotten = 0
-        # Texts that readers see in place of others, such as the address of a
-        # relay in place of a node's own.
+        # Replacements of texts in listed values, for example a node's address
+        # by that of a relay.
         self.rewrites: dict[str, str] = {}
-        # Addresses at which it turns every call away.
+        # Own addresses at which every store call is refused (503).
         self.refused: set[str] = set()
-        # How often each call came, by the address at which it came.
+        # Number of calls by own address and path.
         self.calls: Counter[tuple[str, str]] = Counter()
         self._listeners: list[socket.socket] = []
         self._servers: list[GreenThread] = []
         self.address = self.open_address()
 
     def open_address(self) -> str:
-        """Listen at one more address, so that nodes can be told apart."""
+        """Listen at one more address, so that nodes can be distinguished."""
         listener = eventlet.listen(('127.0.0.1', 0))
         self._listeners.append(listener)
         self._servers.append(
-            eventlet.spawn(wsgi.server, listener, self._app, log_output=False)
+            eventlet.spawn(
+                wsgi.server, listener, self._handle_request, log_output=False
+            )
         )
         host, port = listener.getsockname()
         return f'{host}:{port}'
 
     def close(self) -> None:
-        """End it."""
+        """Stop the servers."""
         for server in self._servers:
             server.kill()
         for listener in self._listeners:
@@ -98,28 +100,28 @@
     def put(self, key: str, value: str, lease: int = 0) -> int:
         """Write a key, as the operator or a target does."""
         self.revision += 1
-        item = Item(key, value, self.revision, lease)
+        item = StoredItem(key, value, self.revision, lease)
         self.items[key] = item
         self.history.append(item)
         return self.revision
 
     def lapse(self) -> None:
-        """End all leases, as after an outage in which they ran on."""
+        """Expire all leases, as after an outage during which they ran on."""
         for lease, (_, ttl_s) in tuple(self.leases.items()):
             self.leases[lease] = (0, ttl_s)
         self._expire()
 
-    def _shown(self, item: Item) -> Item:
-        text = item.value
-        for real, shown in self.rewrites.items():
-            text = text and text.replace(real, shown)
-        return attrs.evolve(item, value=text)
+    def _rewrite(self, item: StoredItem) -> StoredItem:
+        value = item.value
+        for original, replacement in self.rewrites.items():
+            value = value and value.replace(original, replacement)
+        return attrs.evolve(item, value=value)
 
     def remove(self, key: str) -> None:
         """Remove a key."""
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self.history.append(Item(key, None, self.revision))
+            self.history.append(StoredItem(key, None, self.revision))
 
     def _expire(self) -> None:
         now_s = clock_s()
@@ -130,15 +132,17 @@
                     if item.lease == lease:
                         self.remove(item.key)
 
-    def _app(
+    def _handle_request(
         self, environ: dict[str, Any], start: Callable[..., Any]
     ) -> Iterable[bytes]:
         body = environ['wsgi.input'].read()
-        status, fields = self._answer(environ, json.loads(body) if body else {})
+        status, fields = self._route_request(
+            environ, json.loads(body) if body else {}
+        )
         start(f'{status} Status', JSON_HEADERS)
         return [json.dumps(fields).encode()]
 
-    def _answer(
+    def _route_request(
         self, environ: dict[str, Any], body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
         self._expire()
@@ -148,7 +152,7 @@
             for name, found in parse_qs(environ.get('QUERY_STRING', '')).items()
         }
         if path == wire.USAGE_PATH:
-            return self._report(environ, body)
+            return self._record_usage(environ, body)
         if path == wire.SCALE_PATH:
             self.orders.append(body)
             return 200, {}
@@ -159,15 +163,15 @@
             item = self.items.get(query['key'])
             return (200, item.fields()) if item else (404, {})
         if path == wire.RANGE_PATH:
-            return 200, self._range(query['path_prefix'])
+            return 200, self._list_range(query['path_prefix'])
         if path == wire.WATCH_PATH:
             return self._watch(query)
         if path == wire.TRANSACTION_PATH:
-            done = self._write(body)
-            return (504, {}) if self.loses else done
-        return self._lease(environ['REQUEST_METHOD'], path, body)
+            outcome = self._write(body)
+            return (504, {}) if self.loses else outcome
+        return self._handle_lease(environ['REQUEST_METHOD'], path, body)
 
-    def _report(
+    def _record_usage(
         self, environ: dict[str, Any], body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
         holder = environ['HTTP_DUTY_HOLDER']
@@ -176,9 +180,9 @@
         self.reports.append((clock_s(), holder, fence, body))
         return 200, {}
 
-    def _range(self, prefix: str) -> dict[str, Any]:
+    def _list_range(self, prefix: str) -> dict[str, Any]:
         found = [
-            self._shown(item).fields()
+            self._rewrite(item).fields()
             for item in self.items.values()
             if item.key.startswith(prefix)
         ]
@@ -205,11 +209,11 @@
             ]
             if events or clock_s() >= until_s:
                 return 200, {'events': events, 'current_rev': self.revision}
-            eventlet.sleep(STEP_S)
+            eventlet.sleep(POLL_INTERVAL_S)
 
     def _write(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         present = [
-            self.items.get(row['key'], Item(row['key'], None, 0))
+            self.items.get(row['key'], StoredItem(row['key'], None, 0))
             for row in body['expected_rev']
         ]
         wanted = [row['revision'] for row in body['expected_rev']]
@@ -225,7 +229,7 @@
             self.remove(key)
         return 200, {'revision': self.revision}
 
-    def _lease(
+    def _handle_lease(
         self, method: str, path: str, body: dict[str, Any]
     ) -> tuple[int, dict[str, Any]]:
         if path == wire.LEASE_PATH:
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""Real processes of the platform's program, against stand-ins."""
+"""Gateway processes against a fake store and scripted targets."""
 
 import json
 import os
@@ -17,8 +17,8 @@
 from dandelionyoke_gateway import clock_s
 from dandelionyoke_platform import _wire_names as wire
 from tests.platform.path import (
+    API_KEY,
     HOST,
-    KEY,
     Piece,
     ScriptedTarget,
     Seen,
@@ -28,7 +28,7 @@
 from tests.platform.store_standin import StoreStandin
 
 
-def configuration(version: int = 1, keys: tuple[str, ...] = (KEY,)) -> str:
+def configuration(version: int = 1, keys: tuple[str, ...] = (API_KEY,)) -> str:
     route = {
         'name': 'r',
         'host': HOST,
@@ -47,8 +47,8 @@
     )
 
 
-def answers(program: Program, key: str, status: bytes) -> bool:
-    """Whether a call under a key is answered by a status."""
+def answers_with_status(program: Program, key: str, status: bytes) -> bool:
+    """Whether a call with a key is answered with a status."""
     return status in program.call(key=key)
 
 
@@ -59,25 +59,25 @@
         self.store = StoreStandin()
         self.addCleanup(self.store.close)
         self.pause_s = 0.0
-        self.target = ScriptedTarget(self.serve)
+        self.target = ScriptedTarget(self.answer_after_pause)
         self.addCleanup(self.target.close)
         self.store.put('op/config', configuration())
-        entry = {
+        registry_entry = {
             'service': 'ledger',
             'address': self.target.address,
             'zone': 'a',
             'slots': 4,
             'state': 'ready',
         }
-        self.store.put('servers/i-1', json.dumps(entry))
+        self.store.put('servers/i-1', json.dumps(registry_entry))
         self.store.put('servers/broken', '{"slots": "many"}')
 
-    def serve(self, seen: Seen) -> Iterator[Piece]:
+    def answer_after_pause(self, seen: Seen) -> Iterator[Piece]:
         if self.pause_s:
             yield self.pause_s
         yield answer()
 
-    def start(self) -> Program:
+    def start_program(self) -> Program:
         program = Program(self.store, self.folder)
         self.addCleanup(program.process.wait)
         self.addCleanup(program.process.kill)
@@ -86,19 +86,21 @@
         return program
 
     def show_log(self, program: Program) -> None:
-        """Attach the log of a program to a failure."""
+        """Attach the log of a program to the test's failure."""
         name = f'log of n-{program.port}'
         self.addDetail(name, text_content(program.log.read_text()))
 
-    def reported(self, organisation: str) -> int:
-        """Add up what was reported of an organisation."""
+    def reported_calls(self, organisation: str) -> int:
+        """Sum the reported calls of an organisation."""
         return sum(
             body['counts'].get(organisation, 0)
             for _, _, body in self.store.usage
         )
 
-    def test_a_call_is_served_and_reported_once_under_a_fence(self) -> None:
-        program = self.start()
+    def test_a_call_is_served_and_reported_once_with_a_fencing_token(
+        self,
+    ) -> None:
+        program = self.start_program()
         self.assertIn(b' 200 ', program.call())
         self.assertIn(b' 401 ', program.call(key='unknown'))
         wait_for(lambda: self.store.usage, 'a usage report')
@@ -107,33 +109,33 @@
         self.assertGreater(fence, 1)
         self.assertEqual({'acme': 1}, body['counts'])
 
-    def test_a_withdrawn_key_stops_and_a_new_one_works(self) -> None:
-        program = self.start()
+    def test_a_revoked_key_is_refused_and_a_new_key_accepted(self) -> None:
+        program = self.start_program()
         self.store.put('op/config', configuration(2, ('new',)))
         wait_for(lambda: b' 401 ' in program.call(), 'a refusal')
         self.assertIn(b' 200 ', program.call(key='new'))
 
-    def test_without_the_store_keys_are_refused_before_the_bound(self) -> None:
-        """The store is out, and an operator withdraws a key meanwhile.
+    def test_in_a_store_outage_keys_are_refused_within_the_bound(self) -> None:
+        """A key may be revoked while the store is unavailable.
 
-        Nobody can tell the node, so it must stop to trust keys in time.
+        The node cannot learn of it, so it must stop accepting keys in time.
         """
-        program = self.start()
+        program = self.start_program()
         self.store.is_out = True
-        began_s = clock_s()
+        started_s = clock_s()
         wait_for(lambda: b' 503 ' in program.call(), 'a refusal')
-        self.assertLess(clock_s() - began_s, 5)
+        self.assertLess(clock_s() - started_s, 5)
         self.assertFalse(program.is_ready())
         self.store.is_out = False
         wait_for(lambda: b' 200 ' in program.call(), 'an answer')
 
-    def test_a_process_that_leaves_finishes_what_it_took(self) -> None:
-        """A machine is stopped while it answers a request.
+    def test_a_stopping_process_drains_its_calls(self) -> None:
+        """A process is told to stop while it answers a request.
 
-        It is not ready at once, answers the request, takes those that still
-        come, and ends by itself.
+        It must report not ready at once, answer this request and those that
+        still arrive, and then exit.
         """
-        program = self.start()
+        program = self.start_program()
         self.pause_s = 1.0
         caller = eventlet.spawn(program.call)
         wait_for(lambda: self.target.seen, 'a request at the target')
@@ -146,12 +148,12 @@
         wait_for(program.has_ended, 'the end')
         self.assertEqual(0, program.process.returncode)
 
-    def test_new_settings_during_a_start_end_nothing(self) -> None:
+    def test_sighup_during_startup_does_not_end_the_process(self) -> None:
         """Settings change while a process loads its libraries.
 
-        Not handled yet, the signal would end the process.
+        Without a handler the signal would end the process.
         """
-        ended = subprocess.run(
+        finished = subprocess.run(
             [
                 sys.executable,
                 '-W',
@@ -162,15 +164,15 @@
             ],
             check=False,
         )
-        self.assertEqual(0, ended.returncode)
+        self.assertEqual(0, finished.returncode)
 
-    def test_another_takes_the_duty_over_with_a_higher_fence(self) -> None:
-        first = self.start()
+    def test_a_takeover_of_the_duty_raises_the_fencing_token(self) -> None:
+        first = self.start_program()
         first.call()
         wait_for(lambda: self.store.usage, 'a usage report')
-        second = self.start()
+        second = self.start_program()
         first.end(signal.SIGKILL)
-        fences = {fence for _, fence, _ in self.store.usage}
+        first_fences = {fence for _, fence, _ in self.store.usage}
 
         def taken_over() -> bool:
             second.call()
@@ -178,26 +180,26 @@
             return f'n-{second.port}' in holders
 
         wait_for(taken_over, 'another holder')
-        newest = [
+        second_fences = [
             fence
             for holder, fence, _ in self.store.usage
             if holder == f'n-{second.port}'
         ]
-        self.assertGreater(min(newest), max(fences))
-        # A window that the first one reported may be reported once more, by
-        # the record that both read; other figures for it may not.
+        self.assertGreater(min(second_fences), max(first_fences))
+        # The second program may repeat the report of a window from the stored
+        # record, but never with different figures.
         figures = {}
         for _, _, body in self.store.usage:
             counts = figures.setdefault(body['window_id'], body['counts'])
             self.assertEqual(counts, body['counts'])
 
     def test_one_node_asks_the_store_for_its_domain(self) -> None:
-        """Each node that asked the store would make its calls grow.
+        """Guards against store calls that grow with the number of nodes.
 
-        The second node learns of targets, keys and usage from the first, and
-        its calls are counted all the same.
+        The second node learns of targets, keys and usage from the first one,
+        and its calls must still be counted in the usage reports.
         """
-        programs = [self.start(), self.start()]
+        programs = [self.start_program(), self.start_program()]
         wait_for(lambda: len(self.store.keys('members/')) == 2, 'members')
         eventlet.sleep(8)
         self.store.calls.clear()
@@ -214,47 +216,52 @@
         wait_for(
             lambda: all(b' 401 ' in one.call() for one in programs), 'refusals'
         )
-        wait_for(lambda: self.reported('acme') >= 2, 'usage of both')
+        wait_for(lambda: self.reported_calls('acme') >= 2, 'usage of both')
 
-    def test_a_node_that_the_store_turns_away_asks_another(self) -> None:
+    def test_a_node_refused_by_the_store_asks_its_peer(self) -> None:
         """The store refuses one node and serves the other one.
 
-        The refused node's callers would get 503 although the other one
-        knows that their keys are good, and a withdrawn key must stop there
-        as well.
+        The refused node would answer 503 although the other one knows that
+        the keys are valid. A revoked key must stop working there as well.
         """
-        programs = [self.start(), self.start()]
+        programs = [self.start_program(), self.start_program()]
         wait_for(lambda: len(self.store.keys('members/')) == 2, 'members')
         eventlet.sleep(3)
-        for refused in programs:
-            self.store.refused = {refused.store_address}
+        for refused_program in programs:
+            self.store.refused = {refused_program.store_address}
             eventlet.sleep(7)
-            self.assertIn(b' 200 ', refused.call())
-            self.assertTrue(refused.is_ready())
+            self.assertIn(b' 200 ', refused_program.call())
+            self.assertTrue(refused_program.is_ready())
         self.store.put('op/config', configuration(2, ('new',)))
         for program in programs:
-            wait_for(partial(answers, program, KEY, b' 401 '), 'a refusal')
-            wait_for(partial(answers, program, 'new', b' 200 '), 'an answer')
-
-    def test_the_figures_of_a_window_outlive_all_leases(self) -> None:
-        """The store ends the leases of a whole fleet, the duty's included.
-
-        Another node takes the duty over while the window may still be
-        reported. Were the figures gone, it would fix others, and the calls
-        of the window would be billed twice.
+            wait_for(
+                partial(answers_with_status, program, API_KEY, b' 401 '),
+                'a refusal',
+            )
+            wait_for(
+                partial(answers_with_status, program, 'new', b' 200 '),
+                'an answer',
+            )
+
+    def test_reported_usage_survives_the_expiry_of_all_leases(self) -> None:
+        """The store expires the leases of the whole fleet and of the duty.
+
+        Another node takes the duty over while the window can still be
+        reported. If the figures were lost, it would record different ones,
+        and the calls of the window would be billed twice.
         """
-        program = self.start()
+        program = self.start_program()
         program.call()
         wait_for(lambda: self.store.usage, 'a usage report')
         self.store.lapse()
         eventlet.sleep(0.5)
         _, _, body = self.store.usage[0]
         key = f'reports/{body["window_id"]}'
-        kept = json.loads(self.store.items[key].value or '')
-        self.assertEqual([['acme', 1]], kept['counts'])
+        kept_report = json.loads(self.store.items[key].value or '')
+        self.assertEqual([['acme', 1]], kept_report['counts'])
 
-    def test_a_taken_peer_port_ends_the_start(self) -> None:
-        """Guards against nodes that serve callers and have no links."""
+    def test_a_peer_port_in_use_fails_the_startup(self) -> None:
+        """Guards against nodes that serve callers without links to peers."""
         ports = Ports()
         holder = eventlet.listen(('127.0.0.1', ports.peers))
         self.addCleanup(holder.close)
@@ -268,17 +275,17 @@
             program.log.read_text(),
         )
 
-    def test_wrong_settings_are_told_all_at_once(self) -> None:
+    def test_all_invalid_settings_are_reported_together(self) -> None:
         path = pathlib.Path(self.folder) / 'wrong.ini'
         path.write_text('[gateway]\ndomain = a\ncaller_address = nowhere\n')
-        ended = subprocess.run(
+        finished = subprocess.run(
             [sys.executable, '-W', 'ignore', '-m', 'dandelionyoke_platform'],
             env={**os.environ, 'DANDELIONYOKE_BOOT': str(path)},
             capture_output=True,
             text=True,
             check=False,
         )
-        self.assertEqual(2, ended.returncode)
+        self.assertEqual(2, finished.returncode)
         for name in (
             'instance_id',
             'caller_address',
@@ -286,5 +293,5 @@
             'address',
             'grace_s',
         ):
-            self.assertIn(name, ended.stderr)
-        self.assertIn('Mend the settings file', ended.stderr)
+            self.assertIn(name, finished.stderr)
+        self.assertIn('Mend the settings file', finished.stderr)
