--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -1,4 +1,4 @@
-"""Names and formats of the platform, and hostile ones."""
+"""Parsing and building of the platform's headers and documents."""
 
 import json
 
@@ -39,7 +39,7 @@
         ('x-kept', '2'),
     ),
 )
-ENTRY = {
+REGISTRY_ENTRY = {
     'service': 'lm',
     'address': '10.0.0.9:8080',
     'zone': 'limon-a',
@@ -52,7 +52,7 @@
 
 
 class CallTest(testtools.TestCase):
-    def test_the_facts_of_a_call(self) -> None:
+    def test_a_call_head_is_parsed(self) -> None:
         call = DIALECT.read_call(HEAD)
         assert call is not None and call.prompt is not None
         self.assertEqual('ficu95.example', call.host)
@@ -61,14 +61,14 @@
         self.assertEqual(PromptPart('91bd', 410), call.prompt.parts[1])
         self.assertEqual('91bd', call.prompt.shared_key)
 
-    def test_no_key_in_what_is_printed(self) -> None:
+    def test_the_repr_of_a_call_does_not_contain_the_key(self) -> None:
         self.assertNotIn('secret-key', repr(DIALECT.read_call(HEAD)))
 
-    def test_a_target_sees_neither_key_nor_what_callers_forge(self) -> None:
-        """A caller sends headers that are the system's to set.
+    def test_the_key_and_forged_headers_are_not_forwarded(self) -> None:
+        """A caller sends headers that only the system may set.
 
-        Passed on, they would run its call for another organisation or take
-        a place that was reserved for somebody.
+        If they were forwarded, its call would run for another organisation or
+        use a cache reservation of another call.
         """
         forwarding = Forwarding(
             'i-7',
@@ -79,46 +79,46 @@
             last_event_id='3',
         )
         head = DIALECT.call_head(HEAD, forwarding)
-        sent = dict(head.headers)
-        self.assertEqual(len(sent), len(head.headers))
-        for absent in ('x-api-key', 'kv-hold', 'connection', 'x-hop'):
-            self.assertNotIn(absent, sent)
-        self.assertEqual('acme', sent['tenant'])
-        self.assertEqual('2500', sent['deadline-ms'])
-        self.assertEqual('i-7', sent['target-instance'])
-        self.assertEqual('9', sent['request-priority'])
-        self.assertEqual('10.0.0.1:80/h1', sent['kv-source'])
-        self.assertEqual('2', sent['x-kept'])
-        self.assertEqual('9c41', sent['attempt-id'])
-
-    def test_a_call_without_an_attempt_is_none(self) -> None:
+        sent_headers = dict(head.headers)
+        self.assertEqual(len(sent_headers), len(head.headers))
+        for name in ('x-api-key', 'kv-hold', 'connection', 'x-hop'):
+            self.assertNotIn(name, sent_headers)
+        self.assertEqual('acme', sent_headers['tenant'])
+        self.assertEqual('2500', sent_headers['deadline-ms'])
+        self.assertEqual('i-7', sent_headers['target-instance'])
+        self.assertEqual('9', sent_headers['request-priority'])
+        self.assertEqual('10.0.0.1:80/h1', sent_headers['kv-source'])
+        self.assertEqual('2', sent_headers['x-kept'])
+        self.assertEqual('9c41', sent_headers['attempt-id'])
+
+    def test_a_call_without_an_attempt_id_is_none(self) -> None:
         self.assertIsNone(DIALECT.read_call(RequestHead('GET', '/', ())))
 
-    def test_what_an_answer_says(self) -> None:
-        full = ResponseHead(
+    def test_a_response_head_is_parsed(self) -> None:
+        overloaded = ResponseHead(
             503, (('not-executed', '1'), ('server-load', '3,4,8'))
         )
-        facts = DIALECT.read_answer(full)
+        facts = DIALECT.read_answer(overloaded)
         self.assertTrue(facts.is_not_run)
         self.assertEqual(7, facts.busy)
-        other = DIALECT.read_answer(ResponseHead(421, ()))
-        self.assertTrue(other.is_other_target and other.is_not_run)
+        misdirected = DIALECT.read_answer(ResponseHead(421, ()))
+        self.assertTrue(misdirected.is_other_target and misdirected.is_not_run)
         self.assertFalse(DIALECT.read_answer(ResponseHead(500, ())).is_not_run)
 
 
-class RecordsTest(testtools.TestCase):
-    def test_an_entry_of_the_registry(self) -> None:
-        target = DIALECT.read_target('servers/i-7', json.dumps(ENTRY))
+class DocumentTest(testtools.TestCase):
+    def test_a_registry_entry_is_parsed(self) -> None:
+        target = DIALECT.read_target('servers/i-7', json.dumps(REGISTRY_ENTRY))
         assert target is not None
         self.assertEqual('i-7', target.target_id)
         self.assertIs(Phase.DECODE, target.phase)
         self.assertFalse(target.is_leaving)
 
-    def test_entries_that_name_no_target(self) -> None:
-        """Another writer puts nonsense under the targets' prefix.
+    def test_invalid_registry_entries_are_none(self) -> None:
+        """Something else writes invalid values under the targets' prefix.
 
-        A reader that stopped at it would know no targets any more, and all
-        callers would be turned away.
+        If reading stopped there, the node would know no targets and refuse
+        all calls.
         """
         for change in (
             {'address': 7},
@@ -129,18 +129,18 @@
             {'service': None},
             {'zone': ''},
         ):
-            text = json.dumps(ENTRY | change)
+            text = json.dumps(REGISTRY_ENTRY | change)
             self.assertIsNone(DIALECT.read_target('servers/i-7', text))
         for text in ('', 'null', '[]', '{', '{"slots": 1}'):
             self.assertIsNone(DIALECT.read_target('servers/i-7', text))
 
-    def test_an_entry_with_a_phase_of_another_type(self) -> None:
-        """Guards against a reader that one entry stops."""
-        text = json.dumps(ENTRY | {'phase': ['decode']})
+    def test_a_phase_of_the_wrong_type_is_ignored(self) -> None:
+        """Guards against one invalid entry stopping the reader."""
+        text = json.dumps(REGISTRY_ENTRY | {'phase': ['decode']})
         target = DIALECT.read_target('servers/i-7', text)
         self.assertIs(Phase.ANY, target and target.phase)
 
-    def test_an_unreadable_configuration_is_refused(self) -> None:
+    def test_an_invalid_configuration_is_an_error(self) -> None:
         for text in (
             '',
             '[]',
@@ -151,28 +151,30 @@
                 ConfigurationError, DIALECT.read_configuration, text
             )
 
-    def limited(self, **fields: object) -> FleetConfiguration:
+    def read_limited(self, **fields: object) -> FleetConfiguration:
         tenant = {'name': 'acme', 'api_keys': ['k'], **fields}
         return DIALECT.read_configuration(
             json.dumps({'version': 1, 'tenants': [tenant]})
         )
 
-    def test_limits_of_organisations(self) -> None:
-        tokens = self.limited(
+    def test_rate_limits_are_parsed(self) -> None:
+        tokens = self.read_limited(
             unit='token_stream', rate_per_s=500, burst=900, plain_tokens=200
         )
         self.assertEqual(
             {'acme': RateLimit(500, 900, LimitUnit.TOKENS, 200)},
             tokens.rate_limits,
         )
-        calls = self.limited(rate_per_s=5)
+        calls = self.read_limited(rate_per_s=5)
         self.assertEqual({'acme': RateLimit(5, 5)}, calls.rate_limits)
-        self.assertEqual({}, self.limited(rate_per_s=0, burst=3).rate_limits)
-        self.assertEqual({}, self.limited().rate_limits)
+        self.assertEqual(
+            {}, self.read_limited(rate_per_s=0, burst=3).rate_limits
+        )
+        self.assertEqual({}, self.read_limited().rate_limits)
 
-    def test_limits_that_cannot_be_kept(self) -> None:
-        """Guards against a limit that is dropped in silence."""
-        for bad, field in (
+    def test_invalid_rate_limits_are_errors(self) -> None:
+        """Guards against silently ignoring a limit."""
+        for invalid_fields, expected_text in (
             ({'rate_per_s': -1, 'burst': 1}, 'rate_per_s'),
             ({'rate_per_s': float('nan'), 'burst': 1}, 'rate_per_s'),
             ({'rate_per_s': 1, 'burst': float('inf')}, 'burst'),
@@ -182,19 +184,21 @@
             ({'rate_per_s': 9, 'unit': ['token_stream']}, 'unit'),
             ({'rate_per_s': 10**400}, 'too large'),
         ):
-            error = self.assertRaises(ConfigurationError, self.limited, **bad)
+            error = self.assertRaises(
+                ConfigurationError, self.read_limited, **invalid_fields
+            )
             self.assertIn('acme', str(error))
-            self.assertIn(field, str(error))
+            self.assertIn(expected_text, str(error))
 
-    def test_an_organisation_that_is_listed_twice(self) -> None:
-        """Guards against two limits of which one holds by chance."""
+    def test_an_organisation_listed_twice_is_an_error(self) -> None:
+        """Guards against two limits of which one applies by chance."""
         text = json.dumps({'version': 1, 'tenants': [{'name': 'acme'}] * 2})
         error = self.assertRaises(
             ConfigurationError, DIALECT.read_configuration, text
         )
         self.assertIn("'acme' is listed twice", str(error))
 
-    def test_a_configuration(self) -> None:
+    def test_a_configuration_is_parsed(self) -> None:
         route = {
             'name': 'r',
             'host': 'h.example',
@@ -203,11 +207,11 @@
             'timeout_ms': 4000,
             'service': 'lm',
         }
-        longer = route | {'name': 'longer', 'path_prefix': '/a/b/'}
+        longer_route = route | {'name': 'longer', 'path_prefix': '/a/b/'}
         text = json.dumps(
             {
                 'version': 7,
-                'routes': [route, longer],
+                'routes': [route, longer_route],
                 'services': [{'name': 'lm', 'max_connections': 3}],
                 'tenants': [{'name': 'acme', 'api_keys': ['k']}],
             }
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -1,4 +1,4 @@
-"""Orders and reports of a duty's holder."""
+"""Orders of a duty's holder, after its term, in partitions, and refused."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -28,7 +28,7 @@
 
 
 class PausedPool(TargetPool):
-    """Lends connections to a process that is paused right after connecting."""
+    """Pool that simulates a pause of the process right after connecting."""
 
     def __init__(self, pause_s: float) -> None:
         super().__init__()
@@ -47,9 +47,9 @@
             yield connection
 
 
-class DutyEndTest(testtools.TestCase):
+class TermEndTest(testtools.TestCase):
     def order(self, pause_s: float) -> list[str]:
-        """Send an order in a term of 50 ms; list what the platform got."""
+        """Send an order with 50 ms of the term left; list what arrived."""
         target = ScriptedTarget(lambda _: [answer('200 OK', b'{}', '')])
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, PausedPool(pause_s))
@@ -60,33 +60,36 @@
     def test_an_order_within_the_term_is_sent(self) -> None:
         self.assertEqual(1, len(self.order(0)))
 
-    def test_no_order_leaves_after_the_term(self) -> None:
-        """Guards against two holders: paused between connect and send."""
+    def test_an_order_after_the_end_of_the_term_is_not_sent(self) -> None:
+        """The holder is paused between connecting and sending.
+
+        If the order were still sent, two holders would act.
+        """
         self.assertEqual([], self.order(0.1))
 
 
 class PartitionTest(testtools.TestCase):
-    """Its receiver is out of reach, and open connections do not tell."""
+    """The receiver is unreachable, but open connections show no error."""
 
-    def test_no_order_waits_behind_a_partition(self) -> None:
-        """Guards against an order that arrives once a partition heals."""
+    def test_no_target_order_is_sent_into_a_partition(self) -> None:
+        """Guards against an order that arrives after the partition heals."""
         target = ScriptedTarget(lambda _: [answer('200 OK', b'{}', '')])
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, TargetPool())
         stamp = DutyStamp('n-1', 9, clock_s() + 5)
         self.assertTrue(duties.order_targets(ORDER, stamp).is_accepted)
         target.refuse_connections()
-        behind = duties.order_targets(ORDER, stamp)
-        self.assertIs(DutyOutcome.NOT_SENT, behind.outcome)
+        answer_behind = duties.order_targets(ORDER, stamp)
+        self.assertIs(DutyOutcome.NOT_SENT, answer_behind.outcome)
         self.assertEqual(1, len(target.seen))
 
-    def test_an_orders_limit_ends_before_the_kernels_probes(self) -> None:
-        """Guards against orders whose connection can be reset no more."""
+    def test_an_order_times_out_before_the_keepalive_probes(self) -> None:
+        """Guards against orders whose connection can no longer be reset."""
         probes_s = KEEPALIVE_PROBES * KEEPALIVE_INTERVAL_S
         self.assertLess(CALL_TIMEOUT_S, KEEPALIVE_IDLE_S + probes_s)
 
-    def test_no_engine_order_waits_behind_a_partition(self) -> None:
-        """Guards against two holders' orders at an engine, the old one last."""
+    def test_no_engine_order_is_sent_into_a_partition(self) -> None:
+        """Guards against an old holder's order that arrives after a new one."""
         report = b'{"phase": "prefill", "seq": 0, "busy": false}'
         target = ScriptedTarget(lambda _: [answer('200 OK', report, '')])
         self.addCleanup(target.close)
@@ -96,13 +99,13 @@
         target.refuse_connections()
         stamp = DutyStamp('n-1', 9, clock_s() + 5)
         order = PhaseOrder(engine, Phase.DECODE, 0)
-        behind = duties.order_phase(order, stamp)
-        self.assertIs(DutyOutcome.NOT_SENT, behind.outcome)
+        answer_behind = duties.order_phase(order, stamp)
+        self.assertIs(DutyOutcome.NOT_SENT, answer_behind.outcome)
         self.assertEqual(1, len(target.seen))
 
 
 class DutyAnswerTest(testtools.TestCase):
-    """What the log is told of an order that was not accepted."""
+    """Outcome and cause that are logged for an order that is not accepted."""
 
     def order(self, script: Script) -> DutyAnswer:
         target = ScriptedTarget(script)
@@ -111,14 +114,14 @@
         stamp = DutyStamp('n-1', 9, clock_s() + 5)
         return duties.order_targets(ORDER, stamp)
 
-    def test_a_refusal_names_the_status(self) -> None:
-        answer_of = self.order(lambda _: [answer('409 Conflict', b'{}', '')])
+    def test_the_cause_of_a_refusal_contains_the_status(self) -> None:
+        duty_answer = self.order(lambda _: [answer('409 Conflict', b'{}', '')])
         self.assertEqual(
             (DutyOutcome.REFUSED, 'answered 409'),
-            (answer_of.outcome, answer_of.cause),
+            (duty_answer.outcome, duty_answer.cause),
         )
 
-    def test_an_order_without_an_answer_is_in_doubt(self) -> None:
-        answer_of = self.order(lambda _: [None])
-        self.assertIs(DutyOutcome.UNKNOWN, answer_of.outcome)
-        self.assertNotEqual('', answer_of.cause)
+    def test_the_outcome_of_an_order_without_an_answer_is_unknown(self) -> None:
+        duty_answer = self.order(lambda _: [None])
+        self.assertIs(DutyOutcome.UNKNOWN, duty_answer.outcome)
+        self.assertNotEqual('', duty_answer.cause)
