--- a/tests/core/test_codec.py
+++ b/tests/core/test_codec.py
@@ -1,4 +1,4 @@
-"""What is written can be read back, and nothing else is taken."""
+"""Encoding and decoding of records and peer messages."""
 
 import testtools
 
@@ -37,7 +37,7 @@
         text = record_to_json(CHANGE)
         self.assertEqual(CHANGE, record_from_json(text, Change))
 
-    def test_text_that_is_no_record_is_a_codec_error(self) -> None:
+    def test_an_invalid_record_is_a_codec_error(self) -> None:
         for text in ('', '{}', '[1]', '{"operations": 3}'):
             self.assertRaises(CodecError, record_from_json, text, Change)
 
