--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What every test run shares: seeds, and the faults known to be open."""
+"""Shared test configuration: fixed seeds and known failing tests."""
 
 import pathlib
 
@@ -8,31 +8,32 @@
 ROOT = pathlib.Path(__file__).parent.parent
 KNOWN_RED = ROOT / 'KNOWN-RED.txt'
 
-# The same verdict every run: no fresh examples, no clock in the judgement.
+# Deterministic runs: no new random examples and no time limit per example.
 settings.register_profile('dandelionyoke', derandomize=True, deadline=None)
 settings.load_profile('dandelionyoke')
 
 
 def known_red() -> dict[str, str]:
-    """Read the tests that fail for a known fault, with the whole line."""
+    """Return the tests with known faults, mapped to their lines in the file."""
     lines = KNOWN_RED.read_text().splitlines()
     return {line.split()[0]: line for line in lines if line.strip()}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Pass over just the tests that KNOWN-RED.txt names."""
-    red = known_red()
+    """Mark exactly the tests that KNOWN-RED.txt lists as expected failures."""
+    known_lines = known_red()
     for item in items:
-        if item.nodeid in red:
-            item.add_marker(pytest.mark.xfail(reason=red[item.nodeid]))
+        if item.nodeid in known_lines:
+            item.add_marker(pytest.mark.xfail(reason=known_lines[item.nodeid]))
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Print each known fault, so that a green run does not hide it.
+    """Print every known fault, so that a passing run does not hide it.
 
-    One that shows is printed with what failed: it may not show again.
+    A failure of a listed test is printed in full, as it may be hard to
+    reproduce.
     """
     for line in known_red().values():
         terminalreporter.write_line(f'KNOWN-RED {line}')
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The lines between the packages."""
+"""Rules on imports between the packages and on the platform adapter."""
 
 import ast
 import pathlib
@@ -11,10 +11,11 @@
 PACKAGES = ROOT / 'packages'
 PLATFORM = ROOT / 'platform' / 'dandelionyoke_platform'
 
-# The adapter names and formats; a large one would have begun to decide.
-MOST_ADAPTER_LINES = 1000
-# Names of the platform's wire that the project does not use for itself.
-PLATFORM_WORDS = (
+# The adapter only translates names and formats; a larger one would contain
+# decisions.
+MAX_ADAPTER_LINES = 1000
+# Names of the platform's protocols that the project itself does not use.
+PLATFORM_WIRE_NAMES = (
     'attempt-id',
     'deadline-ms',
     'duty-holder',
@@ -43,7 +44,7 @@
     'weight-versions',
     'x-api-key',
 )
-DOING_IO = {
+IO_MODULES = {
     'asyncio',
     'cbor2',
     'eventlet',
@@ -61,15 +62,15 @@
     'urllib3',
     'websockets',
 }
-STARTING_PROCESSES = {'multiprocessing', 'pexpect', 'pty', 'subprocess'}
+PROCESS_MODULES = {'multiprocessing', 'pexpect', 'pty', 'subprocess'}
 
-# These parts of modules that do input or output do none themselves.
-HARMLESS_NAMES = {'http': {'HTTPStatus'}}
-HARMLESS_MODULES = {'urllib.parse'}
+# Parts of I/O modules that do no I/O themselves.
+ALLOWED_NAMES = {'http': {'HTTPStatus'}}
+ALLOWED_MODULES = {'urllib.parse'}
 
 
 def imports_of(package: str) -> Iterator[tuple[str, str]]:
-    """Yield each file of a package with each module that it imports."""
+    """Yield pairs of a file of the package and a module that it imports."""
     for file in (PACKAGES / package).rglob('*.py'):
         for node in ast.walk(ast.parse(file.read_text())):
             if isinstance(node, ast.Import):
@@ -78,42 +79,44 @@
             if isinstance(node, ast.ImportFrom):
                 module = str(node.module).partition('.')[0]
                 names = {name.name for name in node.names}
-                harmless = names <= HARMLESS_NAMES.get(module, set())
-                if not harmless and node.module not in HARMLESS_MODULES:
+                is_allowed = names <= ALLOWED_NAMES.get(module, set())
+                if not is_allowed and node.module not in ALLOWED_MODULES:
                     yield str(file), module
 
 
 class LayoutTest(testtools.TestCase):
     def test_the_core_does_no_input_or_output(self) -> None:
         for package in ('core', 'dispatch'):
-            found = [one for one in imports_of(package) if one[1] in DOING_IO]
-            self.assertEqual([], found)
+            violations = [
+                item for item in imports_of(package) if item[1] in IO_MODULES
+            ]
+            self.assertEqual([], violations)
 
-    def test_the_platforms_words_stand_in_its_folder_only(self) -> None:
+    def test_platform_wire_names_occur_only_in_the_adapter(self) -> None:
         for file in PACKAGES.rglob('*.py'):
             text = file.read_text().lower()
-            found = [
-                word
-                for word in PLATFORM_WORDS
-                if re.search(rf'(?<![\w-]){word}(?![\w-])', text)
+            violations = [
+                wire_name
+                for wire_name in PLATFORM_WIRE_NAMES
+                if re.search(rf'(?<![\w-]){wire_name}(?![\w-])', text)
             ]
-            self.assertEqual([], found, str(file))
+            self.assertEqual([], violations, str(file))
 
-    def test_no_package_imports_the_platforms_folder(self) -> None:
+    def test_no_package_imports_the_platform_adapter(self) -> None:
         for package in PACKAGES.iterdir():
-            found = [
-                one
-                for one in imports_of(package.name)
-                if one[1] == 'dandelionyoke_platform'
+            violations = [
+                item
+                for item in imports_of(package.name)
+                if item[1] == 'dandelionyoke_platform'
             ]
-            self.assertEqual([], found)
+            self.assertEqual([], violations)
 
-    def test_the_platforms_folder_stays_small(self) -> None:
+    def test_the_platform_adapter_stays_small(self) -> None:
         lines = sum(
             len(file.read_text().splitlines())
             for file in PLATFORM.rglob('*.py')
         )
-        self.assertLess(lines, MOST_ADAPTER_LINES)
+        self.assertLess(lines, MAX_ADAPTER_LINES)
 
     def test_no_package_starts_a_process(self) -> None:
         for package in (
@@ -126,15 +129,15 @@
             'dispatch',
             'gateway',
         ):
-            found = [
-                one
-                for one in imports_of(package)
-                if one[1] in STARTING_PROCESSES
+            violations = [
+                item
+                for item in imports_of(package)
+                if item[1] in PROCESS_MODULES
             ]
-            self.assertEqual([], found)
+            self.assertEqual([], violations)
 
-    def test_dependencies_point_one_way(self) -> None:
-        for package, unknown in (
+    def test_packages_depend_only_on_lower_layers(self) -> None:
+        for package, forbidden in (
             (
                 'core',
                 {
@@ -168,6 +171,8 @@
             ('operator', {'entry', 'standins'}),
             ('standins', {'wire', 'entry', 'operator'}),
         ):
-            names = {f'dandelionyoke_{name}' for name in unknown}
-            found = [one for one in imports_of(package) if one[1] in names]
-            self.assertEqual([], found)
+            names = {f'dandelionyoke_{name}' for name in forbidden}
+            violations = [
+                item for item in imports_of(package) if item[1] in names
+            ]
+            self.assertEqual([], violations)
