--- a/packages/core/dandelionyoke_core/_actions.py
+++ b/packages/core/dandelionyoke_core/_actions.py
@@ -148,7 +148,7 @@
 
 @attrs.frozen
 class DropAttempt(Action):
-    """Close the connection of an attempt without telling the engine."""
+    """Close this node's connection of an attempt and discard its state."""
 
     request_id: RequestId
     attempt_id: AttemptId
--- a/packages/core/dandelionyoke_core/_codec.py
+++ b/packages/core/dandelionyoke_core/_codec.py
@@ -44,7 +44,7 @@
     return types_by_name
 
 
-class _MessageTypes:
+class _MessageTypeRegistry:
     """Message types by name, collected again when a name is unknown.
 
     Modules that are imported later define further types.
@@ -60,7 +60,7 @@
         return self._types_by_name.get(name)
 
 
-_MESSAGE_TYPES = _MessageTypes()
+_MESSAGE_TYPES = _MessageTypeRegistry()
 
 
 def record_to_json(record: object) -> str:
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -236,7 +236,7 @@
         """
 
     def lost(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
-        """Record that an attempt was abandoned at a target gone silent."""
+        """Record an attempt abandoned at a silent, possibly crashed target."""
 
     def broke(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
         """Record that an attempt broke off; it may have crashed its target."""
--- a/packages/core/dandelionyoke_core/_rate.py
+++ b/packages/core/dandelionyoke_core/_rate.py
@@ -29,9 +29,9 @@
     def per_s(self, now_s: float) -> float:
         """Return the current rate per second; 0 if nothing was added yet.
 
-        Until a full window has passed the sum is divided by the time since
-        the first amount, but at least a tenth of the window. The first
-        figures are therefore neither far too high nor far too low.
+        Until the window is full, only its elapsed part counts, but at least a
+        tenth of it, so that the first figures are neither far too high nor
+        far too low.
         """
         if self._since_s is None:
             return 0.0
