--- a/packages/gateway/dandelionyoke_gateway/_backlog_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_backlog_task.py
@@ -29,45 +29,47 @@
         self._links = links
         self._knowledge = knowledge
         self._log = log
-        self._told: Backlogs = {}
-        self._told_s = NEVER_S
+        self._last_sent: Backlogs = {}
+        self._last_sent_s = NEVER_S
 
     def run(self) -> None:
         """Tell for as long as the process lives."""
         while True:
             eventlet.sleep(CHECK_INTERVAL_S)
             if self._knowledge.sources.is_source(clock_s()):
-                self._tell_if_due()
+                self._send_if_due()
 
-    def take(self, event: Event) -> bool:
+    def handle_event(self, event: Event) -> bool:
         """Take an event of the links; tell whether it was for this part."""
         if not isinstance(event, PeerMessageArrived):
             return False
         if not isinstance(event.message, BacklogTold):
             return False
-        self._take(event.peer_id, event.message)
+        self._record_backlog(event.peer_id, event.message)
         return True
 
-    def _tell_if_due(self) -> None:
-        backlogs = self._backlogs()
+    def _send_if_due(self) -> None:
+        backlogs = self._collect_backlogs()
         now_s = clock_s()
-        is_due = now_s - self._told_s >= HEARTBEAT_INTERVAL_S
-        if backlogs == self._told and not (backlogs and is_due):
+        is_due = now_s - self._last_sent_s >= HEARTBEAT_INTERVAL_S
+        if backlogs == self._last_sent and not (backlogs and is_due):
             return
-        self._told = backlogs
-        self._told_s = now_s
-        self._links.tell(BacklogTold(backlogs))
+        self._last_sent = backlogs
+        self._last_sent_s = now_s
+        self._links.broadcast(BacklogTold(backlogs))
 
-    def _backlogs(self) -> Backlogs:
-        found: Backlogs = {}
-        for service, watch in self._knowledge.watches.items():
-            backlog = watch.line.backlog()
+    def _collect_backlogs(self) -> Backlogs:
+        backlogs: Backlogs = {}
+        for service, state in self._knowledge.service_states.items():
+            backlog = state.line.backlog()
             if backlog:
-                found[service] = backlog
-        return found
+                backlogs[service] = backlog
+        return backlogs
 
-    def _take(self, peer_id: InstanceId, told: BacklogTold) -> None:
-        if not told.is_possible:
+    def _record_backlog(
+        self, peer_id: InstanceId, message: BacklogTold
+    ) -> None:
+        if not message.is_possible:
             self._log.decide(
                 'placing.dropped',
                 peer_id,
@@ -75,7 +77,7 @@
                 cause='impossible backlog',
             )
             return
-        self._links.heard(peer_id)
-        for service, watch in self._knowledge.watches.items():
-            backlog = told.tokens.get(service, {})
-            watch.line.told(peer_id, backlog, clock_s())
+        self._links.mark_heard(peer_id)
+        for service, state in self._knowledge.service_states.items():
+            backlog = message.tokens.get(service, {})
+            state.line.told(peer_id, backlog, clock_s())
--- a/packages/gateway/dandelionyoke_gateway/_crash_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_crash_task.py
@@ -19,8 +19,8 @@
 CRASHES_PREFIX = 'crashes/'
 RECORD_TTL_S = 60.0
 # Crashes are rare, so that a long watch costs next to nothing.
-WATCH_S = 10.0
-RELIED_S = 2.0
+WATCH_DURATION_S = 10.0
+NEWS_FRESH_S = 2.0
 # A target that is alive takes a connection at once.
 PROBE_TIMEOUT_S = 0.5
 
@@ -44,36 +44,40 @@
         """Listen for as long as the process lives."""
         while True:
             now_s = clock_s()
-            if now_s - self._knowledge.told_s < RELIED_S:
+            if now_s - self._knowledge.news_received_s < NEWS_FRESH_S:
                 # The node that is asked for news tells of crashes as well.
-                eventlet.sleep(RELIED_S)
+                eventlet.sleep(NEWS_FRESH_S)
                 continue
-            answer = self._follower.ask(WATCH_S)
+            answer = self._follower.ask(WATCH_DURATION_S)
             if isinstance(answer, StoreListing):
-                self._take(answer)
+                self._record_crashes(answer)
             else:
                 self._follower.pause()
 
-    def suspect(self, name: str, target_id: str, address: str) -> None:
+    def suspect(self, fingerprint: str, target_id: str, address: str) -> None:
         """Look whether a target is dead that broke a call off."""
-        eventlet.spawn_n(self._look, name, target_id, address)
+        eventlet.spawn_n(self._probe_target, fingerprint, target_id, address)
 
-    def _look(self, name: str, target_id: str, address: str) -> None:
+    def _probe_target(
+        self, fingerprint: str, target_id: str, address: str
+    ) -> None:
         try:
             connect(address, PROBE_TIMEOUT_S).close()
         except ExchangeError:
-            self._tell(name, target_id)
+            self._publish_crash(fingerprint, target_id)
 
-    def _tell(self, name: str, target_id: str) -> None:
-        self._knowledge.crashes.crashed(name, target_id, clock_s())
+    def _publish_crash(self, fingerprint: str, target_id: str) -> None:
+        self._knowledge.crashes.crashed(fingerprint, target_id, clock_s())
         self._log.decide(
-            'target.died', target_id, outcome='call suspected', call=name
+            'target.died', target_id, outcome='call suspected', call=fingerprint
         )
-        self._records.write(f'{CRASHES_PREFIX}{name}/{target_id}', '', 0)
+        self._records.write(f'{CRASHES_PREFIX}{fingerprint}/{target_id}', '', 0)
 
-    def _take(self, listing: StoreListing) -> None:
+    def _record_crashes(self, listing: StoreListing) -> None:
         for item in listing.items:
             path = item.key.removeprefix(CRASHES_PREFIX)
-            name, _, target_id = path.partition('/')
+            fingerprint, _, target_id = path.partition('/')
             if item.value is not None and target_id:
-                self._knowledge.crashes.crashed(name, target_id, clock_s())
+                self._knowledge.crashes.crashed(
+                    fingerprint, target_id, clock_s()
+                )
--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -31,70 +31,73 @@
 # A sound node of the domain answers within milliseconds, or after it has read
 # a new configuration.
 ANSWER_TIMEOUT_S = 0.2
-NUMBER_BITS = 48
+REQUEST_NUMBER_BITS = 48
 
 
 @attrs.frozen
-class _Question:
+class _PendingRequest:
     number: int
     peer_id: InstanceId
-    answers: LightQueue = attrs.field(factory=LightQueue)
+    responses: LightQueue = attrs.field(factory=LightQueue)
 
 
 class DomainPrefillQueue:
     """Asks the node that places for the domain; places itself without it."""
 
     def __init__(
-        self, local: LocalPrefillQueue, knowledge: Knowledge, log: DecisionLog
+        self,
+        local_queue: LocalPrefillQueue,
+        knowledge: Knowledge,
+        log: DecisionLog,
     ) -> None:
-        self._local = local
+        self._local_queue = local_queue
         self._knowledge = knowledge
         self._log = log
         self._source = DomainSource(knowledge)
         # Another process of this instance may have places there still.
-        first_number = knowledge.random.getrandbits(NUMBER_BITS)
-        self._numbers = itertools.count(first_number)
+        first_number = knowledge.random.getrandbits(REQUEST_NUMBER_BITS)
+        self._request_numbers = itertools.count(first_number)
         # By the turn id of the grant that may follow.
-        self._questions: dict[str, _Question] = {}
+        self._pending: dict[str, _PendingRequest] = {}
 
     def attach(self, send: Send) -> None:
         """Take how messages leave, once there are links."""
         self._source.attach(send)
-        self._knowledge.loads.listen(self._report)
+        self._knowledge.loads.listen(self._report_failure)
 
     def enter(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine."""
         peer_id = self._source.find()
         if peer_id is not None:
-            grant = self._ask(peer_id, request)
+            grant = self._request_grant(peer_id, request)
             if grant is not None:
                 return grant
-        return self._local.enter(request)
+        return self._local_queue.enter(request)
 
     def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Give a place back to whoever gave it."""
-        question = self._questions.pop(grant.turn_id, None)
-        if question is None:
-            self._local.leave(grant, result)
+        pending = self._pending.pop(grant.turn_id, None)
+        if pending is None:
+            self._local_queue.leave(grant, result)
             return
-        self._tell_end(question, result)
+        self._send_end(pending, result)
         if result.read_s is not None:
-            watch = self._knowledge.watch_of(grant.request.service)
-            watch.pace.took(grant.request.prompt, result.read_s)
+            state = self._knowledge.watch_of(grant.request.service)
+            state.pace.took(grant.request.prompt, result.read_s)
 
-    def told(self, told: PrefillTold) -> None:
+    def handle_response(self, response: PrefillTold) -> None:
         """Take an answer."""
-        question = self._questions.get(_turn_id(told.number))
-        if question is not None:
-            question.answers.put(told)
+        pending = self._pending.get(_turn_id(response.number))
+        if pending is not None:
+            pending.responses.put(response)
 
-    def lost(self, peer_id: InstanceId) -> None:
+    def handle_disconnect(self, peer_id: InstanceId) -> None:
         """End the questions to a node whose link has ended."""
-        for question in tuple(self._questions.values()):
-            if question.peer_id == peer_id:
-                question.answers.put(None)
+        for pending in tuple(self._pending.values()):
+            if pending.peer_id == peer_id:
+                pending.responses.put(None)
 
-    def _ask(
+    def _request_grant(
         self, peer_id: InstanceId, request: PrefillRequest
     ) -> PrefillGrant | None:
         """Ask a node; None: it cannot tell, and this one decides.
@@ -102,54 +105,54 @@
         Raises:
             TooLateError: no engine could begin while that is of use.
         """
-        question = _Question(next(self._numbers), peer_id)
-        turn_id = _turn_id(question.number)
-        self._questions[turn_id] = question
+        pending = _PendingRequest(next(self._request_numbers), peer_id)
+        turn_id = _turn_id(pending.number)
+        self._pending[turn_id] = pending
         try:
-            home = self._await_home(question, request)
+            home = self._await_placement(pending, request)
         except BaseException:
-            self._withdraw(turn_id)
+            self._cancel(turn_id)
             raise
         if home is None:
-            self._withdraw(turn_id)
+            self._cancel(turn_id)
             return None
         return PrefillGrant(request, turn_id, home, peer_id)
 
-    def _await_home(
-        self, question: _Question, request: PrefillRequest
+    def _await_placement(
+        self, pending: _PendingRequest, request: PrefillRequest
     ) -> PrefillHome | None:
-        asked = _message(question.number, request)
-        if not self._source.send(question.peer_id, asked):
+        message = _build_request(pending.number, request)
+        if not self._source.send(pending.peer_id, message):
             return None
-        until_s = clock_s() + ANSWER_TIMEOUT_S
-        while (told := _next(question, until_s)) is not None:
-            self._suspect(told)
-            match told.verdict:
+        deadline_s = clock_s() + ANSWER_TIMEOUT_S
+        while (response := _next_response(pending, deadline_s)) is not None:
+            self._mark_suspects(response)
+            match response.verdict:
                 case PrefillVerdict.GRANTED:
-                    return self._home(told, request)
+                    return self._resolve_placement(response, request)
                 case PrefillVerdict.TOO_LATE:
-                    raise TooLateError(told.retry_after_s)
+                    raise TooLateError(response.retry_after_s)
                 case PrefillVerdict.NO_ENGINE:
                     return None
-            until_s = clock_s() + QUEUED_INTERVAL_S + ANSWER_TIMEOUT_S
-        self._pause(question.peer_id)
+            deadline_s = clock_s() + QUEUED_INTERVAL_S + ANSWER_TIMEOUT_S
+        self._handle_timeout(pending.peer_id)
         return None
 
-    def _home(
-        self, told: PrefillTold, request: PrefillRequest
+    def _resolve_placement(
+        self, response: PrefillTold, request: PrefillRequest
     ) -> PrefillHome | None:
         """Find the engines that were named, as this node knows them.
 
         It may know that one has left which the other node still lists.
         """
-        target = self._usable(told.target_id, request)
+        target = self._find_usable_target(response.target_id, request)
         if target is None:
             return None
         return PrefillHome(
-            target, self._knowledge.registry.find(told.source_id)
+            target, self._knowledge.registry.find(response.source_id)
         )
 
-    def _usable(
+    def _find_usable_target(
         self, target_id: str, request: PrefillRequest
     ) -> RegisteredTarget | None:
         target = self._knowledge.registry.find(target_id)
@@ -160,31 +163,33 @@
             return None
         return target
 
-    def _suspect(self, told: PrefillTold) -> None:
-        for target_id in told.suspects:
+    def _mark_suspects(self, response: PrefillTold) -> None:
+        for target_id in response.suspects:
             self._knowledge.loads.suspected(target_id, clock_s())
 
-    def _report(self, target_id: str, failure: TargetFailure) -> None:
+    def _report_failure(self, target_id: str, failure: TargetFailure) -> None:
         """Tell a failure to the node that places calls there."""
         peer_id = self._source.find()
         if peer_id is not None:
             self._source.send(peer_id, TargetFailed(target_id, failure))
 
-    def _withdraw(self, turn_id: str) -> None:
-        question = self._questions.pop(turn_id, None)
-        if question is not None:
-            self._tell_end(question, PrefillResult())
+    def _cancel(self, turn_id: str) -> None:
+        pending = self._pending.pop(turn_id, None)
+        if pending is not None:
+            self._send_end(pending, PrefillResult())
 
-    def _tell_end(self, question: _Question, result: PrefillResult) -> None:
-        ended = PrefillEnded(question.number, result.read_s)
-        self._source.send(question.peer_id, ended)
+    def _send_end(
+        self, pending: _PendingRequest, result: PrefillResult
+    ) -> None:
+        message = PrefillEnded(pending.number, result.read_s)
+        self._source.send(pending.peer_id, message)
 
-    def _pause(self, peer_id: InstanceId) -> None:
-        self._source.was_silent()
+    def _handle_timeout(self, peer_id: InstanceId) -> None:
+        self._source.start_cooldown()
         self._log.decide('placing.silent', peer_id, outcome='placed here')
 
 
-def _message(number: int, request: PrefillRequest) -> PrefillAsked:
+def _build_request(number: int, request: PrefillRequest) -> PrefillAsked:
     now_s = clock_s()
     prompt = request.prompt
     return PrefillAsked(
@@ -201,14 +206,16 @@
     )
 
 
-def _next(question: _Question, until_s: float) -> PrefillTold | None:
+def _next_response(
+    pending: _PendingRequest, deadline_s: float
+) -> PrefillTold | None:
     try:
-        told: PrefillTold | None = question.answers.get(
-            timeout=max(0, until_s - clock_s())
+        response: PrefillTold | None = pending.responses.get(
+            timeout=max(0, deadline_s - clock_s())
         )
     except Empty:
         return None
-    return told
+    return response
 
 
 def _turn_id(number: int) -> str:
--- a/packages/gateway/dandelionyoke_gateway/_domain_source.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_source.py
@@ -33,6 +33,6 @@
         """Send a message; False if there is no link."""
         return self._send is not None and self._send(peer_id, message)
 
-    def was_silent(self) -> None:
+    def start_cooldown(self) -> None:
         """Ask nobody for a while."""
         self._cooldown_until_s = clock_s() + COOLDOWN_S
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -22,37 +22,39 @@
     TargetCount,
 )
 
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 # A number that was ordered shows in the registry after the engines' start
 # and a heartbeat; it is ordered again when it then still differs.
-COUNT_REST_S = 8.0
-COUNT_RETRY_S = 2.0
+ORDER_EFFECT_TIMEOUT_S = 8.0
+ORDER_RETRY_INTERVAL_S = 2.0
 # A change shows in the registry after a heartbeat and a reading of it.
-NOTICE_S = 2.0
+REGISTRY_LAG_S = 2.0
 # A domain that had no reclaimable engines is counted on again after this; it
 # has to outlast the pause between two tries.
-REFUSAL_LIFETIME_S = 3.0
+REFUSAL_TTL_S = 3.0
 # Engines enter themselves within three heartbeats of a common start; to count
 # before that would order engines in place of some that are on their way.
-SETTLE_S = 4.0
+STARTUP_SETTLE_S = 4.0
 
 
 @attrs.frozen
-class _Rest:
+class _PendingOrder:
     """An order that has its time, and the most engines seen since."""
 
     count: int
-    present: int
-    until_s: float
+    max_present: int
+    expires_s: float
 
-    def holds(self, wanted: WantedCount, present: int, now_s: float) -> bool:
+    def is_awaited(
+        self, wanted: WantedCount, present: int, now_s: float
+    ) -> bool:
         """Whether what was ordered is waited for.
 
         Once engines are taken away it is not: their domain would be without
         them for seconds.
         """
-        is_enough = wanted.count <= self.count and present >= self.present
-        return is_enough and now_s < self.until_s
+        is_enough = wanted.count <= self.count and present >= self.max_present
+        return is_enough and now_s < self.expires_s
 
 
 class EngineCountTask:
@@ -72,46 +74,46 @@
         self._changes = changes
         self._log = log
         self._plan = EnginePlan(EnginePlanSettings())
-        self._listed_s: float | None = None
-        self._rests: dict[tuple[str, str, bool], _Rest] = {}
+        self._first_listed_s: float | None = None
+        self._pending_orders: dict[tuple[str, str, bool], _PendingOrder] = {}
         # Domains in which no reclaimable engines were to be had, until when.
-        self._refusing: dict[tuple[str, str], float] = {}
+        self._refused_until_s: dict[tuple[str, str], float] = {}
 
     def run(self) -> None:
         """Compare for as long as the process lives."""
         while True:
-            sleep(CHECK_S)
+            sleep(CHECK_INTERVAL_S)
             # Known before the duty comes: a new holder acts at once.
-            self._note_listing()
+            self._record_first_listing()
             if self._duty.stamp is not None:
-                self._compare()
+                self._reconcile()
 
-    def _compare(self) -> None:
+    def _reconcile(self) -> None:
         configuration = self._knowledge.configuration
         if configuration is None:
             return
         for service in configuration.services.values():
             if service.engine is not None:
-                self._compare_service(service)
+                self._reconcile_service(service)
 
-    def _expect(
+    def _announce_changes(
         self, service: Service, wanted: WantedCount, present: int
     ) -> None:
         if wanted.is_reclaimable and not self._has_settled():
             # Those that come are followed by some that go.
             boot_s = service.scaling.boot_s if service.scaling else 0
-            self._changes.expect(boot_s + NOTICE_S)
+            self._changes.expect(boot_s + REGISTRY_LAG_S)
         elif not wanted.is_reclaimable and wanted.count < present:
-            self._changes.expect(NOTICE_S)
+            self._changes.expect(REGISTRY_LAG_S)
             # They leave room for more reclaimable ones than were ordered.
-            self._rests.pop((service.name, wanted.domain, True), None)
+            self._pending_orders.pop((service.name, wanted.domain, True), None)
 
-    def _need(self, service: str) -> FleetNeed:
+    def _fleet_need(self, service: str) -> FleetNeed:
         now_s = clock_s()
         refusing = [
             domain
-            for (name, domain), until_s in self._refusing.items()
-            if name == service and now_s < until_s
+            for (name, domain), expires_s in self._refused_until_s.items()
+            if name == service and now_s < expires_s
         ]
         demand = self._knowledge.demand.of_service(service, now_s)
         strain = self._strain(service)
@@ -121,45 +123,49 @@
     def _strain(self, service: str) -> Strain:
         return self._knowledge.watch_of(service).strain
 
-    def _note_listing(self) -> None:
-        if self._listed_s is None and self._knowledge.registry.is_known:
-            self._listed_s = clock_s()
+    def _record_first_listing(self) -> None:
+        if self._first_listed_s is None and self._knowledge.registry.is_known:
+            self._first_listed_s = clock_s()
 
     def _has_settled(self) -> bool:
-        if self._listed_s is None:
+        if self._first_listed_s is None:
             return False
-        return clock_s() - self._listed_s >= SETTLE_S
+        return clock_s() - self._first_listed_s >= STARTUP_SETTLE_S
 
-    def _compare_service(self, service: Service) -> None:
+    def _reconcile_service(self, service: Service) -> None:
         if service.scaling is None:
             return
         engines = self._knowledge.registry.of_service(service.name)
-        need = self._need(service.name)
+        need = self._fleet_need(service.name)
         for wanted in self._plan.wanted(service.scaling, engines, need):
             present = sum(
-                one.domain == wanted.domain
-                and one.is_reclaimable is wanted.is_reclaimable
-                for one in engines
+                engine.domain == wanted.domain
+                and engine.is_reclaimable is wanted.is_reclaimable
+                for engine in engines
             )
             if present == wanted.count:
                 continue
-            if not self._is_resting(service.name, wanted, present):
-                self._order(service, wanted, present)
+            if not self._is_pending(service.name, wanted, present):
+                self._send_order(service, wanted, present)
 
-    def _is_resting(
+    def _is_pending(
         self, service: str, wanted: WantedCount, present: int
     ) -> bool:
         if not wanted.is_reclaimable and not self._has_settled():
             return True
         key = (service, wanted.domain, wanted.is_reclaimable)
-        rest = self._rests.get(key)
-        if rest is None or not rest.holds(wanted, present, clock_s()):
+        pending = self._pending_orders.get(key)
+        if pending is None or not pending.is_awaited(
+            wanted, present, clock_s()
+        ):
             return False
-        if present > rest.present:
-            self._rests[key] = attrs.evolve(rest, present=present)
+        if present > pending.max_present:
+            self._pending_orders[key] = attrs.evolve(
+                pending, max_present=present
+            )
         return True
 
-    def _order(
+    def _send_order(
         self, service: Service, wanted: WantedCount, present: int
     ) -> None:
         stamp = self._duty.stamp
@@ -170,14 +176,20 @@
         )
         answer = self._client.order_targets(order, stamp)
         if answer.is_accepted:
-            self._expect(service, wanted, present)
+            self._announce_changes(service, wanted, present)
         if wanted.is_reclaimable and answer.outcome is DutyOutcome.REFUSED:
-            until_s = clock_s() + REFUSAL_LIFETIME_S
-            self._refusing[service.name, wanted.domain] = until_s
-        pause_s = COUNT_REST_S if answer.is_accepted else COUNT_RETRY_S
+            expires_s = clock_s() + REFUSAL_TTL_S
+            self._refused_until_s[service.name, wanted.domain] = expires_s
+        pause_s = (
+            ORDER_EFFECT_TIMEOUT_S
+            if answer.is_accepted
+            else ORDER_RETRY_INTERVAL_S
+        )
         key = (service.name, wanted.domain, wanted.is_reclaimable)
-        until_s = clock_s() + pause_s
-        self._rests[key] = _Rest(wanted.count, present, until_s)
+        expires_s = clock_s() + pause_s
+        self._pending_orders[key] = _PendingOrder(
+            wanted.count, present, expires_s
+        )
         self._log.decide(
             'engines.ordered',
             f'{service.name} in {wanted.domain}',
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -42,15 +42,15 @@
 )
 from dandelionyoke_gateway._change_signal import ChangeSignal
 from dandelionyoke_gateway._clock import clock_s, wall_s
-from dandelionyoke_gateway._line_turns import LineTurns
+from dandelionyoke_gateway._line_turns import QueueWaiters
 from dandelionyoke_gateway._settings import GatewaySettings
 
 # All nodes together may repeat only so much, and each spends its own part
 # without a word to the others. Until a node knows how many there are it takes
 # its part among this many; afterwards among half as many again as it knows.
-NODES_ASSUMED = 16
-NODES_MARGIN = 1.5
-SHARE_KEPT = 0.7
+ASSUMED_NODE_COUNT = 16
+NODE_COUNT_MARGIN = 1.5
+RETRY_SHARE_FACTOR = 0.7
 
 # One slow fetch is enough: to do without costs little, and each further one
 # makes a caller late. Engines that are gone leave the registry within seconds.
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class ServiceWatch:
+class ServiceState:
     """What this node saw of a service's engines and of the waits for them."""
 
     strain: Strain = attrs.field(factory=lambda: Strain(StrainSettings()))
@@ -93,11 +93,11 @@
     process_name: str
     listing: TargetListing
     sources: SourceChoice
-    sender: CountsSender
+    counts_sender: CountsSender
     limiter: FleetLimiter
-    receiver: CountsReceiver = attrs.field(factory=CountsReceiver)
+    counts_receiver: CountsReceiver = attrs.field(factory=CountsReceiver)
     signal: ChangeSignal = attrs.field(factory=ChangeSignal)
-    turns: LineTurns = attrs.field(factory=LineTurns)
+    waiters: QueueWaiters = attrs.field(factory=QueueWaiters)
     demand: FleetDemand = attrs.field(
         factory=lambda: FleetDemand(FleetDemandSettings())
     )
@@ -108,36 +108,40 @@
     # As the operator wrote it, compressed, for the nodes that ask this one.
     configuration_packed: bytes | None = None
     # When another node last asked this one, and last answered it.
-    asked_s: float = NEVER_S
-    told_s: float = NEVER_S
+    news_requested_s: float = NEVER_S
+    news_received_s: float = NEVER_S
     in_progress: int = 0
-    _watches: dict[str, ServiceWatch] = attrs.field(factory=dict)
+    _service_states: dict[str, ServiceState] = attrs.field(factory=dict)
 
-    def watch_of(self, service: str) -> ServiceWatch:
+    def watch_of(self, service: str) -> ServiceState:
         """Find what this node saw of a service."""
-        return self._watches.setdefault(service, ServiceWatch())
+        return self._service_states.setdefault(service, ServiceState())
 
     @property
-    def watches(self) -> Mapping[str, ServiceWatch]:
+    def service_states(self) -> Mapping[str, ServiceState]:
         """What this node saw of each service."""
-        return self._watches
+        return self._service_states
 
     def own_demand(self, now_s: float) -> DemandSample:
         """Sample the calls of this node."""
         return DemandSample(
-            1, tuple(self._demand_of(name, now_s) for name in self._watches)
+            1,
+            tuple(
+                self._service_demand(name, now_s)
+                for name in self._service_states
+            ),
         )
 
-    def _demand_of(self, service: str, now_s: float) -> ServiceDemand:
+    def _service_demand(self, service: str, now_s: float) -> ServiceDemand:
         streams = sum(
-            self.loads.own(one.target_id)
-            for one in self.registry.all_of_service(service)
-            if one.phase is Phase.DECODE
+            self.loads.own(target.target_id)
+            for target in self.registry.all_of_service(service)
+            if target.phase is Phase.DECODE
         )
-        watch = self.watch_of(service)
-        begun, slow = watch.strain.recent(now_s)
+        state = self.watch_of(service)
+        begun, slow = state.strain.recent(now_s)
         return ServiceDemand(
-            service, streams, begun, slow, watch.line.prompt_count
+            service, streams, begun, slow, state.line.prompt_count
         )
 
     def forget_targets(self, usable: frozenset[str]) -> None:
@@ -146,16 +150,16 @@
         Those that leave are listed until they are gone.
         """
         self.loads.forget(usable)
-        listed = frozenset(one.target_id for one in self.listing.targets)
+        listed = frozenset(target.target_id for target in self.listing.targets)
         self.fetches.forget(listed)
-        for watch in self._watches.values():
-            watch.line.forget(listed)
+        for state in self._service_states.values():
+            state.line.forget(listed)
 
     def take_node_count(self, count: int) -> None:
         """Take the number of nodes, this one included."""
         self.node_count = max(1, count)
-        nodes = NODES_MARGIN * self.node_count
-        self.budget.resize(self.settings.retry_extra / nodes)
+        assumed_count = NODE_COUNT_MARGIN * self.node_count
+        self.budget.resize(self.settings.retry_extra / assumed_count)
 
     @property
     def is_ready(self) -> bool:
@@ -177,7 +181,7 @@
     usage = UsageCounter(settings.usage_window_s, clock)
     incarnation = f'{random.getrandbits(PROCESS_NAME_BITS):012x}'
     process_name = f'{settings.instance_id}.{incarnation}'
-    extra = settings.retry_extra / NODES_ASSUMED
+    retry_reserve = settings.retry_extra / ASSUMED_NODE_COUNT
     return Knowledge(
         settings=settings,
         random=random,
@@ -189,8 +193,8 @@
             registry, loads, fetches, settings.domain, settings.instance_id
         ),
         budget=RetryBudget(
-            share=settings.retry_share * SHARE_KEPT,
-            reserve=extra,
+            share=settings.retry_share * RETRY_SHARE_FACTOR,
+            reserve=retry_reserve,
             refill_per_s=0,
         ),
         usage=usage,
@@ -200,7 +204,7 @@
         sources=SourceChoice(
             settings.instance_id, settings.domain, SourceSettings()
         ),
-        sender=CountsSender(process_name, usage),
+        counts_sender=CountsSender(process_name, usage),
         limiter=FleetLimiter(
             FleetLimiterSettings(
                 window_s=settings.limit_window_s,
--- a/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
@@ -68,18 +68,18 @@
             if wait_s > 0:
                 sleep(wait_s)
                 continue
-            self._ask()
+            self._poll_store()
 
-    def _ask(self) -> None:
-        asked_s = clock_s()
+    def _poll_store(self) -> None:
+        polled_s = clock_s()
         answer = self._follower.ask(self._reliance.watch_s)
         if isinstance(answer, StoreListing):
-            self._take(answer, asked_s)
+            self._apply(answer, polled_s)
         else:
-            self._fail(answer)
+            self._record_failure(answer)
             self._follower.pause()
 
-    def _take(self, listing: StoreListing, asked_s: float) -> None:
+    def _apply(self, listing: StoreListing, polled_s: float) -> None:
         if self._failing_since_s is not None:
             away_s = clock_s() - self._failing_since_s
             self._log.decide('store.regained', 'configuration', away_s=away_s)
@@ -87,9 +87,9 @@
         for item in listing.items:
             if item.key == self._key and item.value:
                 self._keeper.adopt(item.value, item.revision, 'store')
-        self._knowledge.freshness.prove(asked_s)
+        self._knowledge.freshness.prove(polled_s)
 
-    def _fail(self, answer: object) -> None:
+    def _record_failure(self, answer: object) -> None:
         if self._failing_since_s is None:
             self._failing_since_s = clock_s()
             cause = answer.cause if isinstance(answer, StoreFailed) else ''
@@ -113,7 +113,9 @@
         self._reliance = reliance
         self._dialect = dialect
         self._pace = pace
-        self._watch_s = pace.registry_watch_share * knowledge.settings.drain_s
+        self._watch_duration_s = (
+            pace.registry_watch_share * knowledge.settings.drain_s
+        )
         self._follower = StoreFollower(
             store,
             dialect.registry_prefix,
@@ -127,29 +129,29 @@
             if wait_s > 0:
                 sleep(wait_s)
                 continue
-            self._ask()
+            self._poll_store()
 
-    def _ask(self) -> None:
-        asked_s = clock_s()
-        answer = self._follower.ask(self._watch_s)
+    def _poll_store(self) -> None:
+        polled_s = clock_s()
+        answer = self._follower.ask(self._watch_duration_s)
         if isinstance(answer, StoreListing):
-            self._take_unless_overtaken(answer, asked_s)
+            self._apply_unless_stale(answer, polled_s)
         else:
             self._keeper.failed()
             self._follower.pause()
 
-    def _take_unless_overtaken(
-        self, listing: StoreListing, asked_s: float
+    def _apply_unless_stale(
+        self, listing: StoreListing, polled_s: float
     ) -> None:
         """Take a listing unless another node told something newer."""
         proven_s = self._knowledge.listing.proven_s
-        if proven_s is not None and proven_s > asked_s:
+        if proven_s is not None and proven_s > polled_s:
             self._follower.restart()
             return
-        self._take(listing, asked_s)
-        self._gather(asked_s)
+        self._apply(listing, polled_s)
+        self._wait_for_batch(polled_s)
 
-    def _take(self, listing: StoreListing, asked_s: float) -> None:
+    def _apply(self, listing: StoreListing, polled_s: float) -> None:
         prefix = self._dialect.registry_prefix
         # A key may change more than once within one answer; the last holds.
         newest: dict[str, RegisteredTarget | None] = {
@@ -158,17 +160,17 @@
             )
             for item in listing.items
         }
-        changed = [one for one in newest.values() if one is not None]
+        changed = [target for target in newest.values() if target is not None]
         if self._follower.was_whole:
-            self._keeper.replace(changed, asked_s)
+            self._keeper.replace(changed, polled_s)
         else:
-            gone = [name for name, one in newest.items() if one is None]
-            self._keeper.change(changed, gone, asked_s)
+            gone = [name for name, target in newest.items() if target is None]
+            self._keeper.change(changed, gone, polled_s)
 
-    def _gather(self, asked_s: float) -> None:
+    def _wait_for_batch(self, polled_s: float) -> None:
         """Gather changes that come one after the other into one answer."""
         drain_s = self._knowledge.settings.drain_s
-        pause_s = self._pace.registry_share * drain_s
-        left_s = asked_s + pause_s - clock_s()
-        if left_s > 0:
-            sleep(left_s * self._knowledge.random.uniform(0.9, 1))
+        interval_s = self._pace.registry_share * drain_s
+        remaining_s = polled_s + interval_s - clock_s()
+        if remaining_s > 0:
+            sleep(remaining_s * self._knowledge.random.uniform(0.9, 1))
--- a/packages/gateway/dandelionyoke_gateway/_line_turns.py
+++ b/packages/gateway/dandelionyoke_gateway/_line_turns.py
@@ -9,41 +9,44 @@
 
 
 @enum.unique
-class Turn(enum.Enum):
+class WaitResult(enum.Enum):
     """How a wait in line ended."""
 
-    GO = 'go'
-    OVER = 'over'
+    ADMITTED = 'go'
+    TIMED_OUT = 'over'
 
 
-class LineTurns:
+class QueueWaiters:
     """Wakes the calls that wait for an engine."""
 
     def __init__(self) -> None:
         self._waiters: dict[str, GreenEvent] = {}
 
-    def wait(self, turn_id: str, until_s: float) -> Turn:
+    def wait(self, turn_id: str, deadline_s: float) -> WaitResult:
         """Wait for a place, until a moment."""
         waiter = GreenEvent()
         self._waiters[turn_id] = waiter
         timer = eventlet.spawn_after(
-            max(0, until_s - clock_s()), _end, waiter, Turn.OVER
+            max(0, deadline_s - clock_s()),
+            _finish,
+            waiter,
+            WaitResult.TIMED_OUT,
         )
         try:
-            turn: Turn = waiter.wait()
+            result: WaitResult = waiter.wait()
         finally:
             timer.cancel()
             self._waiters.pop(turn_id, None)
-        return turn
+        return result
 
-    def give(self, turn_id: str) -> None:
+    def admit(self, turn_id: str) -> None:
         """Tell a call that it has a place now."""
         waiter = self._waiters.get(turn_id)
         if waiter is not None:
-            _end(waiter, Turn.GO)
+            _finish(waiter, WaitResult.ADMITTED)
 
 
-def _end(waiter: GreenEvent, turn: Turn) -> None:
+def _finish(waiter: GreenEvent, result: WaitResult) -> None:
     """End a wait, unless it ended otherwise at the same moment."""
     if not waiter.ready():
-        waiter.send(turn)
+        waiter.send(result)
--- a/packages/gateway/dandelionyoke_gateway/_member_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_member_task.py
@@ -22,9 +22,9 @@
 # A node that is gone is counted for so long. What depends on the number of
 # nodes allows for half as many again.
 MEMBER_TTL_S = 15.0
-INTERVAL_S = 5.0
+POLL_INTERVAL_S = 5.0
 # When all start together, the first looks find only a part of them.
-FIRST_INTERVAL_S = 1.2
+INITIAL_POLL_INTERVAL_S = 1.2
 
 
 class MemberTask:
@@ -34,11 +34,11 @@
         self,
         knowledge: Knowledge,
         store: Store,
-        tell: Callable[[tuple[str, ...]], None],
+        on_members: Callable[[tuple[str, ...]], None],
     ) -> None:
         self._knowledge = knowledge
         self._store = store
-        self._tell = tell
+        self._on_members = on_members
         self._records = LeasedRecords(store, MEMBER_TTL_S, renews=True)
 
     def run(self) -> None:
@@ -46,35 +46,35 @@
         settings = self._knowledge.settings
         key = f'{MEMBERS_PREFIX}{settings.instance_id}'
         endpoint = settings.peers
-        own = Member(
+        own_member = Member(
             settings.instance_id,
             settings.domain,
             f'{endpoint.host}:{endpoint.port}',
             settings.processors * settings.processor_share,
         )
-        pause_s = FIRST_INTERVAL_S
+        interval_s = INITIAL_POLL_INTERVAL_S
         while True:
-            self._records.keep(key, record_to_json(own))
-            self._count(own)
-            sleep(pause_s * self._knowledge.random.uniform(0.8, 1.2))
-            pause_s = min(INTERVAL_S, 2 * pause_s)
+            self._records.keep_alive(key, record_to_json(own_member))
+            self._refresh_members(own_member)
+            sleep(interval_s * self._knowledge.random.uniform(0.8, 1.2))
+            interval_s = min(POLL_INTERVAL_S, 2 * interval_s)
 
-    def _count(self, own: Member) -> None:
+    def _refresh_members(self, own_member: Member) -> None:
         # A count may be seconds old; such a read costs a tenth of another.
         answer = self._store.perform(
             StoreList(OperationId('members'), MEMBERS_PREFIX, may_be_old=True)
         )
         if not isinstance(answer, StoreListing):
             return
-        found = {
+        members = {
             member.instance_id: member
             for item in answer.items
             if (member := _read_member(item)) is not None
         }
-        found[own.instance_id] = own
-        self._knowledge.take_node_count(len(found))
-        self._knowledge.sources.take_members(found.values())
-        self._tell(tuple(sorted(found)))
+        members[own_member.instance_id] = own_member
+        self._knowledge.take_node_count(len(members))
+        self._knowledge.sources.take_members(members.values())
+        self._on_members(tuple(sorted(members)))
 
 
 def _read_member(item: StoreItem) -> Member | None:
--- a/packages/gateway/dandelionyoke_gateway/_news_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_desk.py
@@ -14,84 +14,84 @@
 )
 
 # No question is held for longer, whatever it asks for.
-LONGEST_HOLD_S = 2.0
+MAX_HOLD_S = 2.0
 # A larger configuration is read from the store by each node: sent to all of a
 # domain it would fill the link of a small machine (5 Mbit/s) for seconds.
-MOST_PACKED_BYTES = 16_384
+MAX_PACKED_BYTES = 16_384
 # More would not fit into a frame; its asker has to wait for the store.
-MOST_WANTED_BYTES = 900_000
+MAX_REQUESTED_BYTES = 900_000
 
 Send = Callable[[InstanceId, PeerMessage], bool]
 
 
-class NewsDesk:
+class NewsServer:
     """Holds each question until there is a change, or its time is over."""
 
     def __init__(self, knowledge: Knowledge, send: Send) -> None:
         self._knowledge = knowledge
         self._send = send
 
-    def answer(self, peer_id: InstanceId, asked: NewsAsked) -> None:
+    def handle_request(self, peer_id: InstanceId, request: NewsAsked) -> None:
         """Answer one question; returns when the answer was sent."""
         received_s = clock_s()
-        self._knowledge.asked_s = received_s
-        if asked.parcel is not None:
-            self._knowledge.receiver.take(asked.parcel)
-        if asked.demand is not None:
-            self._knowledge.demand.take(peer_id, asked.demand, received_s)
-        until_s = received_s + min(asked.hold_s, LONGEST_HOLD_S)
-        while not self._has_news(asked) and clock_s() < until_s:
-            self._knowledge.signal.wait(until_s - clock_s())
-        self._send(peer_id, self._told(asked, received_s))
+        self._knowledge.news_requested_s = received_s
+        if request.parcel is not None:
+            self._knowledge.counts_receiver.take(request.parcel)
+        if request.demand is not None:
+            self._knowledge.demand.take(peer_id, request.demand, received_s)
+        deadline_s = received_s + min(request.hold_s, MAX_HOLD_S)
+        while not self._has_news(request) and clock_s() < deadline_s:
+            self._knowledge.signal.wait(deadline_s - clock_s())
+        self._send(peer_id, self._build_answer(request, received_s))
 
-    def _has_news(self, asked: NewsAsked) -> bool:
+    def _has_news(self, request: NewsAsked) -> bool:
         knowledge = self._knowledge
-        if knowledge.configuration_revision > asked.configuration_revision:
+        if knowledge.configuration_revision > request.configuration_revision:
             return True
-        return asked.mark != knowledge.listing.mark
+        return request.mark != knowledge.listing.mark
 
-    def _told(self, asked: NewsAsked, received_s: float) -> NewsTold:
+    def _build_answer(self, request: NewsAsked, received_s: float) -> NewsTold:
         knowledge = self._knowledge
         return NewsTold(
-            asked.number,
-            self._configuration(asked, received_s),
-            self._targets(asked, received_s),
+            request.number,
+            self._configuration_news(request, received_s),
+            self._target_news(request, received_s),
             knowledge.crashes.notes(clock_s()),
-            knowledge.receiver.saved(asked.process),
-            self._demand(),
+            knowledge.counts_receiver.saved(request.process),
+            self._fleet_demand(),
         )
 
-    def _demand(self) -> DemandSample:
+    def _fleet_demand(self) -> DemandSample:
         knowledge, now_s = self._knowledge, clock_s()
         own_id = knowledge.settings.instance_id
         knowledge.demand.take(own_id, knowledge.own_demand(now_s), now_s)
         return knowledge.demand.total(now_s)
 
-    def _configuration(
-        self, asked: NewsAsked, received_s: float
+    def _configuration_news(
+        self, request: NewsAsked, received_s: float
     ) -> ConfigurationNews | None:
         proven_s = self._knowledge.freshness.proven_s
         if proven_s is None:
             return None
         revision = self._knowledge.configuration_revision
         packed = None
-        if asked.configuration_revision < revision:
-            packed = self._packed(asked.wants_configuration)
+        if request.configuration_revision < revision:
+            packed = self._packed_configuration(request.wants_configuration)
         return ConfigurationNews(revision, proven_s - received_s, packed)
 
-    def _packed(self, is_wanted: bool) -> bytes | None:
+    def _packed_configuration(self, is_requested: bool) -> bytes | None:
         packed = self._knowledge.configuration_packed
-        most_bytes = MOST_WANTED_BYTES if is_wanted else MOST_PACKED_BYTES
-        if packed is None or len(packed) > most_bytes:
+        max_bytes = MAX_REQUESTED_BYTES if is_requested else MAX_PACKED_BYTES
+        if packed is None or len(packed) > max_bytes:
             return None
         return packed
 
-    def _targets(
-        self, asked: NewsAsked, received_s: float
+    def _target_news(
+        self, request: NewsAsked, received_s: float
     ) -> TargetNews | None:
         listing = self._knowledge.listing
         if listing.proven_s is None:
             return None
         return TargetNews(
-            listing.proven_s - received_s, listing.since(asked.mark)
+            listing.proven_s - received_s, listing.since(request.mark)
         )
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -21,7 +21,7 @@
 from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
 from dandelionyoke_gateway._knowledge import NEVER_S, Knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import NewsDesk
+from dandelionyoke_gateway._news_desk import NewsServer
 from dandelionyoke_gateway._news_messages import (
     ConfigurationNews,
     NewsAsked,
@@ -37,12 +37,12 @@
 ANSWER_MARGIN_S = 0.4
 LINK_TIMEOUT_S = 0.4
 # An answer that cannot be used comes at once each time it is asked for.
-LEAST_CYCLE_S = 0.1
+MIN_POLL_INTERVAL_S = 0.1
 # While nobody is to be asked, it is looked again whether this has changed.
-IDLE_S = 0.25
+IDLE_INTERVAL_S = 0.25
 # A node whose answers are old for so long has lost the store. One that began
 # to ask the store more often because others ask it needs a second for that.
-STALE_S = 2.0
+STALE_TIMEOUT_S = 2.0
 
 
 class NewsTask:
@@ -67,12 +67,12 @@
         self._log = log
         self._inbox: LightQueue = LightQueue()
         self._linked: set[InstanceId] = set()
-        self._number = 0
+        self._request_number = 0
         self._mark: ListingMark | None = None
-        self._source = ''
+        self._source_id = ''
         self._wants_configuration = False
         self._stale_since_s: float | None = None
-        self._fetched_s = NEVER_S
+        self._last_fetch_s = NEVER_S
 
     def run(self, hub: PeerHub) -> None:
         """Ask for as long as the process lives."""
@@ -81,12 +81,12 @@
                 clock_s(), is_blind=self._reliance.is_blind(clock_s())
             )
             if member is None:
-                self._settle()
-                eventlet.sleep(IDLE_S)
+                self._stop_polling()
+                eventlet.sleep(IDLE_INTERVAL_S)
             else:
-                self._ask_member(hub, member)
+                self._poll_member(hub, member)
 
-    def take(self, desk: NewsDesk, event: Event) -> None:
+    def handle_event(self, server: NewsServer, event: Event) -> None:
         """Take what the links say."""
         match event:
             case PeerConnected(peer_id=peer_id):
@@ -94,71 +94,71 @@
             case PeerDisconnected(peer_id=peer_id):
                 self._linked.discard(peer_id)
             case PeerMessageArrived(
-                peer_id=peer_id, message=NewsAsked() as asked
+                peer_id=peer_id, message=NewsAsked() as request
             ):
-                eventlet.spawn_n(desk.answer, peer_id, asked)
+                eventlet.spawn_n(server.handle_request, peer_id, request)
                 return
         self._inbox.put(event)
 
-    def _settle(self) -> None:
+    def _stop_polling(self) -> None:
         """Ask nobody: save what others were to save."""
-        self._source = ''
+        self._source_id = ''
         self._stale_since_s = None
-        self._knowledge.sender.take_all_back()
+        self._knowledge.counts_sender.take_all_back()
         while not self._inbox.empty():
             self._inbox.get_nowait()
 
-    def _ask_member(self, hub: PeerHub, member: Member) -> None:
-        asked_s = clock_s()
-        told = self._ask(hub, member)
+    def _poll_member(self, hub: PeerHub, member: Member) -> None:
+        sent_s = clock_s()
+        answer = self._request_news(hub, member)
         now_s = clock_s()
-        if told is None:
+        if answer is None:
             self._knowledge.sources.suspect(member.instance_id, now_s)
-            self._knowledge.sender.take_all_back()
-            self._source = ''
+            self._knowledge.counts_sender.take_all_back()
+            self._source_id = ''
             self._log.decide(
                 'peer.silent',
                 member.instance_id,
                 outcome='passed over',
-                waited_s=now_s - asked_s,
+                waited_s=now_s - sent_s,
             )
             hub.disconnect(InstanceId(member.instance_id))
             return
-        self._take(told, member, asked_s)
-        self._judge(told, member, now_s - asked_s)
-        eventlet.sleep(max(0, asked_s + LEAST_CYCLE_S - clock_s()))
+        self._apply_answer(answer, member, sent_s)
+        self._check_staleness(answer, member, now_s - sent_s)
+        eventlet.sleep(max(0, sent_s + MIN_POLL_INTERVAL_S - clock_s()))
 
-    def _ask(self, hub: PeerHub, member: Member) -> NewsTold | None:
+    def _request_news(self, hub: PeerHub, member: Member) -> NewsTold | None:
         peer_id = InstanceId(member.instance_id)
-        if not self._link(hub, member):
+        if not self._ensure_link(hub, member):
             return None
-        if self._source != member.instance_id:
-            self._source = member.instance_id
+        if self._source_id != member.instance_id:
+            self._source_id = member.instance_id
             self._stale_since_s = None
             self._log.decide('peer.asked', member.instance_id)
-        self._number += 1
+        self._request_number += 1
         hold_s = self._reliance.hold_s
-        asked = NewsAsked(
-            self._number,
+        request = NewsAsked(
+            self._request_number,
             self._knowledge.process_name,
             hold_s,
             self._knowledge.configuration_revision,
             self._wants_configuration,
             self._mark,
-            self._knowledge.sender.pack(clock_s()),
+            self._knowledge.counts_sender.pack(clock_s()),
             self._knowledge.own_demand(clock_s()),
         )
-        if not hub.send(peer_id, asked):
+        if not hub.send(peer_id, request):
             return None
         return self._await_answer(clock_s() + hold_s + ANSWER_MARGIN_S)
 
-    def _link(self, hub: PeerHub, member: Member) -> bool:
+    def _ensure_link(self, hub: PeerHub, member: Member) -> bool:
         peer_id = InstanceId(member.instance_id)
         if peer_id in self._linked:
             return True
         eventlet.spawn_n(hub.connect, peer_id, f'ws://{member.address}/')
-        until_s = clock_s() + LINK_TIMEOUT_S
-        while (event := self._next(until_s)) is not None:
+        deadline_s = clock_s() + LINK_TIMEOUT_S
+        while (event := self._next_event(deadline_s)) is not None:
             if peer_id in self._linked:
                 return True
             if isinstance(event, PeerDisconnected):
@@ -166,60 +166,69 @@
                     return False
         return peer_id in self._linked
 
-    def _await_answer(self, until_s: float) -> NewsTold | None:
-        while (event := self._next(until_s)) is not None:
+    def _await_answer(self, deadline_s: float) -> NewsTold | None:
+        while (event := self._next_event(deadline_s)) is not None:
             if isinstance(event, PeerMessageArrived):
                 if self._is_answer(event.message):
                     return event.message
             elif isinstance(event, PeerDisconnected):
-                if event.peer_id == self._source:
+                if event.peer_id == self._source_id:
                     return None
         return None
 
     def _is_answer(self, message: PeerMessage) -> TypeGuard[NewsTold]:
-        return isinstance(message, NewsTold) and message.number == self._number
+        return (
+            isinstance(message, NewsTold)
+            and message.number == self._request_number
+        )
 
-    def _next(self, until_s: float) -> Event | None:
+    def _next_event(self, deadline_s: float) -> Event | None:
         try:
-            event: Event = self._inbox.get(timeout=max(0, until_s - clock_s()))
+            event: Event = self._inbox.get(
+                timeout=max(0, deadline_s - clock_s())
+            )
         except Empty:
             return None
         return event
 
     # Answers.
 
-    def _take(self, told: NewsTold, member: Member, asked_s: float) -> None:
+    def _apply_answer(
+        self, answer: NewsTold, member: Member, sent_s: float
+    ) -> None:
         knowledge = self._knowledge
-        knowledge.told_s = clock_s()
-        knowledge.sender.confirm(told.saved_parcel)
-        if told.demand is not None:
+        knowledge.news_received_s = clock_s()
+        knowledge.counts_sender.confirm(answer.saved_parcel)
+        if answer.demand is not None:
             knowledge.demand.take_sum(
-                member.instance_id, told.demand, clock_s()
+                member.instance_id, answer.demand, clock_s()
             )
-        for note in told.crashes:
+        for note in answer.crashes:
             seen_s = clock_s() - note.age_s
             knowledge.crashes.crashed(note.call, note.target_id, seen_s)
-        if told.targets is not None:
+        if answer.targets is not None:
             is_taken = self._registry.take_news(
-                told.targets.changes,
-                asked_s + told.targets.proven_after_s,
+                answer.targets.changes,
+                sent_s + answer.targets.proven_after_s,
                 member.instance_id,
             )
             if is_taken:
-                self._mark = told.targets.changes.mark
-        self._take_configuration(told, member, asked_s)
+                self._mark = answer.targets.changes.mark
+        self._apply_configuration(answer, member, sent_s)
 
-    def _take_configuration(
-        self, told: NewsTold, member: Member, asked_s: float
+    def _apply_configuration(
+        self, answer: NewsTold, member: Member, sent_s: float
     ) -> None:
-        news = told.configuration
+        news = answer.configuration
         if news is None:
             return
         if news.revision > self._knowledge.configuration_revision:
-            self._fetch(news, member.instance_id)
-        self._configurations.prove(news.revision, asked_s + news.proven_after_s)
+            self._fetch_configuration(news, member.instance_id)
+        self._configurations.prove(news.revision, sent_s + news.proven_after_s)
 
-    def _fetch(self, news: ConfigurationNews, source: str) -> None:
+    def _fetch_configuration(
+        self, news: ConfigurationNews, source: str
+    ) -> None:
         """Read the newest configuration.
 
         A large one is not told to all but read from the store; where that
@@ -231,41 +240,43 @@
             )
             self._wants_configuration = False
             return
-        self._await_fetch()
+        self._await_fetch_slot()
         read_s = clock_s()
-        found = self._store.perform(
+        item = self._store.perform(
             StoreGet(
                 OperationId('configuration'), self._dialect.configuration_key
             )
         )
-        if isinstance(found, StoreItem) and found.value:
-            self._configurations.adopt(found.value, found.revision, 'store')
-            self._configurations.prove(found.revision, read_s)
+        if isinstance(item, StoreItem) and item.value:
+            self._configurations.adopt(item.value, item.revision, 'store')
+            self._configurations.prove(item.revision, read_s)
             self._wants_configuration = False
         else:
             self._wants_configuration = True
 
-    def _await_fetch(self) -> None:
+    def _await_fetch_slot(self) -> None:
         """Wait until the store may be read again.
 
         In a storm of changes each node would read each of them, and only the
         newest one counts.
         """
-        due_s = self._fetched_s + self._reliance.fetch_interval_s
+        due_s = self._last_fetch_s + self._reliance.fetch_interval_s
         eventlet.sleep(max(0, due_s - clock_s()))
-        self._fetched_s = clock_s()
+        self._last_fetch_s = clock_s()
 
-    def _judge(self, told: NewsTold, member: Member, took_s: float) -> None:
+    def _check_staleness(
+        self, answer: NewsTold, member: Member, elapsed_s: float
+    ) -> None:
         """Pass a node over whose answers stay old."""
-        if self._reliance.is_new(told, took_s):
+        if self._reliance.is_fresh(answer, elapsed_s):
             self._stale_since_s = None
             return
         now_s = clock_s()
         if self._stale_since_s is None:
             self._stale_since_s = now_s
-        elif now_s - self._stale_since_s > STALE_S:
+        elif now_s - self._stale_since_s > STALE_TIMEOUT_S:
             self._knowledge.sources.suspect(member.instance_id, now_s)
-            self._knowledge.sender.take_all_back()
+            self._knowledge.counts_sender.take_all_back()
             self._log.decide(
                 'peer.stale', member.instance_id, outcome='passed over'
             )
--- a/packages/gateway/dandelionyoke_gateway/_phase_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_phase_task.py
@@ -24,23 +24,23 @@
     PhaseOrder,
 )
 
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 # An engine that took an order says so in the registry within a heartbeat,
 # the registry's lag and the switch itself; until then its new phase is
 # assumed.
-ORDER_REST_S = 5.0
-ORDER_RETRY_S = 1.5
+ORDER_EFFECT_TIMEOUT_S = 5.0
+ORDER_RETRY_INTERVAL_S = 1.5
 # Of the calls that wait at an engine, those that count as streams: a share
 # of its slots.
-WAITING_SHARE = 0.25
+WAITING_STREAM_SHARE = 0.25
 
 
 @attrs.frozen
-class _Assumed:
+class _AssumedPhase:
     """The phase that an engine is taken to have, until when."""
 
     phase: Phase
-    until_s: float
+    expires_s: float
 
 
 class FleetChanges:
@@ -53,12 +53,12 @@
     def __init__(self) -> None:
         self._until_s = 0.0
 
-    def expect(self, for_s: float) -> None:
+    def expect(self, duration_s: float) -> None:
         """Note that engines will come or go for so long."""
-        self._until_s = max(self._until_s, clock_s() + for_s)
+        self._until_s = max(self._until_s, clock_s() + duration_s)
 
     @property
-    def under_way(self) -> bool:
+    def in_progress(self) -> bool:
         """Whether engines are still coming or going."""
         return clock_s() < self._until_s
 
@@ -82,44 +82,44 @@
         self._changes = changes
         self._log = log
         self._plans: dict[str, PhasePlan] = {}
-        self._assumed: dict[str, _Assumed] = {}
+        self._assumed_phases: dict[str, _AssumedPhase] = {}
 
     def run(self) -> None:
         """Compare for as long as the process lives."""
         while True:
-            sleep(CHECK_S)
-            self._compare()
+            sleep(CHECK_INTERVAL_S)
+            self._reconcile()
 
-    def _compare(self) -> None:
+    def _reconcile(self) -> None:
         configuration = self._knowledge.configuration
         if configuration is None:
             return
         for service in configuration.services.values():
             if service.engine is not None:
-                self._compare_service(service.name)
+                self._reconcile_service(service.name)
 
-    def _compare_service(self, service: str) -> None:
+    def _reconcile_service(self, service: str) -> None:
         now_s = clock_s()
         # Those that crashed make no tokens, although the registry still
         # lists them: others have to take their place now.
         registered = [
-            one
-            for one in self._knowledge.registry.of_service(service)
-            if not self._knowledge.loads.is_lost(one.target_id, now_s)
+            target
+            for target in self._knowledge.registry.of_service(service)
+            if not self._knowledge.loads.is_lost(target.target_id, now_s)
         ]
-        engines = self._with_assumed(registered, now_s)
+        engines = self._with_assumed_phases(registered, now_s)
         settled = frozenset(
-            one.target_id
-            for one, told in zip(engines, registered, strict=True)
-            if one.phase is told.phase
+            target.target_id
+            for target, reported in zip(engines, registered, strict=True)
+            if target.phase is reported.phase
         )
         phases = {engine.phase for engine in engines}
         has_both = {Phase.PREFILL, Phase.DECODE} <= phases
-        waits = has_both and self._changes.under_way
+        is_deferring = has_both and self._changes.in_progress
         plan = self._plans.setdefault(
             service, PhasePlan(PhasePlanSettings(), BalancedSplit())
         )
-        load = self._load(service, engines, settled, now_s)
+        load = self._phase_load(service, engines, settled, now_s)
         if self._duty.stamp is None:
             # A new holder knows how much there was to do of late.
             plan.observe(load, now_s)
@@ -127,39 +127,39 @@
         for change in plan.changes(engines, load, now_s, settled):
             if self._duty.stamp is None:
                 break
-            if waits and not change.target.is_reclaimable:
+            if is_deferring and not change.target.is_reclaimable:
                 continue
-            self._assume(change, ORDER_RETRY_S)
-            spawn_n(self._send, change, plan)
+            self._assume(change, ORDER_RETRY_INTERVAL_S)
+            spawn_n(self._send_order, change, plan)
 
-    def _with_assumed(
+    def _with_assumed_phases(
         self, engines: Sequence[RegisteredTarget], now_s: float
     ) -> list[RegisteredTarget]:
-        self._assumed = {
+        self._assumed_phases = {
             target_id: assumed
-            for target_id, assumed in self._assumed.items()
-            if now_s < assumed.until_s
+            for target_id, assumed in self._assumed_phases.items()
+            if now_s < assumed.expires_s
         }
-        found = []
+        updated = []
         for engine in engines:
-            assumed = self._assumed.get(engine.target_id)
+            assumed = self._assumed_phases.get(engine.target_id)
             if assumed is not None:
                 engine = attrs.evolve(engine, phase=assumed.phase)
-            found.append(engine)
-        return found
+            updated.append(engine)
+        return updated
 
-    def _assume(self, change: PhaseChange, for_s: float) -> None:
-        self._assumed[change.target.target_id] = _Assumed(
-            change.phase, clock_s() + for_s
+    def _assume(self, change: PhaseChange, duration_s: float) -> None:
+        self._assumed_phases[change.target.target_id] = _AssumedPhase(
+            change.phase, clock_s() + duration_s
         )
 
-    def _send(self, change: PhaseChange, plan: PhasePlan) -> None:
+    def _send_order(self, change: PhaseChange, plan: PhasePlan) -> None:
         target = change.target
         report = self._engines.read_report(target)
         if report is None or report.is_busy_with_order:
             return
         if report.phase is change.phase:
-            self._assume(change, ORDER_REST_S)
+            self._assume(change, ORDER_EFFECT_TIMEOUT_S)
             return
         stamp = self._duty.stamp
         if stamp is None:
@@ -167,7 +167,7 @@
         order = PhaseOrder(target, change.phase, report.order_count)
         answer = self._client.order_phase(order, stamp)
         if answer.is_accepted:
-            self._assume(change, ORDER_REST_S)
+            self._assume(change, ORDER_EFFECT_TIMEOUT_S)
         self._log.decide(
             'engine.ordered',
             target.target_id,
@@ -182,7 +182,7 @@
             order_count=order.expected_order_count,
         )
 
-    def _load(
+    def _phase_load(
         self,
         service: str,
         engines: Sequence[RegisteredTarget],
@@ -198,14 +198,14 @@
         expected = self._knowledge.demand.expected(
             service, self._knowledge.node_count, now_s
         )
-        decode = [one for one in engines if one.phase is Phase.DECODE]
-        most = (1 + WAITING_SHARE) * sum(
-            one.slots for one in decode if one.target_id in settled
+        decode = [target for target in engines if target.phase is Phase.DECODE]
+        max_streams = (1 + WAITING_STREAM_SHARE) * sum(
+            target.slots for target in decode if target.target_id in settled
         )
-        streams = self._streams(decode, expected.streams, now_s)
-        return PhaseLoad(min(streams, most), expected.prompts)
+        streams = self._count_streams(decode, expected.streams, now_s)
+        return PhaseLoad(min(streams, max_streams), expected.prompts)
 
-    def _streams(
+    def _count_streams(
         self,
         decode: Sequence[RegisteredTarget],
         expected: float,
@@ -219,13 +219,15 @@
         if not decode:
             return 0
         loads = self._knowledge.loads
-        told = sum(loads.is_told(one.target_id, now_s) for one in decode)
-        seen = sum(
+        reported = sum(
+            loads.is_told(target.target_id, now_s) for target in decode
+        )
+        observed = sum(
             min(
-                loads.busy(one.target_id, now_s),
-                one.slots * (1 + WAITING_SHARE),
+                loads.busy(target.target_id, now_s),
+                target.slots * (1 + WAITING_STREAM_SHARE),
             )
-            for one in decode
+            for target in decode
         )
-        untold_share = 1 - told / len(decode)
-        return seen + untold_share * max(0, expected - seen)
+        unreported_share = 1 - reported / len(decode)
+        return observed + unreported_share * max(0, expected - observed)
--- a/packages/gateway/dandelionyoke_gateway/_prefill_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_links.py
@@ -21,43 +21,45 @@
     def __init__(
         self,
         queue: DomainPrefillQueue,
-        local: LocalPrefillQueue,
+        local_queue: LocalPrefillQueue,
         loads: TargetLoads,
         log: DecisionLog,
     ) -> None:
         self._queue = queue
-        self._local = local
+        self._local_queue = local_queue
         self._loads = loads
         self._log = log
         self._server: PrefillServer | None = None
 
     def attach(self, send: Send) -> None:
         """Take how messages leave, once there are links."""
-        self._server = PrefillServer(self._local, self._loads, send, self._log)
+        self._server = PrefillServer(
+            self._local_queue, self._loads, send, self._log
+        )
         self._queue.attach(send)
 
-    def take(self, event: Event) -> bool:
+    def handle_event(self, event: Event) -> bool:
         """Take an event of the links; tell whether it was for this part."""
         server = self._server
         if server is None:
             return False
         match event:
             case PeerDisconnected(peer_id=peer_id):
-                self._queue.lost(peer_id)
-                server.lost(peer_id)
+                self._queue.handle_disconnect(peer_id)
+                server.handle_disconnect(peer_id)
                 return False
             case PeerMessageArrived(
-                peer_id=peer_id, message=PrefillAsked() as asked
+                peer_id=peer_id, message=PrefillAsked() as request
             ):
-                server.asked(peer_id, asked)
+                server.handle_request(peer_id, request)
             case PeerMessageArrived(
-                peer_id=peer_id, message=PrefillEnded() as ended
+                peer_id=peer_id, message=PrefillEnded() as end
             ):
-                server.ended(peer_id, ended)
-            case PeerMessageArrived(message=TargetFailed() as failed):
-                server.failed(failed)
-            case PeerMessageArrived(message=PrefillTold() as told):
-                self._queue.told(told)
+                server.handle_end(peer_id, end)
+            case PeerMessageArrived(message=TargetFailed() as failure):
+                server.handle_failure(failure)
+            case PeerMessageArrived(message=PrefillTold() as response):
+                self._queue.handle_response(response)
             case _:
                 return False
         return True
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -13,15 +13,15 @@
     ReadingLine,
 )
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._knowledge import Knowledge, ServiceWatch
-from dandelionyoke_gateway._line_turns import Turn
+from dandelionyoke_gateway._knowledge import Knowledge, ServiceState
+from dandelionyoke_gateway._line_turns import WaitResult
 
 # A prefill that ends by this share of the goal leaves the rest of it for the
 # transfer of the cache and the first token.
-BEGUN_SHARE = 0.8
+PREFILL_GOAL_SHARE = 0.8
 # Prompts so long that no engine reads them within the goal would come last
 # in each burst; they count as in time for this share of it.
-LARGE_PROMPT_SHARE = 0.3
+LARGE_PROMPT_GOAL_SHARE = 0.3
 
 
 class TooLateError(Exception):
@@ -97,13 +97,13 @@
 
     def __init__(self, knowledge: Knowledge) -> None:
         self._knowledge = knowledge
-        self._numbers = itertools.count(1)
+        self._ticket_numbers = itertools.count(1)
 
     def enter(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine."""
-        return self.await_place(self.join(request))
+        return self.await_grant(self.enqueue(request))
 
-    def join(self, request: PrefillRequest) -> QueuedPrefill:
+    def enqueue(self, request: PrefillRequest) -> QueuedPrefill:
         """Enter the queue, or learn at once that this is of no use.
 
         Raises:
@@ -112,14 +112,14 @@
         engines = self._knowledge.placement.readers(
             request.service, request.avoid, clock_s()
         )
-        ticket, line = self._ticket(request), self._line(request)
-        line.lost(self._lost())
-        entry = line.enter(ticket, engines, clock_s())
+        ticket, queue = self._build_ticket(request), self._queue(request)
+        queue.lost(self._lost_targets())
+        entry = queue.enter(ticket, engines, clock_s())
         if entry is Entry.TOO_LATE:
             raise self._too_late(request)
         return QueuedPrefill(request, ticket, entry)
 
-    def await_place(self, queued: QueuedPrefill) -> PrefillGrant:
+    def await_grant(self, queued: QueuedPrefill) -> PrefillGrant:
         """Wait for the turn of a request, and choose its engine then.
 
         One that was chosen before might have left meanwhile.
@@ -129,87 +129,92 @@
         """
         ticket, request = queued.ticket, queued.request
         try:
-            is_given = queued.entry is Entry.GO or self._wait(queued)
+            is_admitted = queued.entry is Entry.GO or self._await_turn(queued)
         except BaseException:
-            self.withdraw(queued)
+            self.cancel(queued)
             raise
-        if not is_given:
-            self.withdraw(queued)
+        if not is_admitted:
+            self.cancel(queued)
             raise self._too_late(request)
-        return PrefillGrant(request, ticket.turn_id, self._place(queued))
+        return PrefillGrant(
+            request, ticket.turn_id, self._choose_engine(queued)
+        )
 
-    def withdraw(self, queued: QueuedPrefill) -> None:
+    def cancel(self, queued: QueuedPrefill) -> None:
         """Leave the queue without a prefill."""
-        self._give_back(queued.request, queued.ticket.turn_id, None)
+        self._release(queued.request, queued.ticket.turn_id, None)
 
     def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Give a place back, and learn from the time that it took."""
-        self._give_back(grant.request, grant.turn_id, result.read_s)
+        self._release(grant.request, grant.turn_id, result.read_s)
         if result.read_s is not None:
-            pace = self._watch(grant.request).pace
+            pace = self._service_state(grant.request).pace
             pace.took(grant.request.prompt, result.read_s)
 
-    def _wait(self, queued: QueuedPrefill) -> bool:
+    def _await_turn(self, queued: QueuedPrefill) -> bool:
         """Wait; False if the request is late and would wait in vain."""
-        ticket, turns = queued.ticket, self._knowledge.turns
-        line = self._line(queued.request)
-        if turns.wait(ticket.turn_id, ticket.in_time_until_s) is Turn.GO:
+        ticket, waiters = queued.ticket, self._knowledge.waiters
+        queue = self._queue(queued.request)
+        if (
+            waiters.wait(ticket.turn_id, ticket.in_time_until_s)
+            is WaitResult.ADMITTED
+        ):
             return True
-        if line.is_reading(ticket.turn_id):
+        if queue.is_reading(ticket.turn_id):
             return True
-        if not line.stays(ticket.turn_id, clock_s()):
+        if not queue.stays(ticket.turn_id, clock_s()):
             return False
-        turn = turns.wait(ticket.turn_id, ticket.useful_until_s)
-        return turn is Turn.GO or line.is_reading(ticket.turn_id)
+        result = waiters.wait(ticket.turn_id, ticket.useful_until_s)
+        return result is WaitResult.ADMITTED or queue.is_reading(ticket.turn_id)
 
-    def _place(self, queued: QueuedPrefill) -> PrefillHome | None:
-        request, watch = queued.request, self._watch(queued.request)
+    def _choose_engine(self, queued: QueuedPrefill) -> PrefillHome | None:
+        request, state = queued.request, self._service_state(queued.request)
         home = self._knowledge.placement.prefill_home(
             request.service,
             request.prompt,
-            watch.pace,
-            watch.line,
+            state.pace,
+            state.line,
             request.avoid,
             clock_s(),
         )
         if home is not None:
             target_id = home.target.target_id
-            watch.line.placed(queued.ticket.turn_id, target_id, clock_s())
+            state.line.placed(queued.ticket.turn_id, target_id, clock_s())
         return home
 
-    def _ticket(self, request: PrefillRequest) -> LineTicket:
+    def _build_ticket(self, request: PrefillRequest) -> LineTicket:
         tokens = request.prompt.token_count
-        pace = self._watch(request).pace
+        pace = self._service_state(request).pace
         read_s = pace.found.expected_s(tokens) or 0.0
-        spare_s = max(
-            BEGUN_SHARE * request.goal_s - read_s,
-            LARGE_PROMPT_SHARE * request.goal_s,
+        max_wait_s = max(
+            PREFILL_GOAL_SHARE * request.goal_s - read_s,
+            LARGE_PROMPT_GOAL_SHARE * request.goal_s,
         )
         return LineTicket(
-            turn_id=str(next(self._numbers)),
+            turn_id=str(next(self._ticket_numbers)),
             rank=request.rank,
             arrived_s=request.arrived_s,
-            in_time_until_s=request.arrived_s + spare_s,
+            in_time_until_s=request.arrived_s + max_wait_s,
             useful_until_s=request.useful_until_s,
             tokens=tokens,
         )
 
-    def _give_back(
+    def _release(
         self, request: PrefillRequest, turn_id: str, read_s: float | None
     ) -> None:
-        line = self._line(request)
-        line.lost(self._lost())
-        for following in line.leave(turn_id, read_s, clock_s()):
-            self._knowledge.turns.give(following)
+        queue = self._queue(request)
+        queue.lost(self._lost_targets())
+        for admitted_id in queue.leave(turn_id, read_s, clock_s()):
+            self._knowledge.waiters.admit(admitted_id)
 
-    def _lost(self) -> frozenset[str]:
+    def _lost_targets(self) -> frozenset[str]:
         return frozenset(self._knowledge.loads.lost(clock_s()))
 
     def _too_late(self, request: PrefillRequest) -> TooLateError:
-        return TooLateError(self._line(request).retry_after_s())
+        return TooLateError(self._queue(request).retry_after_s())
 
-    def _watch(self, request: PrefillRequest) -> ServiceWatch:
+    def _service_state(self, request: PrefillRequest) -> ServiceState:
         return self._knowledge.watch_of(request.service)
 
-    def _line(self, request: PrefillRequest) -> ReadingLine:
-        return self._watch(request).line
+    def _queue(self, request: PrefillRequest) -> ReadingLine:
+        return self._service_state(request).line
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -32,15 +32,15 @@
 
 # A place whose end is not told is free again this long after its prefill is
 # of no use: the node that had it is gone or cut off.
-END_MARGIN_S = 1.0
+RELEASE_MARGIN_S = 1.0
 # More do not fit into the part of a small machine's link that control may use.
-MOST_SUSPECTS = 32
+MAX_SUSPECTS = 32
 
-Key = tuple[InstanceId, int]
+RequestKey = tuple[InstanceId, int]
 
 
 @attrs.frozen
-class _Waiting:
+class _WaitingRequest:
     queued: QueuedPrefill
     thread: GreenThread
 
@@ -59,72 +59,74 @@
         self._loads = loads
         self._log = log
         self._send = send
-        self._granted: dict[Key, PrefillGrant] = {}
-        self._waiting: dict[Key, _Waiting] = {}
+        self._granted: dict[RequestKey, PrefillGrant] = {}
+        self._waiting: dict[RequestKey, _WaitingRequest] = {}
 
-    def asked(self, peer_id: InstanceId, asked: PrefillAsked) -> None:
+    def handle_request(
+        self, peer_id: InstanceId, request: PrefillAsked
+    ) -> None:
         """Answer a question; one that has to wait is answered again later."""
-        key = (peer_id, asked.number)
+        key = (peer_id, request.number)
         if (
-            not asked.is_possible
+            not request.is_possible
             or key in self._waiting
             or key in self._granted
         ):
             self._log.decide(
                 'placing.dropped',
-                f'{peer_id}.{asked.number}',
+                f'{peer_id}.{request.number}',
                 outcome='not answered',
-                tokens=asked.token_count,
+                tokens=request.token_count,
             )
             return
         try:
-            queued = self._queue.join(_request(asked))
-        except TooLateError as late:
-            self._refuse(key, late)
+            queued = self._queue.enqueue(_build_prefill(request))
+        except TooLateError as error:
+            self._refuse(key, error)
             return
         if queued.entry is Entry.GO:
-            self._grant(key, self._queue.await_place(queued))
+            self._grant(key, self._queue.await_grant(queued))
             return
-        thread = eventlet.spawn(self._await_place, key, queued)
+        thread = eventlet.spawn(self._await_grant, key, queued)
         # Known before the thread runs: the next message may end its wait.
-        self._waiting[key] = _Waiting(queued, thread)
-        eventlet.spawn_n(self._tell_waiting, key)
+        self._waiting[key] = _WaitingRequest(queued, thread)
+        eventlet.spawn_n(self._send_queued, key)
 
-    def ended(self, peer_id: InstanceId, ended: PrefillEnded) -> None:
+    def handle_end(self, peer_id: InstanceId, message: PrefillEnded) -> None:
         """Take a place back, or end the wait of a caller that left."""
-        key = (peer_id, ended.number)
+        key = (peer_id, message.number)
         waiting = self._waiting.pop(key, None)
         if waiting is not None:
             waiting.thread.kill()
-            self._queue.withdraw(waiting.queued)
-        self._free(key, PrefillResult(ended.read_s))
+            self._queue.cancel(waiting.queued)
+        self._release(key, PrefillResult(message.read_s))
 
-    def lost(self, peer_id: InstanceId) -> None:
+    def handle_disconnect(self, peer_id: InstanceId) -> None:
         """Take all places of a node back that cannot tell their ends."""
         keys = [*self._waiting, *self._granted]
-        for owner, number in keys:
-            if owner == peer_id:
-                self.ended(peer_id, PrefillEnded(number))
+        for owner_id, number in keys:
+            if owner_id == peer_id:
+                self.handle_end(peer_id, PrefillEnded(number))
 
-    def _await_place(self, key: Key, queued: QueuedPrefill) -> None:
+    def _await_grant(self, key: RequestKey, queued: QueuedPrefill) -> None:
         try:
-            grant = self._queue.await_place(queued)
-        except TooLateError as late:
+            grant = self._queue.await_grant(queued)
+        except TooLateError as error:
             self._waiting.pop(key, None)
-            self._refuse(key, late)
+            self._refuse(key, error)
             return
         self._waiting.pop(key, None)
         self._grant(key, grant)
 
-    def _tell_waiting(self, key: Key) -> None:
+    def _send_queued(self, key: RequestKey) -> None:
         """Tell a node that its question is queued, while it is."""
         peer_id, number = key
-        told = PrefillTold(number, PrefillVerdict.QUEUED)
+        response = PrefillTold(number, PrefillVerdict.QUEUED)
         while key in self._waiting:
-            self._send(peer_id, told)
+            self._send(peer_id, response)
             eventlet.sleep(QUEUED_INTERVAL_S)
 
-    def _grant(self, key: Key, grant: PrefillGrant) -> None:
+    def _grant(self, key: RequestKey, grant: PrefillGrant) -> None:
         peer_id, number = key
         home = grant.home
         if home is None:
@@ -134,56 +136,56 @@
             return
         self._granted[key] = grant
         source_id = '' if home.source is None else home.source.target_id
-        told = PrefillTold(
+        response = PrefillTold(
             number,
             PrefillVerdict.GRANTED,
             home.target.target_id,
             source_id,
-            suspects=self._suspects(),
+            suspects=self._suspected_targets(),
         )
-        if not self._send(peer_id, told):
-            self._free(key, PrefillResult())
+        if not self._send(peer_id, response):
+            self._release(key, PrefillResult())
             return
-        end_s = grant.request.useful_until_s + END_MARGIN_S
+        expires_s = grant.request.useful_until_s + RELEASE_MARGIN_S
         eventlet.spawn_after(
-            max(0, end_s - clock_s()), self._free, key, PrefillResult()
+            max(0, expires_s - clock_s()), self._release, key, PrefillResult()
         )
 
-    def _suspects(self) -> tuple[str, ...]:
-        return tuple(self._loads.resting(clock_s())[:MOST_SUSPECTS])
+    def _suspected_targets(self) -> tuple[str, ...]:
+        return tuple(self._loads.resting(clock_s())[:MAX_SUSPECTS])
 
-    def _free(self, key: Key, result: PrefillResult) -> None:
+    def _release(self, key: RequestKey, result: PrefillResult) -> None:
         grant = self._granted.pop(key, None)
         if grant is not None:
             self._queue.leave(grant, result)
         if grant is not None and grant.home and result.read_s is not None:
             self._loads.succeeded(grant.home.target.target_id)
 
-    def failed(self, failed: TargetFailed) -> None:
+    def handle_failure(self, message: TargetFailed) -> None:
         """Take a failure that a call of another node met."""
-        self._loads.told(failed.target_id, failed.failure, clock_s())
+        self._loads.told(message.target_id, message.failure, clock_s())
 
-    def _refuse(self, key: Key, late: TooLateError) -> None:
+    def _refuse(self, key: RequestKey, error: TooLateError) -> None:
         peer_id, number = key
-        told = PrefillTold(
-            number, PrefillVerdict.TOO_LATE, retry_after_s=late.retry_after_s
+        response = PrefillTold(
+            number, PrefillVerdict.TOO_LATE, retry_after_s=error.retry_after_s
         )
-        self._send(peer_id, told)
+        self._send(peer_id, response)
 
 
-def _request(asked: PrefillAsked) -> PrefillRequest:
+def _build_prefill(request: PrefillAsked) -> PrefillRequest:
     now_s = clock_s()
-    own_tokens = max(0, asked.token_count - asked.shared_tokens)
+    unshared_tokens = max(0, request.token_count - request.shared_tokens)
     parts = (
-        PromptPart(asked.shared_key, asked.shared_tokens),
-        PromptPart('', own_tokens),
+        PromptPart(request.shared_key, request.shared_tokens),
+        PromptPart('', unshared_tokens),
     )
     return PrefillRequest(
-        service=asked.service,
-        prompt=Prompt('', asked.token_count, 0, parts),
-        rank=asked.rank,
-        arrived_s=now_s - asked.age_s,
-        goal_s=asked.goal_s,
-        useful_until_s=now_s + asked.useful_s,
-        avoid=frozenset(asked.avoid),
+        service=request.service,
+        prompt=Prompt('', request.token_count, 0, parts),
+        rank=request.rank,
+        arrived_s=now_s - request.age_s,
+        goal_s=request.goal_s,
+        useful_until_s=now_s + request.useful_s,
+        avoid=frozenset(request.avoid),
     )
--- a/packages/gateway/dandelionyoke_gateway/_rate_limits.py
+++ b/packages/gateway/dandelionyoke_gateway/_rate_limits.py
@@ -30,9 +30,9 @@
 # A sound node of the domain answers within milliseconds.
 ANSWER_TIMEOUT_S = 0.15
 # A call below this share of the burst is let in without a question.
-ASKED_SHARE = 0.01
+SMALL_CALL_SHARE = 0.01
 REPORT_INTERVAL_S = 0.2
-NUMBER_BITS = 48
+REQUEST_NUMBER_BITS = 48
 
 
 @attrs.frozen
@@ -86,9 +86,9 @@
         self._log = log
         self._source = DomainSource(knowledge)
         # Another process of this instance may have open questions there.
-        first_number = knowledge.random.getrandbits(NUMBER_BITS)
-        self._numbers = itertools.count(first_number)
-        self._answers: dict[int, LightQueue] = {}
+        first_number = knowledge.random.getrandbits(REQUEST_NUMBER_BITS)
+        self._request_numbers = itertools.count(first_number)
+        self._responses: dict[int, LightQueue] = {}
         self._unreported: defaultdict[str, float] = defaultdict(float)
         self._over_until_s: dict[str, float] = {}
 
@@ -120,42 +120,42 @@
     def refund(self, charge: Charge) -> None:
         """Refund the charge of a call that no target ran."""
         if self._limiter.limit_of(charge.organisation) is not None:
-            self._note(charge.organisation, -charge.amount)
+            self._adjust(charge.organisation, -charge.amount)
 
-    def answered(self, told: ChargeTold) -> None:
+    def handle_response(self, message: ChargeTold) -> None:
         """Take the answer to a question."""
-        answers = self._answers.get(told.number)
-        if answers is not None:
-            answers.put(told.verdict)
+        responses = self._responses.get(message.number)
+        if responses is not None:
+            responses.put(message.verdict)
 
-    def over(self, told: OverLimit) -> None:
+    def handle_over_limit(self, message: OverLimit) -> None:
         """Take which organisations are over their limits."""
         now_s = clock_s()
-        for organisation, over_s in told.for_s.items():
+        for organisation, over_s in message.for_s.items():
             self._over_until_s[organisation] = now_s + over_s
 
     def run(self) -> None:
         """Report what was let in here for as long as the process lives."""
         while True:
             eventlet.sleep(REPORT_INTERVAL_S)
-            self._report()
+            self._send_report()
 
     def _decide(self, charge: Charge, limit: RateLimit) -> _Decision:
-        keeper = self._source.find()
-        if keeper is not None:
-            if charge.amount < ASKED_SHARE * limit.burst:
-                return _Decision(self._let_small_in(charge))
-            verdict = self._ask(keeper, charge)
+        source_id = self._source.find()
+        if source_id is not None:
+            if charge.amount < SMALL_CALL_SHARE * limit.burst:
+                return _Decision(self._admit_small(charge))
+            verdict = self._request_verdict(source_id, charge)
             if verdict is not None:
-                return _Decision(verdict, keeper)
+                return _Decision(verdict, source_id)
         verdict = self._limiter.admit(
             charge.organisation, charge.amount, clock_s()
         )
-        if verdict.is_admitted and not self._is_keeper():
+        if verdict.is_admitted and not self._is_source():
             self._unreported[charge.organisation] += charge.amount
         return _Decision(verdict)
 
-    def _let_small_in(self, charge: Charge) -> LimitVerdict:
+    def _admit_small(self, charge: Charge) -> LimitVerdict:
         over_s = self._over_until_s.get(charge.organisation, 0.0) - clock_s()
         if over_s > 0:
             return LimitVerdict(
@@ -165,47 +165,49 @@
         self._unreported[charge.organisation] += charge.amount
         return LimitVerdict(is_admitted=True)
 
-    def _ask(self, keeper: InstanceId, charge: Charge) -> LimitVerdict | None:
+    def _request_verdict(
+        self, source_id: InstanceId, charge: Charge
+    ) -> LimitVerdict | None:
         """Ask a node; None: it did not answer, and this one decides."""
-        number = next(self._numbers)
-        answers = LightQueue()
-        self._answers[number] = answers
-        asked = ChargeAsked(number, charge.organisation, charge.amount)
+        number = next(self._request_numbers)
+        responses = LightQueue()
+        self._responses[number] = responses
+        request = ChargeAsked(number, charge.organisation, charge.amount)
         try:
-            if not self._source.send(keeper, asked):
+            if not self._source.send(source_id, request):
                 return None
-            verdict: LimitVerdict = answers.get(timeout=ANSWER_TIMEOUT_S)
+            verdict: LimitVerdict = responses.get(timeout=ANSWER_TIMEOUT_S)
         except Empty:
-            self._source.was_silent()
-            self._log.decide('limit.silent', keeper, outcome='decided here')
+            self._source.start_cooldown()
+            self._log.decide('limit.silent', source_id, outcome='decided here')
             return None
         finally:
-            self._answers.pop(number)
+            self._responses.pop(number)
         # Ends what was known of a debt that is paid by now.
-        self.over(OverLimit({charge.organisation: verdict.over_s}))
+        self.handle_over_limit(OverLimit({charge.organisation: verdict.over_s}))
         return verdict
 
-    def _note(self, organisation: str, amount: float) -> None:
-        if self._is_keeper():
+    def _adjust(self, organisation: str, amount: float) -> None:
+        if self._is_source():
             self._limiter.charge(organisation, amount, clock_s())
         else:
             self._unreported[organisation] += amount
 
-    def _report(self) -> None:
+    def _send_report(self) -> None:
         if not self._unreported:
             return
-        if self._is_keeper():
+        if self._is_source():
             for organisation, amount in self._unreported.items():
                 self._limiter.charge(organisation, amount, clock_s())
             self._unreported.clear()
             return
-        keeper = self._source.find()
-        if keeper is None:
+        source_id = self._source.find()
+        if source_id is None:
             return
-        if self._source.send(keeper, UseReported(dict(self._unreported))):
+        if self._source.send(source_id, UseReported(dict(self._unreported))):
             self._unreported.clear()
 
-    def _is_keeper(self) -> bool:
+    def _is_source(self) -> bool:
         return self._knowledge.sources.is_source(clock_s())
 
     def _log_refusal(self, charge: Charge, decision: _Decision) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_reliance.py
@@ -29,9 +29,9 @@
     # once in this share of the bound on new ones.
     fetch_share: float = 0.2
     # Two watches in a row and a slow answer make a proof this old.
-    blind_s: float = 3.2
+    blind_after_s: float = 3.2
     # Asked by others within this time, a node is relied on.
-    asked_within_s: float = 3.0
+    relied_within_s: float = 3.0
 
 
 class Reliance:
@@ -54,7 +54,8 @@
     def watch_s(self) -> float:
         """How long a watch on the configuration waits."""
         is_relied_on = (
-            clock_s() - self._knowledge.asked_s < self._settings.asked_within_s
+            clock_s() - self._knowledge.news_requested_s
+            < self._settings.relied_within_s
         )
         if is_relied_on:
             return self._relied_watch_s
@@ -63,19 +64,19 @@
     def configuration_wait_s(self, now_s: float) -> float:
         """Tell for how long the store need not be asked; 0: ask it now."""
         proven_s = self._knowledge.freshness.proven_s
-        return self._wait_s(proven_s, self._configuration_s, now_s)
+        return self._remaining_s(proven_s, self._configuration_s, now_s)
 
     def registry_wait_s(self, now_s: float) -> float:
         """Tell for how long the store need not be asked; 0: ask it now."""
         proven_s = self._knowledge.listing.proven_s
-        return self._wait_s(proven_s, self._registry_s, now_s)
+        return self._remaining_s(proven_s, self._registry_s, now_s)
 
     def is_blind(self, now_s: float) -> bool:
         """Whether this node asks the store in vain."""
         return not (
             _is_within(
                 self._knowledge.freshness.proven_s,
-                self._settings.blind_s,
+                self._settings.blind_after_s,
                 now_s,
             )
             and _is_within(
@@ -83,24 +84,24 @@
             )
         )
 
-    def is_new(self, told: NewsTold, took_s: float) -> bool:
+    def is_fresh(self, answer: NewsTold, elapsed_s: float) -> bool:
         """Whether an answer is new enough to rely on its sender."""
-        if told.configuration is None or told.targets is None:
+        if answer.configuration is None or answer.targets is None:
             return False
-        configuration_s = took_s - told.configuration.proven_after_s
-        registry_s = took_s - told.targets.proven_after_s
+        configuration_s = elapsed_s - answer.configuration.proven_after_s
+        registry_s = elapsed_s - answer.targets.proven_after_s
         return (
             configuration_s < self._configuration_s
             and registry_s < self._registry_s
         )
 
-    def _wait_s(
-        self, proven_s: float | None, bound_s: float, now_s: float
+    def _remaining_s(
+        self, proven_s: float | None, limit_s: float, now_s: float
     ) -> float:
         if proven_s is None or self._knowledge.sources.is_source(now_s):
             return 0
-        return max(0, proven_s + bound_s - now_s)
+        return max(0, proven_s + limit_s - now_s)
 
 
-def _is_within(proven_s: float | None, bound_s: float, now_s: float) -> bool:
-    return proven_s is not None and now_s - proven_s < bound_s
+def _is_within(proven_s: float | None, limit_s: float, now_s: float) -> bool:
+    return proven_s is not None and now_s - proven_s < limit_s
--- a/packages/gateway/dandelionyoke_gateway/_source_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_source_links.py
@@ -11,7 +11,7 @@
 from dandelionyoke_gateway._news_desk import Send
 
 # A node that was heard for the last time so long ago is not told any more.
-HEARD_S = 1.0
+HEARD_TIMEOUT_S = 1.0
 DIAL_INTERVAL_S = 1.0
 
 Connect = Callable[[InstanceId, str], None]
@@ -28,51 +28,56 @@
         self._knowledge = knowledge
         self._send: Send | None = None
         self._connect: Connect | None = None
-        self._heard_s: dict[InstanceId, float] = {}
-        self._dialled_s: dict[InstanceId, float] = {}
+        self._last_heard_s: dict[InstanceId, float] = {}
+        self._last_dial_s: dict[InstanceId, float] = {}
 
     def attach(self, send: Send, connect: Connect) -> None:
         """Take how messages leave, and how links are opened."""
         self._connect = connect
         self._send = send
 
-    def heard(self, peer_id: InstanceId) -> None:
+    def mark_heard(self, peer_id: InstanceId) -> None:
         """Note that a node works for its domain."""
-        self._heard_s[peer_id] = clock_s()
+        self._last_heard_s[peer_id] = clock_s()
 
-    def lost(self, peer_id: InstanceId) -> None:
+    def handle_disconnect(self, peer_id: InstanceId) -> None:
         """Forget a node whose link has ended."""
-        self._heard_s.pop(peer_id, None)
+        self._last_heard_s.pop(peer_id, None)
 
-    def tell(self, message: PeerMessage) -> None:
+    def broadcast(self, message: PeerMessage) -> None:
         """Send a message to all that work for a domain."""
         now_s = clock_s()
-        others = self._others(now_s)
-        for member in others:
-            self._tell(member, message, now_s)
-        ranked = {member.instance_id for member in others}
-        for peer_id, heard_s in tuple(self._heard_s.items()):
-            if peer_id not in ranked and now_s - heard_s < HEARD_S:
+        recipients = self._recipients(now_s)
+        for member in recipients:
+            self._send_or_dial(member, message, now_s)
+        recipient_ids = {member.instance_id for member in recipients}
+        for peer_id, last_heard_s in tuple(self._last_heard_s.items()):
+            if (
+                peer_id not in recipient_ids
+                and now_s - last_heard_s < HEARD_TIMEOUT_S
+            ):
                 self.send(peer_id, message)
 
     def send(self, peer_id: InstanceId, message: PeerMessage) -> bool:
         """Send a message to one node; False if there is no link."""
         return self._send is not None and self._send(peer_id, message)
 
-    def _others(self, now_s: float) -> list[Member]:
+    def _recipients(self, now_s: float) -> list[Member]:
         sources = self._knowledge.sources
-        found = list(sources.first_elsewhere())
-        near = sources.domain_source(now_s)
-        if near is not None:
-            found.append(near)
-        return found
-
-    def _tell(self, member: Member, message: PeerMessage, now_s: float) -> None:
+        recipients = list(sources.first_elsewhere())
+        own_source = sources.domain_source(now_s)
+        if own_source is not None:
+            recipients.append(own_source)
+        return recipients
+
+    def _send_or_dial(
+        self, member: Member, message: PeerMessage, now_s: float
+    ) -> None:
         peer_id = InstanceId(member.instance_id)
         if self.send(peer_id, message) or self._connect is None:
             return
-        dialled_s = self._dialled_s.get(peer_id, NEVER_S)
-        if now_s - dialled_s >= DIAL_INTERVAL_S:
-            self._dialled_s[peer_id] = now_s
+        last_dial_s = self._last_dial_s.get(peer_id, NEVER_S)
+        if now_s - last_dial_s >= DIAL_INTERVAL_S:
+            self._last_dial_s[peer_id] = now_s
             url = f'ws://{member.address}/'
             eventlet.spawn_n(self._connect, peer_id, url)
--- a/packages/gateway/dandelionyoke_gateway/_source_parts.py
+++ b/packages/gateway/dandelionyoke_gateway/_source_parts.py
@@ -16,24 +16,31 @@
     """Keeps limits together, and tells where prompts were placed."""
 
     def __init__(
-        self, limits: DomainRateLimits, knowledge: Knowledge, log: DecisionLog
+        self,
+        rate_limits: DomainRateLimits,
+        knowledge: Knowledge,
+        log: DecisionLog,
     ) -> None:
-        self._limits = limits
+        self._rate_limits = rate_limits
         self._links = SourceLinks(knowledge)
-        self._server = LimitServer(limits, self._links, knowledge, log)
-        self._backlogs = BacklogTask(self._links, knowledge, log)
+        self._limit_server = LimitServer(
+            rate_limits, self._links, knowledge, log
+        )
+        self._backlog_task = BacklogTask(self._links, knowledge, log)
 
     def start(self, send: Send, connect: Connect) -> None:
         """Begin once there are links."""
         self._links.attach(send, connect)
-        self._limits.attach(send)
-        eventlet.spawn_n(self._limits.run)
-        eventlet.spawn_n(self._server.run)
-        eventlet.spawn_n(self._backlogs.run)
+        self._rate_limits.attach(send)
+        eventlet.spawn_n(self._rate_limits.run)
+        eventlet.spawn_n(self._limit_server.run)
+        eventlet.spawn_n(self._backlog_task.run)
 
-    def take(self, event: Event) -> bool:
+    def handle_event(self, event: Event) -> bool:
         """Take an event of the links; tell whether it was for this part."""
         if isinstance(event, PeerDisconnected):
-            self._links.lost(event.peer_id)
+            self._links.handle_disconnect(event.peer_id)
             return False
-        return self._server.take(event) or self._backlogs.take(event)
+        return self._limit_server.handle_event(
+            event
+        ) or self._backlog_task.handle_event(event)
--- a/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
@@ -41,18 +41,18 @@
 # has a price: a busy node, whose counts are a large part of the report, saves
 # each second, one with less than SAVE_CALLS new ones later.
 SAVE_INTERVAL_S = 1.0
-SAVE_CALLS = 4
-SAVE_LATEST_S = 2.0
+MIN_CALLS_TO_SAVE = 4
+MAX_SAVE_INTERVAL_S = 2.0
 # Another node takes this one's counts if it answered within this time.
-RELIED_S = 1.5
+NEWS_FRESH_S = 1.5
 # A window is closed this long after its end, when all have saved it twice.
-CLOSE_AFTER_S = 4.5
-REPORT_CHECK_S = 0.5
-KEPT_REVISIONS = 8
+CLOSE_DELAY_S = 4.5
+REPORT_CHECK_INTERVAL_S = 0.5
+KEPT_REVISION_WINDOWS = 8
 # Windows are reported within seconds; older figures than this many windows
 # are removed, a few after each report, those of earlier holders included.
-KEPT_REPORTS = 12
-MOST_REMOVED = 4
+KEPT_REPORT_WINDOWS = 12
+MAX_REPORTS_REMOVED = 4
 # A report has to arrive within the bound; this much is kept for its way.
 LATE_MARGIN_S = 0.5
 
@@ -63,7 +63,7 @@
     def __init__(self, knowledge: Knowledge, store: Store) -> None:
         self._knowledge = knowledge
         self._records = LeasedRecords(store, RECORDS_TTL_S)
-        self._name = knowledge.process_name
+        self._process_name = knowledge.process_name
         self._revisions: dict[int, int] = {}
         self._saved_s = 0.0
 
@@ -77,28 +77,28 @@
 
     def finish(self) -> None:
         """Save all before the end, what others were to save included."""
-        self._knowledge.sender.take_all_back()
+        self._knowledge.counts_sender.take_all_back()
         self.save()
 
     def _is_due(self) -> bool:
         knowledge, now_s = self._knowledge, clock_s()
-        if knowledge.sender.take_back(now_s):
+        if knowledge.counts_sender.take_back(now_s):
             return True
-        late_s = now_s - self._saved_s
-        if knowledge.receiver.has_unsaved:
+        since_save_s = now_s - self._saved_s
+        if knowledge.counts_receiver.has_unsaved:
             return True
-        if now_s - knowledge.told_s < RELIED_S:
+        if now_s - knowledge.news_received_s < NEWS_FRESH_S:
             # The node that is asked for news takes the counts as well.
             return False
-        is_many = knowledge.usage.unsaved >= SAVE_CALLS
-        return is_many or late_s >= SAVE_LATEST_S
+        has_enough = knowledge.usage.unsaved >= MIN_CALLS_TO_SAVE
+        return has_enough or since_save_s >= MAX_SAVE_INTERVAL_S
 
     def save(self) -> None:
         """Save what changed since the last time."""
-        usage, receiver = self._knowledge.usage, self._knowledge.receiver
+        usage, receiver = self._knowledge.usage, self._knowledge.counts_receiver
         self._saved_s = clock_s()
         received = receiver.received()
-        own = {one.window_id: one for one in usage.take_changed()}
+        own = {window.window_id: window for window in usage.take_changed()}
         others = receiver.take_changed()
         failed = [
             window_id
@@ -112,15 +112,15 @@
             receiver.confirm(received)
         newest = usage.window_at(clock_s())
         for window_id in tuple(self._revisions):
-            if window_id < newest - KEPT_REVISIONS:
+            if window_id < newest - KEPT_REVISION_WINDOWS:
                 self._revisions.pop(window_id)
 
     def _save_window(self, window_id: int) -> bool:
-        key = f'{COUNTS_PREFIX}{window_id}/{self._name}'
+        key = f'{COUNTS_PREFIX}{window_id}/{self._process_name}'
         own = ProcessCounts(
-            self._name, self._knowledge.usage.counts_of(window_id)
+            self._process_name, self._knowledge.usage.counts_of(window_id)
         )
-        parts = (own, *self._knowledge.receiver.parts(window_id))
+        parts = (own, *self._knowledge.counts_receiver.parts(window_id))
         text = record_to_json(WindowRecord(window_id, parts))
         expected = self._revisions.get(window_id, 0)
         answer = self._records.write(key, text, expected)
@@ -156,26 +156,28 @@
     def run(self) -> None:
         """Look for windows to report for as long as the process lives."""
         while True:
-            sleep(REPORT_CHECK_S)
+            sleep(REPORT_CHECK_INTERVAL_S)
             if self._duty.stamp is not None:
                 self._report_due()
 
     def _report_due(self) -> None:
         settings, usage = self._knowledge.settings, self._knowledge.usage
         newest = usage.window_at(clock_s())
-        span = int(settings.usage_late_s // settings.usage_window_s) + 2
-        for window_id in range(newest - span, newest):
+        window_count = int(settings.usage_late_s // settings.usage_window_s) + 2
+        for window_id in range(newest - window_count, newest):
             age_s = usage.age_s(window_id, clock_s())
-            is_due = CLOSE_AFTER_S <= age_s < self._latest_s()
+            is_due = CLOSE_DELAY_S <= age_s < self._report_deadline_s()
             if is_due and window_id not in self._reported:
                 self._report(window_id)
-        self._reported = {one for one in self._reported if one > newest - 20}
+        self._reported = {
+            window_id for window_id in self._reported if window_id > newest - 20
+        }
 
-    def _latest_s(self) -> float:
+    def _report_deadline_s(self) -> float:
         return self._knowledge.settings.usage_late_s - LATE_MARGIN_S
 
     def _report(self, window_id: int) -> None:
-        counts = self._close(window_id)
+        counts = self._close_window(window_id)
         stamp = self._duty.stamp
         if counts is None or stamp is None:
             return
@@ -191,9 +193,9 @@
         )
         if answer.is_accepted:
             self._reported.add(window_id)
-            self._remove_old(window_id - KEPT_REPORTS)
+            self._remove_old_reports(window_id - KEPT_REPORT_WINDOWS)
 
-    def _close(self, window_id: int) -> WindowCounts | None:
+    def _close_window(self, window_id: int) -> WindowCounts | None:
         """Fix the figures of a window for good; None: not yet possible.
 
         The record is created once. Whoever reports the window, now or after
@@ -205,17 +207,17 @@
             StoreList(OperationId('counts'), f'{COUNTS_PREFIX}{window_id}/')
         )
         if not isinstance(listing, StoreListing):
-            self._tell_open(window_id, 'the counts cannot be read')
+            self._log_open(window_id, 'the counts cannot be read')
             return None
-        total = add_up(
+        totals = add_up(
             record
             for item in listing.items
             if (record := _read_record(item)) is not None
         )
-        if not total:
-            self._tell_open(window_id, 'nothing was counted')
+        if not totals:
+            self._log_open(window_id, 'nothing was counted')
             return None
-        counts = WindowCounts(window_id, total)
+        counts = WindowCounts(window_id, totals)
         text = record_to_json(counts)
         key = f'{REPORTS_PREFIX}{window_id}'
         answer = self._store.perform(
@@ -225,17 +227,17 @@
             return record_from_json(answer.present.value, WindowCounts)
         if isinstance(answer, StoreWritten):
             return counts
-        self._tell_open(window_id, 'the record cannot be written')
+        self._log_open(window_id, 'the record cannot be written')
         return None
 
-    def _remove_old(self, oldest: int) -> None:
+    def _remove_old_reports(self, oldest: int) -> None:
         """Remove the figures of windows that nobody reports any more."""
         listing = self._store.perform(
             StoreList(OperationId('reports'), REPORTS_PREFIX, may_be_old=True)
         )
         if not isinstance(listing, StoreListing):
             return
-        for item in listing.items[:MOST_REMOVED]:
+        for item in listing.items[:MAX_REPORTS_REMOVED]:
             name = item.key.removeprefix(REPORTS_PREFIX)
             if name.isdigit() and int(name) < oldest:
                 operation = OperationId('old report')
@@ -243,7 +245,7 @@
                     StoreDelete(operation, item.key, item.revision)
                 )
 
-    def _tell_open(self, window_id: int, cause: str) -> None:
+    def _log_open(self, window_id: int, cause: str) -> None:
         self._log.decide(
             'usage.open', str(window_id), outcome='tried again', cause=cause
         )
--- a/tests/gateway/network.py
+++ b/tests/gateway/network.py
@@ -23,7 +23,7 @@
     name: InstanceId
     knowledge: Knowledge
 
-    def take(self, event: Event) -> bool: ...
+    def handle_event(self, event: Event) -> bool: ...
 
 
 AnyNode = TypeVar('AnyNode', bound=Node)
@@ -64,4 +64,4 @@
         self.sent[type(message).__name__] += 1
         if peer_id not in self.silent:
             event = PeerMessageArrived(sender, message)
-            eventlet.spawn_n(self.nodes[peer_id].take, event)
+            eventlet.spawn_n(self.nodes[peer_id].handle_event, event)
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -66,7 +66,7 @@
 
     def send(self, peer_id: InstanceId, message: PeerMessage) -> bool:
         event = PeerMessageArrived(self.name, message)
-        self._nodes[peer_id].task.take(event)
+        self._nodes[peer_id].task.handle_event(event)
         return True
 
     def place(self) -> PrefillGrant:
@@ -134,7 +134,7 @@
     def test_an_impossible_backlog(self) -> None:
         """Guards against a peer that draws all prompts to one engine."""
         told = BacklogTold({'lm': {'i-0': -9000}})
-        self.second.task.take(PeerMessageArrived(self.first.name, told))
+        self.second.task.handle_event(PeerMessageArrived(self.first.name, told))
         line = self.second.knowledge.watch_of('lm').line
         self.assertEqual(0, line.fleet_backlog(clock_s())['i-0'])
         self.assertIn('placing.dropped', self.second.lines.text)
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -51,8 +51,8 @@
             FleetChanges(),
             log,
         )
-        task._order(Service('lm', 9), WantedCount('a', True, 5), 0)
-        return list(task._need('lm').refusing)
+        task._send_order(Service('lm', 9), WantedCount('a', True, 5), 0)
+        return list(task._fleet_need('lm').refusing)
 
     def test_a_domain_that_refuses_has_no_reclaimable_engines(self) -> None:
         self.assertEqual(['a'], self.refusing(DutyOutcome.REFUSED))
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -27,7 +27,7 @@
 from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import MOST_PACKED_BYTES, NewsDesk
+from dandelionyoke_gateway._news_desk import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_messages import (
     ConfigurationNews,
     NewsAsked,
@@ -58,7 +58,7 @@
         )
         self.registry = RegistryKeeper(self.knowledge, log)
         self.sent: list[PeerMessage] = []
-        self.desk = NewsDesk(self.knowledge, self.send)
+        self.desk = NewsServer(self.knowledge, self.send)
 
     def send(self, peer_id: str, message: PeerMessage) -> bool:
         self.sent.append(message)
@@ -68,7 +68,7 @@
         asked = NewsAsked(1, 'n-2.x', hold_s, 0)
         for name, value in fields.items():
             object.__setattr__(asked, name, value)
-        self.desk.answer('n-2', asked)
+        self.desk.handle_request('n-2', asked)
         told = self.sent[-1]
         assert isinstance(told, NewsTold)
         return told
@@ -144,7 +144,7 @@
         self.assertIsNone(
             self.ask(configuration_revision=7).configuration.packed
         )
-        noise = Random(5).randbytes(MOST_PACKED_BYTES).hex()
+        noise = Random(5).randbytes(MAX_PACKED_BYTES).hex()
         self.configurations.adopt(noise, 8, 'store')
         self.configurations.prove(8, clock_s())
         self.assertIsNone(self.ask().configuration.packed)
@@ -155,7 +155,7 @@
         windows = (WindowCounts(9, (('acme', 1),)),)
         parcel = CountsParcel('n-2.x', 4, windows)
         self.assertEqual(0, self.ask(parcel=parcel).saved_parcel)
-        receiver = self.knowledge.receiver
+        receiver = self.knowledge.counts_receiver
         receiver.confirm(receiver.received())
         self.assertEqual(4, self.ask().saved_parcel)
 
@@ -191,7 +191,9 @@
         self.store.revision += 1
         news = ConfigurationNews(self.store.revision, 0.0)
         told = NewsTold(1, news)
-        self.task._take(told, Member('n-2', 'a', '10.0.0.2:7'), clock_s())
+        self.task._apply_answer(
+            told, Member('n-2', 'a', '10.0.0.2:7'), clock_s()
+        )
 
     def test_a_storm_of_configurations_is_read_a_few_times(self) -> None:
         """Guards against store reads that grow with nodes times changes."""
@@ -216,8 +218,8 @@
                 ConfigurationNews(self.store.revision, 0.0),
                 TargetNews(-1.3, changes),
             )
-            self.task._ask = lambda hub, member: told  # noqa: B023
-            self.task._ask_member(None, asked)
+            self.task._request_news = lambda hub, member: told  # noqa: B023
+            self.task._poll_member(None, asked)
         self.assertIsNone(self.task._stale_since_s)
 
 
--- a/tests/gateway/test_phase_task.py
+++ b/tests/gateway/test_phase_task.py
@@ -52,7 +52,7 @@
 
     def streams(self) -> float:
         settled = frozenset(one.target_id for one in self.engines)
-        load = self.task._load('lm', self.engines, settled, clock_s())
+        load = self.task._phase_load('lm', self.engines, settled, clock_s())
         return load.streams
 
     def test_one_call_in_195_counts_by_the_demand(self) -> None:
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -68,9 +68,9 @@
         )
         self.links.attach(self.send)
 
-    def take(self, event: Event) -> bool:
+    def handle_event(self, event: Event) -> bool:
         """Take an event of the links."""
-        return self.links.take(event)
+        return self.links.handle_event(event)
 
     def send(self, peer_id: InstanceId, message: PeerMessage) -> bool:
         self._network.deliver(self.name, peer_id, message)
@@ -89,7 +89,7 @@
     def lose(self, name: str) -> None:
         """End all links of a node."""
         for node in self.nodes.values():
-            node.take(PeerDisconnected(InstanceId(name), 'cut'))
+            node.handle_event(PeerDisconnected(InstanceId(name), 'cut'))
 
 
 def request(
@@ -300,7 +300,7 @@
         endless = attrs.evolve(bad, token_count=9000, useful_s=math.inf)
         good = attrs.evolve(endless, useful_s=5.0)
         for asked in (bad, endless, good, good):
-            placing.links.take(PeerMessageArrived(node.name, asked))
+            placing.links.handle_event(PeerMessageArrived(node.name, asked))
         self.assertEqual(1, network.sent['PrefillTold'])
         line = placing.knowledge.watch_of('lm').line
         self.assertEqual(9000, line.backlog_tokens('i-0'))
@@ -311,7 +311,7 @@
         node, placing = network.others[0], network.source
         grant = node.queue.enter(request())
         asked = PrefillAsked(77, 'lm', 'hot', 6000, 9000, 1, 0.0, 1.0, 5.0)
-        placing.links.take(PeerMessageArrived(node.name, asked))
+        placing.links.handle_event(PeerMessageArrived(node.name, asked))
         eventlet.sleep(0.02)
         node.queue.leave(grant, PrefillResult(READ_S))
         self.assertIsNotNone(node.queue.enter(request()).home)
--- a/tests/gateway/test_rate_limits.py
+++ b/tests/gateway/test_rate_limits.py
@@ -65,9 +65,9 @@
         self._network.deliver(self.name, peer_id, message)
         return True
 
-    def take(self, event: Event) -> bool:
+    def handle_event(self, event: Event) -> bool:
         """Take an event of the links."""
-        return self.server.take(event)
+        return self.server.handle_event(event)
 
     def call(self, amount: float = LARGE) -> bool:
         """Take a call; tell whether it is within the limit."""
@@ -129,7 +129,7 @@
 
     def test_small_calls_are_let_in_once_the_debt_is_paid(self) -> None:
         """Guards against calls refused for news that has been overtaken."""
-        self.first.limits.over(OverLimit({'acme': 60.0}))
+        self.first.limits.handle_over_limit(OverLimit({'acme': 60.0}))
         self.assertFalse(self.first.call(SMALL))
         self.assertTrue(self.first.call(LARGE))
         self.assertTrue(self.first.call(SMALL))
@@ -166,6 +166,6 @@
             GroupUseTold(GroupUse('n-9.1', 1, {'acme': math.nan})),
         ):
             event = PeerMessageArrived(self.first.name, message)
-            self.assertTrue(self.keeper.server.take(event))
+            self.assertTrue(self.keeper.server.handle_event(event))
         self.assertEqual(5, self.keeper.lines.text.count('limit.dropped'))
         self.assertAlmostEqual(1000, self.keeper.level, delta=1)
