--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -11,7 +11,7 @@
 from dandelionyoke_gateway._domain_source import DomainSource
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import Send
+from dandelionyoke_gateway._news_server import Send
 from dandelionyoke_gateway._prefill_messages import (
     QUEUED_INTERVAL_S,
     PrefillAsked,
--- a/packages/gateway/dandelionyoke_gateway/_domain_source.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_source.py
@@ -3,7 +3,7 @@
 from dandelionyoke_core import InstanceId, PeerMessage
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._knowledge import Knowledge
-from dandelionyoke_gateway._news_desk import Send
+from dandelionyoke_gateway._news_server import Send
 
 # A node that did not answer is not asked for this long.
 COOLDOWN_S = 0.5
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -42,7 +42,7 @@
 )
 from dandelionyoke_gateway._change_signal import ChangeSignal
 from dandelionyoke_gateway._clock import clock_s, wall_s
-from dandelionyoke_gateway._line_turns import QueueWaiters
+from dandelionyoke_gateway._queue_waiters import QueueWaiters
 from dandelionyoke_gateway._settings import GatewaySettings
 
 # All nodes together may repeat only so much, and each spends its own part
--- a/packages/gateway/dandelionyoke_gateway/_news_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_links.py
@@ -19,7 +19,7 @@
 )
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import NewsServer
+from dandelionyoke_gateway._news_server import NewsServer
 from dandelionyoke_gateway._news_task import NewsTask
 from dandelionyoke_gateway._ports import Store
 from dandelionyoke_gateway._prefill_links import PrefillLinks
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -21,12 +21,12 @@
 from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
 from dandelionyoke_gateway._knowledge import NEVER_S, Knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import NewsServer
 from dandelionyoke_gateway._news_messages import (
     ConfigurationNews,
     NewsAsked,
     NewsTold,
 )
+from dandelionyoke_gateway._news_server import NewsServer
 from dandelionyoke_gateway._ports import Dialect, Store
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
 from dandelionyoke_gateway._reliance import Reliance
--- a/packages/gateway/dandelionyoke_gateway/_prefill_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_links.py
@@ -4,7 +4,7 @@
 from dandelionyoke_dispatch import TargetLoads
 from dandelionyoke_gateway._domain_prefill_queue import DomainPrefillQueue
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import Send
+from dandelionyoke_gateway._news_server import Send
 from dandelionyoke_gateway._prefill_messages import (
     PrefillAsked,
     PrefillEnded,
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -14,7 +14,7 @@
 )
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._knowledge import Knowledge, ServiceState
-from dandelionyoke_gateway._line_turns import WaitResult
+from dandelionyoke_gateway._queue_waiters import WaitResult
 
 # A prefill that ends by this share of the goal leaves the rest of it for the
 # transfer of the cache and the first token.
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -12,7 +12,7 @@
 from dandelionyoke_dispatch import Entry, Prompt, PromptPart, TargetLoads
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import Send
+from dandelionyoke_gateway._news_server import Send
 from dandelionyoke_gateway._prefill_messages import (
     QUEUED_INTERVAL_S,
     PrefillAsked,
--- a/packages/gateway/dandelionyoke_gateway/_rate_limits.py
+++ b/packages/gateway/dandelionyoke_gateway/_rate_limits.py
@@ -25,7 +25,7 @@
     UseReported,
 )
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import Send
+from dandelionyoke_gateway._news_server import Send
 
 # A sound node of the domain answers within milliseconds.
 ANSWER_TIMEOUT_S = 0.15
--- a/packages/gateway/dandelionyoke_gateway/_source_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_source_links.py
@@ -8,7 +8,7 @@
 from dandelionyoke_dispatch import Member
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._knowledge import NEVER_S, Knowledge
-from dandelionyoke_gateway._news_desk import Send
+from dandelionyoke_gateway._news_server import Send
 
 # A node that was heard for the last time so long ago is not told any more.
 HEARD_TIMEOUT_S = 1.0
--- a/packages/gateway/dandelionyoke_gateway/_source_parts.py
+++ b/packages/gateway/dandelionyoke_gateway/_source_parts.py
@@ -7,7 +7,7 @@
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._limit_server import LimitServer
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import Send
+from dandelionyoke_gateway._news_server import Send
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._source_links import Connect, SourceLinks
 
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -27,13 +27,13 @@
 from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._news_desk import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_messages import (
     ConfigurationNews,
     NewsAsked,
     NewsTold,
     TargetNews,
 )
+from dandelionyoke_gateway._news_server import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_task import NewsTask
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
 from dandelionyoke_gateway._reliance import Reliance, RelianceSettings
--- a/tests/gateway/test_line_turns.py
+++ b/tests/gateway/test_queue_waiters.py
@@ -4,7 +4,7 @@
 import testtools
 
 from dandelionyoke_gateway import clock_s
-from dandelionyoke_gateway._line_turns import QueueWaiters, WaitResult
+from dandelionyoke_gateway._queue_waiters import QueueWaiters, WaitResult
 
 
 class LineTurnsTest(testtools.TestCase):
