--- a/packages/gateway/dandelionyoke_gateway/_crash_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_crash_task.py
@@ -1,4 +1,4 @@
-"""Tells the other nodes which call a target died of, and hears of theirs."""
+"""Shares with other nodes which calls were running when a target crashed."""
 
 import eventlet
 
@@ -18,15 +18,15 @@
 
 CRASHES_PREFIX = 'crashes/'
 RECORD_TTL_S = 60.0
-# Crashes are rare, so that a long watch costs next to nothing.
+# Crashes are rare, so a long watch causes few store calls.
 WATCH_DURATION_S = 10.0
 NEWS_FRESH_S = 2.0
-# A target that is alive takes a connection at once.
+# A live target accepts a connection at once.
 PROBE_TIMEOUT_S = 0.5
 
 
 class CrashTask:
-    """Shares crashes through the store."""
+    """Publishes crashes to the store and follows those of other nodes."""
 
     def __init__(
         self, knowledge: Knowledge, store: Store, log: DecisionLog
@@ -41,11 +41,11 @@
         )
 
     def run(self) -> None:
-        """Listen for as long as the process lives."""
+        """Follow crashes until the process exits."""
         while True:
             now_s = clock_s()
             if now_s - self._knowledge.news_received_s < NEWS_FRESH_S:
-                # The node that is asked for news tells of crashes as well.
+                # The node that answers news requests reports crashes too.
                 eventlet.sleep(NEWS_FRESH_S)
                 continue
             answer = self._follower.ask(WATCH_DURATION_S)
@@ -55,7 +55,7 @@
                 self._follower.pause()
 
     def suspect(self, fingerprint: str, target_id: str, address: str) -> None:
-        """Look whether a target is dead that broke a call off."""
+        """Probe a target that aborted a call; publish a crash if it is dead."""
         eventlet.spawn_n(self._probe_target, fingerprint, target_id, address)
 
     def _probe_target(
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -1,4 +1,7 @@
-"""What a node believes: configuration, targets, loads, budget, its age."""
+"""A node's in-memory state: configuration, targets, loads and retry budget.
+
+It also records how old that state is.
+"""
 
 from collections.abc import Mapping
 from random import Random
@@ -45,15 +48,16 @@
 from dandelionyoke_gateway._queue_waiters import QueueWaiters
 from dandelionyoke_gateway._settings import GatewaySettings
 
-# All nodes together may repeat only so much, and each spends its own part
-# without a word to the others. Until a node knows how many there are it takes
-# its part among this many; afterwards among half as many again as it knows.
+# The limit on retries applies to all nodes together, and each node spends an
+# equal share of it without coordination. A node assumes this many nodes until
+# it knows the number, and 1.5 times the known number afterwards.
 ASSUMED_NODE_COUNT = 16
 NODE_COUNT_MARGIN = 1.5
 RETRY_SHARE_FACTOR = 0.7
 
-# One slow fetch is enough: to do without costs little, and each further one
-# makes a caller late. Engines that are gone leave the registry within seconds.
+# One slow KV cache fetch makes an engine suspect: skipping fetches costs
+# little, but each further slow one delays a caller. Engines that are gone
+# leave the registry within seconds.
 FETCH_SUSPICION = SuspicionSettings(
     failures_in_a_row=1, first_rest_s=2.0, longest_rest_s=8.0
 )
@@ -64,7 +68,7 @@
 
 @attrs.frozen
 class ServiceState:
-    """What this node saw of a service's engines and of the waits for them."""
+    """One service's prefill queue, prefill speed and overload signals."""
 
     strain: Strain = attrs.field(factory=lambda: Strain(StrainSettings()))
     pace: PromptPace = attrs.field(
@@ -75,21 +79,21 @@
 
 @attrs.define
 class Knowledge:
-    """The beliefs of one node, shared by its tasks within one thread."""
+    """The state of one node, shared by its tasks within one thread."""
 
     settings: GatewaySettings
     random: Random
     freshness: Freshness
     registry: TargetRegistry
     loads: TargetLoads
-    # How fetching shared parts of prompts from engines went.
+    # Outcomes of KV cache fetches for shared prefixes, by source engine.
     fetches: TargetLoads
     placement: Placement
     budget: RetryBudget
     usage: UsageCounter
     departure: Departure
     crashes: CrashGuard
-    # This process among all that ever ran under the instance's name.
+    # Unique among all processes that ever ran under this instance ID.
     process_name: str
     listing: TargetListing
     sources: SourceChoice
@@ -101,29 +105,30 @@
     demand: FleetDemand = attrs.field(
         factory=lambda: FleetDemand(FleetDemandSettings())
     )
-    # How many nodes there are, this one included.
+    # The number of nodes, including this one.
     node_count: int = 1
     configuration: FleetConfiguration | None = None
     configuration_revision: int = 0
-    # As the operator wrote it, compressed, for the nodes that ask this one.
+    # The operator's text, compressed, for the nodes that request it.
     configuration_packed: bytes | None = None
-    # When another node last asked this one, and last answered it.
+    # When another node last sent this one a news request, and last answered
+    # one of this node's.
     news_requested_s: float = NEVER_S
     news_received_s: float = NEVER_S
     in_progress: int = 0
     _service_states: dict[str, ServiceState] = attrs.field(factory=dict)
 
     def watch_of(self, service: str) -> ServiceState:
-        """Find what this node saw of a service."""
+        """Return the state of a service, created on first use."""
         return self._service_states.setdefault(service, ServiceState())
 
     @property
     def service_states(self) -> Mapping[str, ServiceState]:
-        """What this node saw of each service."""
+        """The state of each service by name."""
         return self._service_states
 
     def own_demand(self, now_s: float) -> DemandSample:
-        """Sample the calls of this node."""
+        """Return this node's own demand by service."""
         return DemandSample(
             1,
             tuple(
@@ -145,9 +150,10 @@
         )
 
     def forget_targets(self, usable: frozenset[str]) -> None:
-        """Drop what is kept of targets that are not listed any more.
+        """Drop the state of targets that are no longer usable.
 
-        Those that leave are listed until they are gone.
+        Fetch and queue state of leaving targets is kept until they are no
+        longer listed.
         """
         self.loads.forget(usable)
         listed = frozenset(target.target_id for target in self.listing.targets)
@@ -156,14 +162,14 @@
             state.line.forget(listed)
 
     def take_node_count(self, count: int) -> None:
-        """Take the number of nodes, this one included."""
+        """Set the number of nodes, including this one."""
         self.node_count = max(1, count)
         assumed_count = NODE_COUNT_MARGIN * self.node_count
         self.budget.resize(self.settings.retry_extra / assumed_count)
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers are welcome."""
+        """Whether this node can accept new calls."""
         return (
             not self.departure.is_leaving
             and self.configuration is not None
@@ -173,7 +179,7 @@
 
 
 def new_knowledge(settings: GatewaySettings, random: Random) -> Knowledge:
-    """Begin with no beliefs."""
+    """Create the initial state of a node that knows nothing yet."""
     registry = TargetRegistry(RegistrySettings())
     loads = TargetLoads(SuspicionSettings())
     fetches = TargetLoads(FETCH_SUSPICION)
--- a/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that keep what a node believes in step with the store."""
+"""Tasks that follow the configuration and the target registry in the store."""
 
 import attrs
 from eventlet import sleep
@@ -22,13 +22,13 @@
 
 @attrs.frozen
 class PaceSettings:
-    """How often the store is asked; each call has a price.
+    """How often the store is polled; each call has a cost.
 
     The registry changes with each heartbeat of each target, so a watch on it
-    returns at once whenever it is asked. Its changes are gathered for
-    `registry_share` of the bound on leaving targets, which leaves more than
-    half of it for an answer that is lost and the call that follows. Where
-    nothing changes, a watch ends before that.
+    returns at once. Changes are therefore batched for `registry_share` of
+    `drain_s`, the time limit for draining targets. That leaves more than half
+    of the limit for a lost answer and its retry. Without changes, a watch
+    ends after `registry_watch_share` of the limit, before the batch is due.
     """
 
     registry_share: float = 0.4
@@ -39,7 +39,7 @@
 
 
 class ConfigurationTask:
-    """Watches the configuration's key, unless another node does."""
+    """Watches the configuration's key unless another node provides it."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         )
 
     def run(self) -> None:
-        """Follow the configuration for as long as the process lives."""
+        """Follow the configuration until the process exits."""
         while True:
             wait_s = self._reliance.configuration_wait_s(clock_s())
             if wait_s > 0:
@@ -72,7 +72,7 @@
 
     def _poll_store(self) -> None:
         polled_s = clock_s()
-        answer = self._follower.ask(self._reliance.watch_s)
+        answer = self._follower.ask(self._reliance.watch_duration_s)
         if isinstance(answer, StoreListing):
             self._apply(answer, polled_s)
         else:
@@ -97,7 +97,7 @@
 
 
 class RegistryTask:
-    """Watches the registry of targets, unless another node does."""
+    """Watches the registry of targets unless another node provides it."""
 
     def __init__(
         self,
@@ -123,7 +123,7 @@
         )
 
     def run(self) -> None:
-        """Follow the registry for as long as the process lives."""
+        """Follow the registry until the process exits."""
         while True:
             wait_s = self._reliance.registry_wait_s(clock_s())
             if wait_s > 0:
@@ -143,7 +143,7 @@
     def _apply_unless_stale(
         self, listing: StoreListing, polled_s: float
     ) -> None:
-        """Take a listing unless another node told something newer."""
+        """Apply a listing unless another node has sent a newer one."""
         proven_s = self._knowledge.listing.proven_s
         if proven_s is not None and proven_s > polled_s:
             self._follower.restart()
@@ -153,7 +153,7 @@
 
     def _apply(self, listing: StoreListing, polled_s: float) -> None:
         prefix = self._dialect.registry_prefix
-        # A key may change more than once within one answer; the last holds.
+        # A key may occur more than once in an answer; its last change wins.
         newest: dict[str, RegisteredTarget | None] = {
             item.key.removeprefix(prefix): self._dialect.read_target(
                 item.key, item.value or ''
@@ -168,7 +168,7 @@
             self._keeper.change(changed, gone, polled_s)
 
     def _wait_for_batch(self, polled_s: float) -> None:
-        """Gather changes that come one after the other into one answer."""
+        """Sleep so that the next poll returns several changes at once."""
         drain_s = self._knowledge.settings.drain_s
         interval_s = self._pace.registry_share * drain_s
         remaining_s = polled_s + interval_s - clock_s()
--- a/packages/gateway/dandelionyoke_gateway/_leased_records.py
+++ b/packages/gateway/dandelionyoke_gateway/_leased_records.py
@@ -1,4 +1,4 @@
-"""Records in the store that go by themselves."""
+"""Records that expire in the store together with their lease."""
 
 from dandelionyoke_core import (
     LeaseGrant,
@@ -14,12 +14,12 @@
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._ports import Store
 
-# The part of its time after which a lease takes no new records, or is renewed.
+# After this share of its TTL, a lease is renewed or replaced by a new one.
 RENEW_AFTER_SHARE = 0.5
 
 
 class LeasedRecords:
-    """Writes records under a lease, so that the store removes them."""
+    """Writes records under a lease; the store removes them when it expires."""
 
     def __init__(
         self, store: Store, ttl_s: float, *, renews: bool = False
@@ -32,7 +32,7 @@
         self._kept_keys: set[str] = set()
 
     def write(self, key: str, text: str, expected_revision: int) -> StoreResult:
-        """Write a record at its expected revision; 0 creates it."""
+        """Write a record if it has the expected revision; 0 creates it."""
         answer = self._store.perform(
             StorePut(
                 OperationId('record'),
@@ -47,9 +47,10 @@
         return answer
 
     def keep_alive(self, key: str, text: str) -> None:
-        """Keep a record of this process alone for as long as this is called.
+        """Write a record once and keep its lease alive; call this regularly.
 
-        One that an earlier process left under the key goes with its lease.
+        A record that an earlier process left under the key must first expire
+        with its lease.
         """
         lease_id = self._current_lease()
         if key in self._kept_keys or lease_id is None:
--- a/packages/gateway/dandelionyoke_gateway/_member_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_member_task.py
@@ -1,4 +1,4 @@
-"""Which other nodes there are, as far as the store knows."""
+"""Registers this node in the store and lists the other nodes."""
 
 from collections.abc import Callable
 
@@ -19,16 +19,16 @@
 from dandelionyoke_gateway._ports import Store
 
 MEMBERS_PREFIX = 'members/'
-# A node that is gone is counted for so long. What depends on the number of
-# nodes allows for half as many again.
+# A node that is gone is still counted for this long. Limits that depend on
+# the number of nodes allow for 1.5 times as many.
 MEMBER_TTL_S = 15.0
 POLL_INTERVAL_S = 5.0
-# When all start together, the first looks find only a part of them.
+# If all nodes start together, the first polls find only some of them.
 INITIAL_POLL_INTERVAL_S = 1.2
 
 
 class MemberTask:
-    """Enters this node in the store and counts the others."""
+    """Registers this node in the store and refreshes the list of nodes."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._records = LeasedRecords(store, MEMBER_TTL_S, renews=True)
 
     def run(self) -> None:
-        """Stay entered for as long as the process lives."""
+        """Stay registered until the process exits."""
         settings = self._knowledge.settings
         key = f'{MEMBERS_PREFIX}{settings.instance_id}'
         endpoint = settings.peers
@@ -60,7 +60,8 @@
             interval_s = min(POLL_INTERVAL_S, 2 * interval_s)
 
     def _refresh_members(self, own_member: Member) -> None:
-        # A count may be seconds old; such a read costs a tenth of another.
+        # The list may be seconds old; a stale read costs a tenth of a
+        # consistent one.
         answer = self._store.perform(
             StoreList(OperationId('members'), MEMBERS_PREFIX, may_be_old=True)
         )
@@ -78,9 +79,10 @@
 
 
 def _read_member(item: StoreItem) -> Member | None:
-    """Read a node's entry; None for one of another form."""
+    """Parse a node's entry; None if its format is unknown."""
     try:
         return record_from_json(item.value or '', Member)
     except CodecError:
-        # Another version's entry: it is neither asked nor counted.
+        # Written by another version: the node gets no requests and is not
+        # counted.
         return None
--- a/packages/gateway/dandelionyoke_gateway/_news_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_links.py
@@ -1,4 +1,4 @@
-"""Opens the links on which nodes ask each other for news."""
+"""Opens the links between nodes and dispatches their messages."""
 
 import secrets
 
@@ -26,8 +26,8 @@
 from dandelionyoke_gateway._source_parts import SourceParts
 from dandelionyoke_links import PeerHub, PeerSettings
 
-# Whoever can write to the store may ask and answer; the first node of a new
-# fleet chooses the secret.
+# Shared secret that authenticates peers, so access to the store grants access
+# to the links. The first node of a new fleet generates it.
 SECRET_KEY = 'links/secret'
 SECRET_BYTES = 24
 SECRET_BACKOFF = BackOffSettings(first_s=0.2, longest_s=2.0)
@@ -42,7 +42,7 @@
     store: Store,
     log: DecisionLog,
 ) -> None:
-    """Answer other nodes and ask them, for as long as the process lives."""
+    """Serve and poll other nodes until the process exits."""
     settings = knowledge.settings
     secret = _wait_for_secret(store, BackOff(SECRET_BACKOFF, knowledge.random))
     own_id = InstanceId(settings.instance_id)
@@ -71,7 +71,7 @@
 
 
 def _load_or_create_secret(store: Store) -> str | None:
-    """Read the secret, or choose it; None: the store cannot tell now."""
+    """Read the secret or create it; None if the store did not answer."""
     operation = OperationId('secret')
     item = store.perform(StoreGet(operation, SECRET_KEY))
     if not isinstance(item, StoreItem):
--- a/packages/gateway/dandelionyoke_gateway/_news_messages.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_messages.py
@@ -1,8 +1,8 @@
-"""What a node asks another one instead of the store, and the answer.
+"""Messages with which a node polls another node instead of the store.
 
-Times in an answer count from the arrival of the question. The asker adds them
-to the moment at which it asked, which lies before that arrival: knowledge
-never seems newer than it is, however long the answer was on its way.
+Times in an answer are relative to the arrival of the request. The receiver
+adds them to the time at which it sent the request, which is before that
+arrival: data never seems newer than it is, however long the answer took.
 """
 
 import attrs
@@ -19,11 +19,12 @@
 
 @attrs.frozen
 class NewsAsked(PeerMessage):
-    """A question; the answer waits up to `hold_s` for a change.
+    """Long-poll request; the answer waits up to `hold_s` for a change.
 
-    `process` names the asking process, under which it hands counts over.
-    `wants_configuration` is set by a node that cannot read it from the store,
-    however large it is.
+    `process` identifies the requesting process as the owner of the usage
+    counts that it hands over in `parcel`. `wants_configuration` asks for the
+    configuration whatever its size; it is set by a node that failed to read
+    it from the store.
     """
 
     number: int
@@ -38,10 +39,11 @@
 
 @attrs.frozen
 class ConfigurationNews:
-    """The newest revision, and when it was proven to be that.
+    """The latest revision, and when it was last confirmed to be the latest.
 
-    `proven_after_s` may be negative. `packed` is the text, compressed: some
-    hundred organisations and routes become a few KB.
+    `proven_after_s` is the time of the confirmation and may be negative.
+    `packed` is the compressed text: a few hundred organisations and routes
+    take a few KB.
     """
 
     revision: int
@@ -51,7 +53,7 @@
 
 @attrs.frozen
 class TargetNews:
-    """Changes of the registry, and when the listing was true with them."""
+    """Registry changes, and when the listing was last confirmed with them."""
 
     proven_after_s: float
     changes: ListingChanges
@@ -59,7 +61,7 @@
 
 @attrs.frozen
 class NewsTold(PeerMessage):
-    """The answer; what its sender does not know is left out."""
+    """Answer to a `NewsAsked`; fields that the sender lacks are None."""
 
     number: int
     configuration: ConfigurationNews | None = None
--- a/packages/gateway/dandelionyoke_gateway/_news_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_server.py
@@ -1,4 +1,8 @@
-"""Answers the questions of other nodes from what this one knows."""
+"""Server side of news requests: answers them from this node's state.
+
+News are the changes of the configuration and the registry, crashes, and the
+fleet's demand. Nodes request them from another node instead of the store.
+"""
 
 from collections.abc import Callable
 
@@ -13,26 +17,27 @@
     TargetNews,
 )
 
-# No question is held for longer, whatever it asks for.
+# Upper limit for the hold time that a request asks for.
 MAX_HOLD_S = 2.0
-# A larger configuration is read from the store by each node: sent to all of a
-# domain it would fill the link of a small machine (5 Mbit/s) for seconds.
+# A larger configuration is not sent unless requested; each node reads it from
+# the store. Sent to a whole domain, it would saturate the link of a small
+# machine (5 Mbit/s) for seconds.
 MAX_PACKED_BYTES = 16_384
-# More would not fit into a frame; its asker has to wait for the store.
+# More would not fit into a frame; the requesting node must wait for the store.
 MAX_REQUESTED_BYTES = 900_000
 
 Send = Callable[[InstanceId, PeerMessage], bool]
 
 
 class NewsServer:
-    """Holds each question until there is a change, or its time is over."""
+    """Answers long polls: on a change, or when the hold time is over."""
 
     def __init__(self, knowledge: Knowledge, send: Send) -> None:
         self._knowledge = knowledge
         self._send = send
 
     def handle_request(self, peer_id: InstanceId, request: NewsAsked) -> None:
-        """Answer one question; returns when the answer was sent."""
+        """Answer one request; return once the answer has been sent."""
         received_s = clock_s()
         self._knowledge.news_requested_s = received_s
         if request.parcel is not None:
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -1,4 +1,4 @@
-"""Asks another node for news instead of the store."""
+"""Client side of news requests: polls another node instead of the store."""
 
 from typing import TypeGuard
 
@@ -32,21 +32,22 @@
 from dandelionyoke_gateway._reliance import Reliance
 from dandelionyoke_links import PeerHub
 
-# A sound node answers within its hold and a few milliseconds, and takes a
-# link at once; what is slower is passed over, and the store is asked.
+# A healthy node answers within the hold time and a few milliseconds, and
+# accepts a link at once. A slower one is suspected, and the store is polled.
 ANSWER_MARGIN_S = 0.4
 LINK_TIMEOUT_S = 0.4
-# An answer that cannot be used comes at once each time it is asked for.
+# Limits the request rate: an answer that this node cannot use comes at once
+# each time it is requested.
 MIN_POLL_INTERVAL_S = 0.1
-# While nobody is to be asked, it is looked again whether this has changed.
+# How often to check for a node to poll while there is none.
 IDLE_INTERVAL_S = 0.25
-# A node whose answers are old for so long has lost the store. One that began
-# to ask the store more often because others ask it needs a second for that.
+# A node that sends stale answers for this long has lost the store. One that
+# has only just been polled needs a second to poll the store more often.
 STALE_TIMEOUT_S = 2.0
 
 
 class NewsTask:
-    """One question after the other to the node that asks the store."""
+    """Polls the domain's source node, one request at a time."""
 
     def __init__(
         self,
@@ -75,7 +76,7 @@
         self._last_fetch_s = NEVER_S
 
     def run(self, hub: PeerHub) -> None:
-        """Ask for as long as the process lives."""
+        """Poll until the process exits."""
         while True:
             member = self._knowledge.sources.whom_to_ask(
                 clock_s(), is_blind=self._reliance.is_blind(clock_s())
@@ -87,7 +88,7 @@
                 self._poll_member(hub, member)
 
     def handle_event(self, server: NewsServer, event: Event) -> None:
-        """Take what the links say."""
+        """Handle a link event; a request is answered in its own thread."""
         match event:
             case PeerConnected(peer_id=peer_id):
                 self._linked.add(peer_id)
@@ -101,7 +102,7 @@
         self._inbox.put(event)
 
     def _stop_polling(self) -> None:
-        """Ask nobody: save what others were to save."""
+        """Take back the counts handed over for saving, and drop old events."""
         self._source_id = ''
         self._stale_since_s = None
         self._knowledge.counts_sender.take_all_back()
@@ -229,10 +230,10 @@
     def _fetch_configuration(
         self, news: ConfigurationNews, source: str
     ) -> None:
-        """Read the newest configuration.
+        """Adopt the latest configuration.
 
-        A large one is not told to all but read from the store; where that
-        turns this node away, it asks for the text all the same.
+        A large one is not part of the news but read from the store. If that
+        fails, the next request asks for the text.
         """
         if news.packed is not None:
             self._configurations.adopt_packed(
@@ -257,8 +258,8 @@
     def _await_fetch_slot(self) -> None:
         """Wait until the store may be read again.
 
-        In a storm of changes each node would read each of them, and only the
-        newest one counts.
+        Limits store reads during a burst of changes: otherwise each node
+        would read every revision, although only the latest one matters.
         """
         due_s = self._last_fetch_s + self._reliance.fetch_interval_s
         eventlet.sleep(max(0, due_s - clock_s()))
@@ -267,7 +268,7 @@
     def _check_staleness(
         self, answer: NewsTold, member: Member, elapsed_s: float
     ) -> None:
-        """Pass a node over whose answers stay old."""
+        """Suspect a node if its answers stay stale for too long."""
         if self._reliance.is_fresh(answer, elapsed_s):
             self._stale_since_s = None
             return
--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_reliance.py
@@ -1,4 +1,4 @@
-"""When a node asks the store itself, and when it relies on another one."""
+"""When a node polls the store itself, and when it relies on another node."""
 
 import attrs
 
@@ -9,33 +9,33 @@
 
 @attrs.frozen
 class RelianceSettings:
-    """How old what another node tells may grow.
-
-    A node that others ask ends its watches on the configuration after
-    `relied_watch_share` of the bound on new configurations. What it tells is
-    at most two watches old, and the time for which a question is held. From
-    `configuration_share` of the bound on the store is asked instead, which
-    leaves a quarter for its answer. The registry is read each 0.4 of the
-    bound on leaving targets, a question is held for `hold_share` of it, and
-    `registry_share` leaves a quarter as well.
+    """How stale the data from another node may become.
+
+    A node that others poll ends its watches on the configuration after
+    `relied_watch_share` of `apply_s`, the time limit for new configurations.
+    Its answers are at most two watches and one hold time old. Data older than
+    `configuration_share` of the limit is read from the store instead, which
+    leaves a quarter of the limit for the store's answer. The registry is read
+    every 0.4 of `drain_s`, the time limit for draining targets, and a request
+    is held for `hold_share` of it; `registry_share` leaves a quarter as well.
     """
 
     relied_watch_share: float = 0.2
-    alone_watch_s: float = 1.5
+    default_watch_s: float = 1.5
     configuration_share: float = 0.75
     registry_share: float = 0.75
     hold_share: float = 0.2
-    # Configurations that come in quick succession are read from the store
-    # once in this share of the bound on new ones.
+    # During a burst of new configurations, the store is read once in this
+    # share of `apply_s`.
     fetch_share: float = 0.2
-    # Two watches in a row and a slow answer make a proof this old.
+    # Two watches in a row and a slow answer reach this age.
     blind_after_s: float = 3.2
-    # Asked by others within this time, a node is relied on.
+    # Others rely on a node that got a news request within this time.
     relied_within_s: float = 3.0
 
 
 class Reliance:
-    """Compares the age of what a node knows with the bounds."""
+    """Compares the age of a node's data with the time limits."""
 
     def __init__(
         self, knowledge: Knowledge, settings: RelianceSettings
@@ -51,28 +51,28 @@
         self.fetch_interval_s = settings.fetch_share * apply_s
 
     @property
-    def watch_s(self) -> float:
-        """How long a watch on the configuration waits."""
+    def watch_duration_s(self) -> float:
+        """The duration of a watch on the configuration."""
         is_relied_on = (
             clock_s() - self._knowledge.news_requested_s
             < self._settings.relied_within_s
         )
         if is_relied_on:
             return self._relied_watch_s
-        return self._settings.alone_watch_s
+        return self._settings.default_watch_s
 
     def configuration_wait_s(self, now_s: float) -> float:
-        """Tell for how long the store need not be asked; 0: ask it now."""
+        """Return for how long the configuration need not be polled."""
         proven_s = self._knowledge.freshness.proven_s
         return self._remaining_s(proven_s, self._configuration_s, now_s)
 
     def registry_wait_s(self, now_s: float) -> float:
-        """Tell for how long the store need not be asked; 0: ask it now."""
+        """Return for how long the registry need not be polled."""
         proven_s = self._knowledge.listing.proven_s
         return self._remaining_s(proven_s, self._registry_s, now_s)
 
     def is_blind(self, now_s: float) -> bool:
-        """Whether this node asks the store in vain."""
+        """Whether this node's polls of the store have failed for too long."""
         return not (
             _is_within(
                 self._knowledge.freshness.proven_s,
@@ -85,7 +85,7 @@
         )
 
     def is_fresh(self, answer: NewsTold, elapsed_s: float) -> bool:
-        """Whether an answer is new enough to rely on its sender."""
+        """Whether an answer is fresh enough to rely on its sender."""
         if answer.configuration is None or answer.targets is None:
             return False
         configuration_s = elapsed_s - answer.configuration.proven_after_s
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other, and how old that is."""
+"""News requests between nodes, and the age of the answers."""
 
 import zlib
 from random import Random
@@ -58,28 +58,28 @@
         )
         self.registry = RegistryKeeper(self.knowledge, log)
         self.sent: list[PeerMessage] = []
-        self.desk = NewsServer(self.knowledge, self.send)
+        self.server = NewsServer(self.knowledge, self.send)
 
     def send(self, peer_id: str, message: PeerMessage) -> bool:
         self.sent.append(message)
         return True
 
     def ask(self, hold_s: float = 0.0, **fields: object) -> NewsTold:
-        asked = NewsAsked(1, 'n-2.x', hold_s, 0)
+        request = NewsAsked(1, 'n-2.x', hold_s, 0)
         for name, value in fields.items():
-            object.__setattr__(asked, name, value)
-        self.desk.handle_request('n-2', asked)
-        told = self.sent[-1]
-        assert isinstance(told, NewsTold)
-        return told
+            object.__setattr__(request, name, value)
+        self.server.handle_request('n-2', request)
+        answer = self.sent[-1]
+        assert isinstance(answer, NewsTold)
+        return answer
 
 
 class NewsTest(NewsCase):
-    def test_old_knowledge_is_told_as_old(self) -> None:
-        """The node that is asked lost the store four seconds ago.
+    def test_stale_state_is_reported_as_stale(self) -> None:
+        """Guards against a revoked key that stays valid for too long.
 
-        Taken for new, what it says would keep a withdrawn key working past
-        its bound.
+        The answering node lost the store four seconds ago. Its answer must
+        not count as fresh.
         """
         self.configurations.adopt(configuration(), 7, 'store')
         self.configurations.prove(7, clock_s() - 4.0)
@@ -87,32 +87,32 @@
         self.assertLess(news.proven_after_s, -3.9)
         self.assertEqual(7, news.revision)
 
-    def test_a_proof_of_another_revision_proves_nothing(self) -> None:
+    def test_a_proof_of_another_revision_is_ignored(self) -> None:
         self.configurations.adopt(configuration(), 7, 'store')
         self.assertFalse(self.configurations.prove(8, clock_s()))
         self.assertIsNone(self.knowledge.freshness.proven_s)
 
-    def test_a_question_waits_for_a_change(self) -> None:
+    def test_a_request_waits_for_a_change(self) -> None:
         self.registry.replace([target('i-1')], clock_s())
         mark = self.ask().targets.changes.mark
-        began_s = clock_s()
+        started_s = clock_s()
         eventlet.spawn_after(
             0.1, self.registry.change, [target('i-2')], (), clock_s()
         )
         news = self.ask(1.0, mark=mark).targets
-        self.assertLess(clock_s() - began_s, 0.8)
+        self.assertLess(clock_s() - started_s, 0.8)
         self.assertEqual((target('i-2'),), news.changes.changed)
 
-    def test_a_question_ends_without_a_change(self) -> None:
+    def test_a_request_times_out_without_a_change(self) -> None:
         self.registry.replace([target('i-1')], clock_s())
-        began_s = clock_s()
+        started_s = clock_s()
         self.ask(0.2, mark=self.knowledge.listing.mark)
-        self.assertGreaterEqual(clock_s() - began_s, 0.19)
+        self.assertGreaterEqual(clock_s() - started_s, 0.19)
 
-    def test_older_news_do_not_call_a_leaving_target_back(self) -> None:
-        """This node read the registry; another one tells what was before.
+    def test_older_news_do_not_restore_a_leaving_target(self) -> None:
+        """Guards against calls to a target that has left.
 
-        Work would go to a target that has left.
+        Another node sends an older listing than this node has read.
         """
         now_s = clock_s()
         self.registry.replace([target('i-1', leaving=True)], now_s)
@@ -123,8 +123,8 @@
         self.assertEqual([], self.knowledge.registry.of_service('lm'))
         self.assertTrue(self.registry.take_news(changes, now_s + 1, 'n-2'))
 
-    def test_a_grace_ends_without_another_listing(self) -> None:
-        """Guards against work for a target that left during an outage."""
+    def test_a_grace_period_ends_without_another_listing(self) -> None:
+        """Guards against calls to a target that left during an outage."""
         settings = RegistrySettings(return_grace_s=0.1, outage_s=0)
         self.knowledge.registry = TargetRegistry(settings)
         self.registry.replace([target('i-1')], clock_s())
@@ -135,8 +135,8 @@
         eventlet.sleep(0.2)
         self.assertEqual([], self.knowledge.registry.of_service('lm'))
 
-    def test_a_configuration_travels_unless_it_is_large(self) -> None:
-        """A large one sent to all would fill a small machine's link."""
+    def test_a_configuration_is_sent_unless_it_is_large(self) -> None:
+        """Guards against large configurations that saturate a slow link."""
         self.configurations.adopt(configuration(), 7, 'store')
         self.configurations.prove(7, clock_s())
         packed = self.ask().configuration.packed
@@ -161,7 +161,7 @@
 
 
 class FakeStore:
-    """Holds one configuration, and counts how often it is read."""
+    """Holds one configuration and counts its reads."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -172,7 +172,7 @@
         return StoreItem('configuration', self.revision, configuration())
 
 
-class StormTest(NewsCase):
+class ConfigurationBurstTest(NewsCase):
     def setUp(self) -> None:
         super().setUp()
         self.store = FakeStore()
@@ -186,20 +186,20 @@
             DecisionLog(Lines(), 'n-1', Metrics()),
         )
 
-    def change(self) -> None:
-        """Write a configuration that is too large to be told whole."""
+    def apply_large_change(self) -> None:
+        """Commit a configuration that is too large to be part of the news."""
         self.store.revision += 1
         news = ConfigurationNews(self.store.revision, 0.0)
-        told = NewsTold(1, news)
+        answer = NewsTold(1, news)
         self.task._apply_answer(
-            told, Member('n-2', 'a', '10.0.0.2:7'), clock_s()
+            answer, Member('n-2', 'a', '10.0.0.2:7'), clock_s()
         )
 
-    def test_a_storm_of_configurations_is_read_a_few_times(self) -> None:
-        """Guards against store reads that grow with nodes times changes."""
+    def test_a_burst_of_configurations_causes_few_reads(self) -> None:
+        """Guards against store reads in proportion to nodes times changes."""
         until_s = clock_s() + 0.5
         while clock_s() < until_s:
-            self.change()
+            self.apply_large_change()
             eventlet.sleep(0.01)
         self.assertLess(self.store.reads, 4)
         self.assertEqual(
@@ -207,19 +207,19 @@
         )
         self.assertIsNotNone(self.knowledge.freshness.proven_s)
 
-    def test_reading_a_configuration_makes_no_answer_old(self) -> None:
-        """Guards against passing a sound node over in a storm of changes."""
-        asked = Member('n-2', 'a', '10.0.0.2:7')
+    def test_reading_a_configuration_makes_no_answer_stale(self) -> None:
+        """Guards against a healthy node suspected in a burst of changes."""
+        member = Member('n-2', 'a', '10.0.0.2:7')
         changes = ListingChanges(ListingMark('n-2', 1), True, (), ())
         for _ in range(2):
             self.store.revision += 1
-            told = NewsTold(
+            answer = NewsTold(
                 1,
                 ConfigurationNews(self.store.revision, 0.0),
                 TargetNews(-1.3, changes),
             )
-            self.task._request_news = lambda hub, member: told  # noqa: B023
-            self.task._poll_member(None, asked)
+            self.task._request_news = lambda hub, member: answer  # noqa: B023
+            self.task._poll_member(None, member)
         self.assertIsNone(self.task._stale_since_s)
 
 
@@ -229,22 +229,22 @@
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(3))
         self.reliance = Reliance(self.knowledge, RelianceSettings())
 
-    def test_a_node_that_knows_nothing_asks_the_store(self) -> None:
+    def test_a_new_node_polls_the_store(self) -> None:
         self.assertEqual(0, self.reliance.configuration_wait_s(clock_s()))
         self.assertEqual(0, self.reliance.registry_wait_s(clock_s()))
         self.assertTrue(self.reliance.is_blind(clock_s()))
 
-    def test_what_was_told_counts_for_three_quarters_of_its_bound(self) -> None:
-        """The node that is asked falls silent.
+    def test_news_are_relied_on_for_three_quarters_of_the_limit(self) -> None:
+        """Guards against calls to leaving targets or by outdated routes.
 
-        A quarter of the bound is left to ask the store instead, before a
-        leaving target or an old route would get work too late.
+        If the source node stops answering, a quarter of the time limit must
+        be left to poll the store instead.
         """
         sources = self.knowledge.sources
         other = next(
             name
             for name in ('m-1', 'm-2', 'm-3', 'm-4', 'm-5', 'm-6')
-            if self.becomes_first(name)
+            if self.is_ranked_first(name)
         )
         now_s = clock_s()
         self.knowledge.freshness.prove(now_s)
@@ -254,7 +254,7 @@
         sources.suspect(other, now_s)
         self.assertEqual(0, self.reliance.registry_wait_s(now_s))
 
-    def becomes_first(self, name: str) -> bool:
+    def is_ranked_first(self, name: str) -> bool:
         sources = self.knowledge.sources
         sources.take_members([Member(name, 'a', '10.0.0.2:7')])
         return not sources.is_source(0)
