--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -1,4 +1,7 @@
-"""The duty of the fleet: who holds it, and until when."""
+"""Leader election for the fleet: the duty, held under a lease in the store.
+
+The duty's holder is the one node that orders engines and reports usage.
+"""
 
 from eventlet import spawn_n
 from eventlet.queue import Empty, LightQueue
@@ -32,34 +35,34 @@
 DUTY_NAME = 'fleet'
 ALL_DOMAINS = Domain('all')
 
-# The lease outlives three renewals that are lost, one after the other; a
-# holder that is killed is replaced after it, which leaves time to report a
-# window before it is due.
+# The lease outlives three lost renewals in a row. A killed holder is replaced
+# when its lease expires, early enough to report a usage window in time.
 MIN_LEASE_TTL_S = 4.0
 RENEW_INTERVAL_S = 1.0
 RENEW_RETRY_INTERVAL_S = 0.3
-# The store answers within milliseconds; past this an answer is lost.
+# The store answers within milliseconds; after this an answer counts as lost.
 CALL_TIMEOUT_S = 1.0
 INITIAL_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 0.8
 
-# While nobody holds the duty nothing is ordered; a look costs a call of each
-# node.
+# How often candidates check whether the duty is free. Nothing is ordered
+# while nobody holds it; each check costs one store call per candidate.
 POLL_INTERVAL_S = 2.5
-# So many of the nodes try to get the duty, or the looks would grow with the
-# fleet; fewer could all lie in a domain that is lost.
+# Only this many nodes compete for the duty, because store calls would
+# otherwise grow with the fleet. With fewer, all of them could be in a failure
+# domain that is lost.
 MAX_CANDIDATES = 6
-# A former holder stays away for the time in which two holders may not take
-# turns, and this factor of it.
+# Two holders may not alternate within `duty_turn_s`. A former holder does not
+# compete for this many times that period.
 RETURN_PAUSE_FACTOR = 1.5
 
-# An order may be on its way for so long before its connection is reset. It
-# must not arrive after the end of its holder's term.
+# The longest time that an order may be in transit before its connection is
+# reset. It must not arrive after its holder's lease has ended.
 MAX_SEND_TIME_S = 1.0
 
 
 class DutyTask:
-    """Holds, or waits for, the duty under a lease of the store."""
+    """Competes for the duty and renews its lease while this node holds it."""
 
     def __init__(
         self, knowledge: Knowledge, store: Store, log: DecisionLog
@@ -95,25 +98,28 @@
 
     @property
     def stamp(self) -> DutyStamp | None:
-        """The authority to act right now; None: there is none."""
+        """The authority to act now; None if this node does not hold the duty.
+
+        Its time limit ends `MAX_SEND_TIME_S` before the lease does.
+        """
         send_until_s = self._held_until_s - MAX_SEND_TIME_S
         if clock_s() >= send_until_s:
             return None
         return DutyStamp(self._own_id, self._fencing_token, send_until_s)
 
     def run(self) -> None:
-        """Take part for as long as the process lives."""
+        """Compete for the duty until the process exits."""
         self._handle_event(PeersKnown((self._own_id,), (self._own_id,)))
         while True:
             self._handle_event(self._next_event())
 
     def take_members(self, members: tuple[str, ...]) -> None:
-        """Take which nodes there are; a few of them try to get the duty."""
+        """Update the list of nodes; a few of them compete for the duty."""
         member_ids = tuple(InstanceId(member) for member in members)
         self._inbox.put(PeersKnown(member_ids, member_ids))
 
     def leave(self) -> None:
-        """Hand the duty over."""
+        """Release the duty so that another node can take it."""
         self._inbox.put(Leaving())
 
     def _next_event(self) -> Event:
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -1,4 +1,7 @@
-"""What the duty's holder orders: how many engines of each kind."""
+"""Autoscaling: the duty's holder orders on-demand and spot engines.
+
+Spot engines are called reclaimable in the code.
+"""
 
 import attrs
 from eventlet import sleep
@@ -23,23 +26,23 @@
 )
 
 CHECK_INTERVAL_S = 0.5
-# A number that was ordered shows in the registry after the engines' start
-# and a heartbeat; it is ordered again when it then still differs.
+# An ordered count shows in the registry after the engines have started and
+# sent a heartbeat. If it still differs after this, it is ordered again.
 ORDER_EFFECT_TIMEOUT_S = 8.0
 ORDER_RETRY_INTERVAL_S = 2.0
-# A change shows in the registry after a heartbeat and a reading of it.
+# A change is visible here after a heartbeat and a read of the registry.
 REGISTRY_LAG_S = 2.0
-# A domain that had no reclaimable engines is counted on again after this; it
-# has to outlast the pause between two tries.
+# A refusal of reclaimable engines by a domain expires after this. Must be
+# longer than the interval between two attempts.
 REFUSAL_TTL_S = 3.0
-# Engines enter themselves within three heartbeats of a common start; to count
-# before that would order engines in place of some that are on their way.
+# When the whole fleet starts, engines register within three heartbeats. A
+# count before that would order replacements for engines that are starting.
 STARTUP_SETTLE_S = 4.0
 
 
 @attrs.frozen
 class _PendingOrder:
-    """An order that has its time, and the most engines seen since."""
+    """The last order for a count, and the most engines seen since it."""
 
     count: int
     max_present: int
@@ -48,17 +51,17 @@
     def is_awaited(
         self, wanted: WantedCount, present: int, now_s: float
     ) -> bool:
-        """Whether what was ordered is waited for.
+        """Whether the order may still take effect.
 
-        Once engines are taken away it is not: their domain would be without
-        them for seconds.
+        False once engines have gone: their domain would be without them for
+        seconds.
         """
         is_enough = wanted.count <= self.count and present >= self.max_present
         return is_enough and now_s < self.expires_s
 
 
 class EngineCountTask:
-    """Orders the numbers of engines that are wanted, under the duty."""
+    """Orders the planned numbers of engines while this node holds the duty."""
 
     def __init__(
         self,
@@ -76,14 +79,14 @@
         self._plan = EnginePlan(EnginePlanSettings())
         self._first_listed_s: float | None = None
         self._pending_orders: dict[tuple[str, str, bool], _PendingOrder] = {}
-        # Domains in which no reclaimable engines were to be had, until when.
+        # By service and domain, when a refusal of reclaimable engines expires.
         self._refused_until_s: dict[tuple[str, str], float] = {}
 
     def run(self) -> None:
-        """Compare for as long as the process lives."""
+        """Compare planned and registered engines until the process exits."""
         while True:
             sleep(CHECK_INTERVAL_S)
-            # Known before the duty comes: a new holder acts at once.
+            # Recorded without the duty too: a new holder acts at once.
             self._record_first_listing()
             if self._duty.stamp is not None:
                 self._reconcile()
@@ -100,12 +103,12 @@
         self, service: Service, wanted: WantedCount, present: int
     ) -> None:
         if wanted.is_reclaimable and not self._has_settled():
-            # Those that come are followed by some that go.
+            # Once the new engines have started, others are removed.
             boot_s = service.scaling.boot_s if service.scaling else 0
             self._changes.expect(boot_s + REGISTRY_LAG_S)
         elif not wanted.is_reclaimable and wanted.count < present:
             self._changes.expect(REGISTRY_LAG_S)
-            # They leave room for more reclaimable ones than were ordered.
+            # More reclaimable engines than ordered are now wanted instead.
             self._pending_orders.pop((service.name, wanted.domain, True), None)
 
     def _fleet_need(self, service: str) -> FleetNeed:
--- a/packages/gateway/dandelionyoke_gateway/_phase_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_phase_task.py
@@ -1,4 +1,4 @@
-"""What the duty's holder orders: which engine does which phase."""
+"""Assigns the prefill or decode phase to engines, under the duty."""
 
 from collections.abc import Sequence
 
@@ -25,46 +25,44 @@
 )
 
 CHECK_INTERVAL_S = 0.5
-# An engine that took an order says so in the registry within a heartbeat,
-# the registry's lag and the switch itself; until then its new phase is
-# assumed.
+# The registry shows an accepted order after a heartbeat, the registry's lag
+# and the switch itself. Until then the new phase is assumed.
 ORDER_EFFECT_TIMEOUT_S = 5.0
 ORDER_RETRY_INTERVAL_S = 1.5
-# Of the calls that wait at an engine, those that count as streams: a share
-# of its slots.
+# Calls that wait at an engine count as streams up to this share of its slots.
 WAITING_STREAM_SHARE = 0.25
 
 
 @attrs.frozen
 class _AssumedPhase:
-    """The phase that an engine is taken to have, until when."""
+    """The phase that an engine is assumed to have, and until when."""
 
     phase: Phase
     expires_s: float
 
 
 class FleetChanges:
-    """Until when the numbers of engines are changing by our own orders.
+    """Tracks until when engines start or stop because of this fleet's orders.
 
-    Phases that are chosen meanwhile are chosen for engines that the platform
-    is about to take away, and those that stay need seconds to change again.
+    Phases chosen meanwhile may go to engines that the platform is about to
+    remove, and the engines that stay need seconds to switch again.
     """
 
     def __init__(self) -> None:
         self._until_s = 0.0
 
     def expect(self, duration_s: float) -> None:
-        """Note that engines will come or go for so long."""
+        """Expect engines to start or stop for the next `duration_s` seconds."""
         self._until_s = max(self._until_s, clock_s() + duration_s)
 
     @property
     def in_progress(self) -> bool:
-        """Whether engines are still coming or going."""
+        """Whether engines are still expected to start or stop."""
         return clock_s() < self._until_s
 
 
 class PhaseTask:
-    """Keeps the engines' phases in step with the mix, under the duty."""
+    """Adapts the engines' phases to the load while this node has the duty."""
 
     def __init__(
         self,
@@ -85,7 +83,7 @@
         self._assumed_phases: dict[str, _AssumedPhase] = {}
 
     def run(self) -> None:
-        """Compare for as long as the process lives."""
+        """Compare planned and registered phases until the process exits."""
         while True:
             sleep(CHECK_INTERVAL_S)
             self._reconcile()
@@ -100,8 +98,8 @@
 
     def _reconcile_service(self, service: str) -> None:
         now_s = clock_s()
-        # Those that crashed make no tokens, although the registry still
-        # lists them: others have to take their place now.
+        # Crashed engines are still listed in the registry but generate no
+        # tokens, so others must replace them now.
         registered = [
             target
             for target in self._knowledge.registry.of_service(service)
@@ -121,7 +119,7 @@
         )
         load = self._phase_load(service, engines, settled, now_s)
         if self._duty.stamp is None:
-            # A new holder knows how much there was to do of late.
+            # Keep the load history current in case this node gains the duty.
             plan.observe(load, now_s)
             return
         for change in plan.changes(engines, load, now_s, settled):
@@ -189,11 +187,11 @@
         settled: frozenset[str],
         now_s: float,
     ) -> PhaseLoad:
-        """Tell what both phases have to do.
+        """Estimate the load of both phases.
 
-        Streams that wait grow in number while they wait, and most would be
-        done by the time that an engine has changed: they count only up to a
-        share of the slots of the engines that decode already.
+        Waiting streams accumulate, and most would be finished by the time
+        that an engine has switched. So they count only up to a share of the
+        slots of the engines that already decode.
         """
         expected = self._knowledge.demand.expected(
             service, self._knowledge.node_count, now_s
@@ -211,10 +209,10 @@
         expected: float,
         now_s: float,
     ) -> float:
-        """Count the streams at the engines that decode.
+        """Estimate the streams in flight at the decode engines.
 
-        An engine that has told its load of late is counted by it, all others
-        by the streams that the nodes of a domain have under way.
+        Engines with a recent load report count by it, all others by the
+        streams that the nodes of a domain have in flight.
         """
         if not decode:
             return 0
--- a/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
@@ -1,4 +1,7 @@
-"""Counts of what began to run: saved by all, reported by the holder."""
+"""Usage counts of started calls.
+
+Every node saves its counts; the holder of the duty reports them.
+"""
 
 from eventlet import sleep
 
@@ -33,32 +36,34 @@
 
 COUNTS_PREFIX = 'counts/'
 REPORTS_PREFIX = 'reports/'
-# Counts are wanted until their window is reported, which is due within
-# seconds; their leases remove them some windows later.
+# Counts are needed until their window is reported, which is due within
+# seconds. Their leases remove them a few windows later.
 RECORDS_TTL_S = 60.0
 
-# What a killed process has not saved is missing in the report, and each save
-# has a price: a busy node, whose counts are a large part of the report, saves
-# each second, one with less than SAVE_CALLS new ones later.
+# Counts that a killed process has not saved are missing from the report, but
+# each save has a cost. A busy node, with a large part of all counts, saves
+# every second; one with fewer than MIN_CALLS_TO_SAVE new calls saves less
+# often.
 SAVE_INTERVAL_S = 1.0
 MIN_CALLS_TO_SAVE = 4
 MAX_SAVE_INTERVAL_S = 2.0
 # Another node takes this one's counts if it answered within this time.
 NEWS_FRESH_S = 1.5
-# A window is closed this long after its end, when all have saved it twice.
+# A window is closed this long after its end, when all nodes have saved their
+# counts twice.
 CLOSE_DELAY_S = 4.5
 REPORT_CHECK_INTERVAL_S = 0.5
 KEPT_REVISION_WINDOWS = 8
-# Windows are reported within seconds; older figures than this many windows
-# are removed, a few after each report, those of earlier holders included.
+# Windows are reported within seconds. Records older than this many windows,
+# including those of earlier holders, are removed, a few after each report.
 KEPT_REPORT_WINDOWS = 12
 MAX_REPORTS_REMOVED = 4
-# A report has to arrive within the bound; this much is kept for its way.
+# Time reserved for a report to arrive before `usage_late_s`.
 LATE_MARGIN_S = 0.5
 
 
 class CountsTask:
-    """Saves this process's counts, so that they outlive it."""
+    """Saves this process's counts to the store, so that they outlive it."""
 
     def __init__(self, knowledge: Knowledge, store: Store) -> None:
         self._knowledge = knowledge
@@ -68,7 +73,7 @@
         self._saved_s = 0.0
 
     def run(self) -> None:
-        """Save for as long as the process lives."""
+        """Save until the process exits."""
         random = self._knowledge.random
         while True:
             sleep(SAVE_INTERVAL_S * random.uniform(0.8, 1))
@@ -76,7 +81,7 @@
                 self.save()
 
     def finish(self) -> None:
-        """Save all before the end, what others were to save included."""
+        """Save all counts on shutdown, including those handed over."""
         self._knowledge.counts_sender.take_all_back()
         self.save()
 
@@ -88,13 +93,13 @@
         if knowledge.counts_receiver.has_unsaved:
             return True
         if now_s - knowledge.news_received_s < NEWS_FRESH_S:
-            # The node that is asked for news takes the counts as well.
+            # The node that answers news requests takes the counts too.
             return False
         has_enough = knowledge.usage.unsaved >= MIN_CALLS_TO_SAVE
         return has_enough or since_save_s >= MAX_SAVE_INTERVAL_S
 
     def save(self) -> None:
-        """Save what changed since the last time."""
+        """Save the windows that changed since the last save."""
         usage, receiver = self._knowledge.usage, self._knowledge.counts_receiver
         self._saved_s = clock_s()
         received = receiver.received()
@@ -129,8 +134,8 @@
                 self._revisions[window_id] = revision
                 return True
             case StoreConflict(present=present):
-                # The answer to an earlier save was lost; nobody else writes
-                # this key.
+                # The answer to an earlier save was lost; no other process
+                # writes this key.
                 self._revisions[window_id] = present.revision
         return False
 
@@ -154,7 +159,7 @@
         self._reported: set[int] = set()
 
     def run(self) -> None:
-        """Look for windows to report for as long as the process lives."""
+        """Report windows that are due until the process exits."""
         while True:
             sleep(REPORT_CHECK_INTERVAL_S)
             if self._duty.stamp is not None:
@@ -196,12 +201,12 @@
             self._remove_old_reports(window_id - KEPT_REPORT_WINDOWS)
 
     def _close_window(self, window_id: int) -> WindowCounts | None:
-        """Fix the figures of a window for good; None: not yet possible.
+        """Fix a window's totals permanently; None if not yet possible.
 
-        The record is created once. Whoever reports the window, now or after
-        a change of holder, reports what it says, so that no two reports of
-        one window differ. It has no lease: were it gone with one, the next
-        holder would fix other figures and report the window again.
+        The record is created once. Every report of the window, also after a
+        change of holder, uses its totals, so that no two reports of one
+        window differ. It has no lease: if it expired, the next holder would
+        fix other totals and report the window again.
         """
         listing = self._store.perform(
             StoreList(OperationId('counts'), f'{COUNTS_PREFIX}{window_id}/')
@@ -231,7 +236,7 @@
         return None
 
     def _remove_old_reports(self, oldest: int) -> None:
-        """Remove the figures of windows that nobody reports any more."""
+        """Remove the totals of windows that are no longer reported."""
         listing = self._store.perform(
             StoreList(OperationId('reports'), REPORTS_PREFIX, may_be_old=True)
         )
@@ -252,10 +257,10 @@
 
 
 def _read_record(item: StoreItem) -> WindowRecord | None:
-    """Read a saved record; None for one of another form."""
+    """Parse a saved record; None if its format is unknown."""
     try:
         return record_from_json(item.value or '', WindowRecord)
     except CodecError:
-        # Another version's record: its counts are missing in the report,
-        # which then shows fewer calls than there were.
+        # Written by another version: its counts are missing from the report,
+        # which then shows too few calls.
         return None
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -1,4 +1,4 @@
-"""What the numbers of engines follow when an order is not accepted."""
+"""Orders for engines that the platform does not accept."""
 
 from random import Random
 
@@ -22,15 +22,15 @@
 
 
 class HeldDuty:
-    """A duty that is held."""
+    """A duty that this node holds."""
 
     @property
     def stamp(self) -> DutyStamp:
         return DutyStamp('n-1', 9, clock_s() + 5)
 
 
-class Orders:
-    """A platform that answers each order in the same way."""
+class FakePlatform:
+    """A platform that answers each order with the same outcome."""
 
     def __init__(self, outcome: DutyOutcome) -> None:
         self._outcome = outcome
@@ -40,14 +40,14 @@
 
 
 class UnacceptedOrderTest(testtools.TestCase):
-    def refusing(self, outcome: DutyOutcome) -> list[str]:
-        """Order reclaimable engines; list the domains that have none."""
+    def refusing_domains(self, outcome: DutyOutcome) -> list[str]:
+        """Order reclaimable engines; list the domains that count as refusing."""
         log = DecisionLog(Lines(), 'n-1', Metrics())
         self.addCleanup(log.close)
         task = EngineCountTask(
             new_knowledge(new_settings(), Random(3)),
             HeldDuty(),
-            Orders(outcome),
+            FakePlatform(outcome),
             FleetChanges(),
             log,
         )
@@ -55,11 +55,11 @@
         return list(task._fleet_need('lm').refusing)
 
     def test_a_domain_that_refuses_has_no_reclaimable_engines(self) -> None:
-        self.assertEqual(['a'], self.refusing(DutyOutcome.REFUSED))
+        self.assertEqual(['a'], self.refusing_domains(DutyOutcome.REFUSED))
 
-    def test_an_order_that_was_not_sent_is_no_refusal(self) -> None:
-        """Guards against on-demand engines ordered since a link was cut."""
-        self.assertEqual([], self.refusing(DutyOutcome.NOT_SENT))
+    def test_an_unsent_order_is_no_refusal(self) -> None:
+        """Guards against on-demand engines ordered because a link was cut."""
+        self.assertEqual([], self.refusing_domains(DutyOutcome.NOT_SENT))
 
-    def test_an_order_in_doubt_is_no_refusal(self) -> None:
-        self.assertEqual([], self.refusing(DutyOutcome.UNKNOWN))
+    def test_an_order_with_unknown_outcome_is_no_refusal(self) -> None:
+        self.assertEqual([], self.refusing_domains(DutyOutcome.UNKNOWN))
--- a/tests/gateway/test_phase_task.py
+++ b/tests/gateway/test_phase_task.py
@@ -1,4 +1,4 @@
-"""What the phases of engines follow."""
+"""The estimate of streams in flight that decides the engines' phases."""
 
 from random import Random
 
@@ -51,21 +51,24 @@
         )
 
     def streams(self) -> float:
-        settled = frozenset(one.target_id for one in self.engines)
+        settled = frozenset(target.target_id for target in self.engines)
         load = self.task._phase_load('lm', self.engines, settled, clock_s())
         return load.streams
 
-    def test_one_call_in_195_counts_by_the_demand(self) -> None:
-        """Guards against too few decode engines in a large fleet."""
+    def test_engines_without_load_reports_count_by_demand(self) -> None:
+        """Guards against too few decode engines in a large fleet.
+
+        A node that sees one call in 195 must use the demand of all nodes.
+        """
         self.assertEqual(60, self.streams())
 
-    def test_engines_that_tell_their_load_count_by_it(self) -> None:
-        """Guards against prefill engines lost to an estimate too high."""
-        for one in self.engines:
-            self.knowledge.loads.reported(one.target_id, 5, clock_s())
+    def test_engines_with_load_reports_count_by_them(self) -> None:
+        """Guards against too few prefill engines for an estimate too high."""
+        for target in self.engines:
+            self.knowledge.loads.reported(target.target_id, 5, clock_s())
         self.assertEqual(10, self.streams())
 
-    def test_one_engine_of_two_tells_its_load(self) -> None:
-        """Guards against a jump of the count with each answer."""
+    def test_one_engine_of_two_reports_its_load(self) -> None:
+        """Guards against an estimate that jumps with each load report."""
         self.knowledge.loads.reported('i-1', 30, clock_s())
         self.assertEqual(45, self.streams())
