--- a/packages/gateway/dandelionyoke_gateway/_backlog_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_backlog_task.py
@@ -1,7 +1,8 @@
-"""Tells the nodes that place prompts what each has placed.
+"""Shares prefill backlogs between the source nodes of the failure domains.
 
-They choose among the same engines. Without this each of them would find an
-engine idle at which the others have prompts under way.
+A domain's source node assigns prefills to engines, and all source nodes
+choose among the same engines. Without these messages, each would consider an
+engine idle that is busy with prefills of the other domains.
 """
 
 import eventlet
@@ -14,14 +15,14 @@
 from dandelionyoke_gateway._source_links import SourceLinks
 
 CHECK_INTERVAL_S = 0.05
-# Told again without a change, within the time for which it counts.
+# An unchanged backlog is sent again this often, before receivers expire it.
 HEARTBEAT_INTERVAL_S = 0.25
 
 Backlogs = dict[str, dict[str, int]]
 
 
 class BacklogTask:
-    """Tells and takes the prompts under way, by service and engine."""
+    """Sends and receives prefill backlogs, by service and engine."""
 
     def __init__(
         self, links: SourceLinks, knowledge: Knowledge, log: DecisionLog
@@ -33,14 +34,14 @@
         self._last_sent_s = NEVER_S
 
     def run(self) -> None:
-        """Tell for as long as the process lives."""
+        """Send backlogs until the process exits."""
         while True:
             eventlet.sleep(CHECK_INTERVAL_S)
             if self._knowledge.sources.is_source(clock_s()):
                 self._send_if_due()
 
     def handle_event(self, event: Event) -> bool:
-        """Take an event of the links; tell whether it was for this part."""
+        """Handle a link event; return whether it was a backlog message."""
         if not isinstance(event, PeerMessageArrived):
             return False
         if not isinstance(event.message, BacklogTold):
@@ -69,12 +70,12 @@
     def _record_backlog(
         self, peer_id: InstanceId, message: BacklogTold
     ) -> None:
-        if not message.is_possible:
+        if not message.is_valid:
             self._log.decide(
                 'placing.dropped',
                 peer_id,
                 outcome='ignored',
-                cause='impossible backlog',
+                cause='invalid backlog',
             )
             return
         self._links.mark_heard(peer_id)
--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -1,4 +1,4 @@
-"""The prefill queue of a failure domain, as each of its nodes sees it."""
+"""Client side of the prefill queue that a failure domain shares."""
 
 import itertools
 
@@ -28,8 +28,8 @@
     TooLateError,
 )
 
-# A sound node of the domain answers within milliseconds, or after it has read
-# a new configuration.
+# A healthy node of the domain answers within milliseconds, or after it has
+# read a new configuration.
 ANSWER_TIMEOUT_S = 0.2
 REQUEST_NUMBER_BITS = 48
 
@@ -42,7 +42,11 @@
 
 
 class DomainPrefillQueue:
-    """Asks the node that places for the domain; places itself without it."""
+    """Requests engines from the domain's source node.
+
+    Falls back to the local queue if there is no such node or it does not
+    answer.
+    """
 
     def __init__(
         self,
@@ -54,19 +58,24 @@
         self._knowledge = knowledge
         self._log = log
         self._source = DomainSource(knowledge)
-        # Another process of this instance may have places there still.
+        # An earlier process of this instance may still hold grants there, so
+        # numbering starts at a random value.
         first_number = knowledge.random.getrandbits(REQUEST_NUMBER_BITS)
         self._request_numbers = itertools.count(first_number)
-        # By the turn id of the grant that may follow.
+        # By the turn ID of the grant that may follow.
         self._pending: dict[str, _PendingRequest] = {}
 
     def attach(self, send: Send) -> None:
-        """Take how messages leave, once there are links."""
+        """Set the function that sends messages, once the links are open."""
         self._source.attach(send)
         self._knowledge.loads.listen(self._report_failure)
 
     def enter(self, request: PrefillRequest) -> PrefillGrant:
-        """Wait for an engine."""
+        """Wait for an engine.
+
+        Raises:
+            TooLateError: no engine could start before the deadline.
+        """
         peer_id = self._source.find()
         if peer_id is not None:
             grant = self._request_grant(peer_id, request)
@@ -75,7 +84,7 @@
         return self._local_queue.enter(request)
 
     def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
-        """Give a place back to whoever gave it."""
+        """Release a grant at the node that issued it."""
         pending = self._pending.pop(grant.turn_id, None)
         if pending is None:
             self._local_queue.leave(grant, result)
@@ -86,13 +95,13 @@
             state.pace.took(grant.request.prompt, result.read_s)
 
     def handle_response(self, response: PrefillTold) -> None:
-        """Take an answer."""
+        """Pass an answer on to the request that waits for it."""
         pending = self._pending.get(_turn_id(response.number))
         if pending is not None:
             pending.responses.put(response)
 
     def handle_disconnect(self, peer_id: InstanceId) -> None:
-        """End the questions to a node whose link has ended."""
+        """End the pending requests to a node after its link was closed."""
         for pending in tuple(self._pending.values()):
             if pending.peer_id == peer_id:
                 pending.responses.put(None)
@@ -100,10 +109,10 @@
     def _request_grant(
         self, peer_id: InstanceId, request: PrefillRequest
     ) -> PrefillGrant | None:
-        """Ask a node; None: it cannot tell, and this one decides.
+        """Request a grant from a node; None means to use the local queue.
 
         Raises:
-            TooLateError: no engine could begin while that is of use.
+            TooLateError: no engine could start before the deadline.
         """
         pending = _PendingRequest(next(self._request_numbers), peer_id)
         turn_id = _turn_id(pending.number)
@@ -141,9 +150,10 @@
     def _resolve_placement(
         self, response: PrefillTold, request: PrefillRequest
     ) -> PrefillHome | None:
-        """Find the engines that were named, as this node knows them.
+        """Look up the granted engines in this node's registry.
 
-        It may know that one has left which the other node still lists.
+        This node may already know that an engine has left which the other
+        node still lists.
         """
         target = self._find_usable_target(response.target_id, request)
         if target is None:
@@ -168,7 +178,7 @@
             self._knowledge.loads.suspected(target_id, clock_s())
 
     def _report_failure(self, target_id: str, failure: TargetFailure) -> None:
-        """Tell a failure to the node that places calls there."""
+        """Report a target's failure to the domain's source node."""
         peer_id = self._source.find()
         if peer_id is not None:
             self._source.send(peer_id, TargetFailed(target_id, failure))
--- a/packages/gateway/dandelionyoke_gateway/_limit_messages.py
+++ b/packages/gateway/dandelionyoke_gateway/_limit_messages.py
@@ -1,4 +1,4 @@
-"""How nodes keep the limits of organisations together."""
+"""Messages with which nodes enforce the organisations' rate limits jointly."""
 
 import math
 
@@ -10,21 +10,21 @@
 
 @attrs.frozen
 class ChargeAsked(PeerMessage):
-    """A call that is large against its limit; `number` names the question."""
+    """Request to charge a large call; `number` identifies the request."""
 
     number: int
     organisation: str
     amount: float
 
     @property
-    def is_possible(self) -> bool:
-        """Whether the amount can be that of a call."""
+    def is_valid(self) -> bool:
+        """Whether the amount is valid: finite and not negative."""
         return math.isfinite(self.amount) and self.amount >= 0
 
 
 @attrs.frozen
 class ChargeTold(PeerMessage):
-    """The answer to a question."""
+    """Answer to a `ChargeAsked` with the same number."""
 
     number: int
     verdict: LimitVerdict
@@ -32,31 +32,31 @@
 
 @attrs.frozen
 class UseReported(PeerMessage):
-    """What a node let in by itself or refunds, by organisation."""
+    """What a node admitted locally, less its refunds, by organisation."""
 
     amounts: dict[str, float]
 
     @property
-    def is_possible(self) -> bool:
-        """Whether the amounts are numbers."""
+    def is_valid(self) -> bool:
+        """Whether all amounts are finite."""
         return all(map(math.isfinite, self.amounts.values()))
 
 
 @attrs.frozen
 class OverLimit(PeerMessage):
-    """Organisations that are over their limits, and for how long yet."""
+    """Organisations over their limits, with the seconds that remain."""
 
     for_s: dict[str, float]
 
 
 @attrs.frozen
 class GroupUseTold(PeerMessage):
-    """What one limiter has let in since its start."""
+    """What one domain's limiter has admitted since its start."""
 
     use: GroupUse
 
     @property
-    def is_possible(self) -> bool:
-        """Whether the figures can be those of a limiter."""
+    def is_valid(self) -> bool:
+        """Whether all figures are finite and the node count not negative."""
         is_finite = all(map(math.isfinite, self.use.spent.values()))
         return self.use.nodes >= 0 and is_finite
--- a/packages/gateway/dandelionyoke_gateway/_limit_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_limit_server.py
@@ -1,7 +1,7 @@
-"""Keeps the limits of organisations for the nodes of a failure domain.
+"""Enforces the organisations' rate limits for the nodes of a failure domain.
 
-The nodes that do this in the domains of the fleet tell one another what they
-have let in.
+The source nodes that do this in each domain tell each other how much they
+have admitted.
 """
 
 import eventlet
@@ -22,13 +22,13 @@
 
 CHECK_INTERVAL_S = 0.1
 HEARTBEAT_INTERVAL_S = 0.3
-# A node that was asked keeps the limits for so long, whatever it thinks of
-# its rank: those that ask it may know better.
+# After a request, a node acts as its domain's limiter for this long, even if
+# it does not consider itself the source node: the sender may know better.
 SERVE_AFTER_REQUEST_S = 1.0
 
 
 class LimitServer:
-    """Answers other nodes of the domain and tells those of other domains."""
+    """Answers nodes of its domain and reports use to the other domains."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._last_sent_s = NEVER_S
 
     def handle_event(self, event: Event) -> bool:
-        """Take an event of the links; tell whether it was for this part."""
+        """Handle a link event; return whether it was a rate limit message."""
         match event:
             case PeerMessageArrived(
                 peer_id=peer_id, message=ChargeAsked() as request
@@ -69,14 +69,14 @@
         return True
 
     def run(self) -> None:
-        """Tell other limiters for as long as the process lives."""
+        """Report use to other limiters until the process exits."""
         while True:
             eventlet.sleep(CHECK_INTERVAL_S)
             self._update()
 
     def _handle_charge(self, peer_id: InstanceId, request: ChargeAsked) -> None:
-        if not request.is_possible:
-            self._log_dropped(peer_id, 'impossible amount')
+        if not request.is_valid:
+            self._log_dropped(peer_id, 'invalid amount')
             return
         now_s = clock_s()
         self._last_request_s = now_s
@@ -88,8 +88,8 @@
     def _handle_use_report(
         self, peer_id: InstanceId, report: UseReported
     ) -> None:
-        if not report.is_possible:
-            self._log_dropped(peer_id, 'impossible use')
+        if not report.is_valid:
+            self._log_dropped(peer_id, 'invalid use')
             return
         now_s = clock_s()
         self._last_request_s = now_s
@@ -105,8 +105,8 @@
     def _handle_group_use(
         self, peer_id: InstanceId, message: GroupUseTold
     ) -> None:
-        if not message.is_possible:
-            self._log_dropped(peer_id, 'impossible use of a group')
+        if not message.is_valid:
+            self._log_dropped(peer_id, 'invalid use of a group')
             return
         self._links.mark_heard(peer_id)
         self._limiter.told(peer_id, message.use, clock_s())
@@ -116,7 +116,7 @@
             'limit.dropped', peer_id, outcome='ignored', cause=cause
         )
 
-    # Other limiters.
+    # Coordination with the limiters of other domains.
 
     def _update(self) -> None:
         knowledge, now_s = self._knowledge, clock_s()
--- a/packages/gateway/dandelionyoke_gateway/_prefill_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_links.py
@@ -1,4 +1,4 @@
-"""Takes what links bring for the prefill queue of a failure domain."""
+"""Dispatches link events for the prefill queue of a failure domain."""
 
 from dandelionyoke_core import Event, PeerDisconnected, PeerMessageArrived
 from dandelionyoke_dispatch import TargetLoads
@@ -16,7 +16,7 @@
 
 
 class PrefillLinks:
-    """Both ends of the questions for engines."""
+    """Passes events to the client and the server of the prefill queue."""
 
     def __init__(
         self,
@@ -32,14 +32,14 @@
         self._server: PrefillServer | None = None
 
     def attach(self, send: Send) -> None:
-        """Take how messages leave, once there are links."""
+        """Set the function that sends messages, once the links are open."""
         self._server = PrefillServer(
             self._local_queue, self._loads, send, self._log
         )
         self._queue.attach(send)
 
     def handle_event(self, event: Event) -> bool:
-        """Take an event of the links; tell whether it was for this part."""
+        """Handle a link event; return whether it was a prefill message."""
         server = self._server
         if server is None:
             return False
--- a/packages/gateway/dandelionyoke_gateway/_prefill_messages.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_messages.py
@@ -1,6 +1,6 @@
-"""How a node asks another one for an engine that reads a prompt.
+"""Messages with which a node requests an engine for a prefill.
 
-Times are told as durations: each node has a clock of its own.
+Times are sent as durations because the nodes' clocks are not synchronised.
 """
 
 import enum
@@ -11,17 +11,17 @@
 from dandelionyoke_core import PeerMessage
 from dandelionyoke_dispatch import TargetFailure
 
-# A queued question is told again after each such pause, so that its asker
-# need not wait for a node that is gone.
+# Interval of the keep-alive answers to a queued request. They let the
+# requesting node detect that the other one is gone.
 QUEUED_INTERVAL_S = 0.25
 
 
 @attrs.frozen
 class PrefillAsked(PeerMessage):
-    """A prompt that needs an engine; `number` names the question.
+    """Request for an engine; `number` identifies the request.
 
-    The call arrived `age_s` before; its first token is due `goal_s` after
-    its arrival and of no use `useful_s` from now.
+    The call arrived `age_s` ago. The goal for its time to first token is
+    `goal_s` after arrival, and its deadline is `useful_s` from now.
     """
 
     number: int
@@ -36,8 +36,8 @@
     avoid: tuple[str, ...] = ()
 
     @property
-    def is_possible(self) -> bool:
-        """Whether its figures can be those of a prompt."""
+    def is_valid(self) -> bool:
+        """Whether the sizes are not negative and the times are finite."""
         sizes = (self.shared_tokens, self.token_count - self.shared_tokens)
         times_s = (self.age_s, self.goal_s, self.useful_s)
         return min(sizes) >= 0 and all(map(math.isfinite, times_s))
@@ -45,7 +45,7 @@
 
 @enum.unique
 class PrefillVerdict(enum.Enum):
-    """What became of a question."""
+    """The state of a request."""
 
     GRANTED = 'granted'
     QUEUED = 'queued'
@@ -55,10 +55,11 @@
 
 @attrs.frozen
 class PrefillTold(PeerMessage):
-    """The answer; a queued question gets further ones until it is granted.
+    """Answer; a queued request gets further ones until it is granted.
 
-    A refused caller may come back after `retry_after_s`. `suspects` are the
-    targets that are left alone for their failures.
+    A refused caller may retry after `retry_after_s`. `source_id` is the engine
+    to fetch the KV cache of a shared prefix from. `suspects` are the targets
+    that get no calls at present because of failures.
     """
 
     number: int
@@ -71,7 +72,7 @@
 
 @attrs.frozen
 class PrefillEnded(PeerMessage):
-    """The place is free again; `read_s` is missing if nothing was read."""
+    """End of a prefill; `read_s` is its duration, None if it did not run."""
 
     number: int
     read_s: float | None = None
@@ -79,7 +80,7 @@
 
 @attrs.frozen
 class TargetFailed(PeerMessage):
-    """What a call met at a target, for the node that places others."""
+    """Report of a failed call, for the node that assigns prefills."""
 
     target_id: str
     failure: TargetFailure
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class BacklogTold(PeerMessage):
-    """The prompt tokens under way that a node placed.
+    """Prompt tokens in flight that a node has assigned.
 
     By service and engine; an engine without any is left out.
     """
@@ -95,8 +96,8 @@
     tokens: dict[str, dict[str, int]]
 
     @property
-    def is_possible(self) -> bool:
-        """Whether the figures can be those of prompts."""
+    def is_valid(self) -> bool:
+        """Whether no token count is negative."""
         return all(
             tokens >= 0
             for backlog in self.tokens.values()
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -1,4 +1,4 @@
-"""How prefills wait for an engine, and which engine each one gets."""
+"""The queue in which prefills wait for an engine."""
 
 import itertools
 from typing import Protocol
@@ -16,28 +16,28 @@
 from dandelionyoke_gateway._knowledge import Knowledge, ServiceState
 from dandelionyoke_gateway._queue_waiters import WaitResult
 
-# A prefill that ends by this share of the goal leaves the rest of it for the
-# transfer of the cache and the first token.
+# A prefill should end by this share of the time-to-first-token goal. The rest
+# is for the transfer of the KV cache and the first token.
 PREFILL_GOAL_SHARE = 0.8
-# Prompts so long that no engine reads them within the goal would come last
-# in each burst; they count as in time for this share of it.
+# A prompt too long for any engine to read within the goal would come last in
+# each burst. It counts as in time for this share of the goal.
 LARGE_PROMPT_GOAL_SHARE = 0.3
 
 
 class TooLateError(Exception):
-    """The prefill would end too late to be of use; come back later."""
+    """The prefill could not start before its deadline; retry later."""
 
     def __init__(self, retry_after_s: float) -> None:
-        super().__init__(f'no place in the queue for {retry_after_s:.2f} s')
+        super().__init__(f'prefill queue full, retry in {retry_after_s:.2f} s')
         self.retry_after_s = retry_after_s
 
 
 @attrs.frozen
 class PrefillRequest:
-    """A prompt that needs an engine; the lower rank goes first.
+    """A prompt that needs an engine; a lower rank goes first.
 
-    Its call arrived at `arrived_s`. Its first token is due `goal_s` later and
-    of no use after `useful_until_s`.
+    Its call arrived at `arrived_s`. The goal for its time to first token is
+    `goal_s`, and its deadline is `useful_until_s`.
     """
 
     service: str
@@ -51,9 +51,9 @@
 
 @attrs.frozen
 class PrefillGrant:
-    """The engine that a request got; None where no engine does prefill now.
+    """The engine chosen for a request; `home` is None if there is none.
 
-    `placed_by` names the other node that chose it.
+    `placed_by` is the other node that chose it; None if this one did.
     """
 
     request: PrefillRequest
@@ -64,28 +64,28 @@
 
 @attrs.frozen
 class PrefillResult:
-    """How long a prefill took; None if the engine did not do it."""
+    """The duration of a prefill; None if it did not run."""
 
     read_s: float | None = None
 
 
 class PrefillQueue(Protocol):
-    """Gives each prompt an engine when its turn comes."""
+    """Grants each queued prompt an engine when its turn comes."""
 
     def enter(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine.
 
         Raises:
-            TooLateError: none could begin while that is of use.
+            TooLateError: no engine could start before the deadline.
         """
 
     def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
-        """Give a place back, whatever became of the prefill."""
+        """Release a grant, whatever the prefill's result."""
 
 
 @attrs.frozen
 class QueuedPrefill:
-    """A request in the queue; `entry` says whether it has to wait."""
+    """A request in the queue; `entry` is whether it has to wait."""
 
     request: PrefillRequest
     ticket: LineTicket
@@ -93,21 +93,25 @@
 
 
 class LocalPrefillQueue:
-    """The queue of the prompts that this node places."""
+    """The queue of the prefills that this node assigns to engines."""
 
     def __init__(self, knowledge: Knowledge) -> None:
         self._knowledge = knowledge
         self._ticket_numbers = itertools.count(1)
 
     def enter(self, request: PrefillRequest) -> PrefillGrant:
-        """Wait for an engine."""
+        """Wait for an engine.
+
+        Raises:
+            TooLateError: no engine could start before the deadline.
+        """
         return self.await_grant(self.enqueue(request))
 
     def enqueue(self, request: PrefillRequest) -> QueuedPrefill:
-        """Enter the queue, or learn at once that this is of no use.
+        """Enter the queue, or fail at once if the wait would be too long.
 
         Raises:
-            TooLateError: no engine could begin while that is of use.
+            TooLateError: no engine could start before the deadline.
         """
         engines = self._knowledge.placement.readers(
             request.service, request.avoid, clock_s()
@@ -120,12 +124,12 @@
         return QueuedPrefill(request, ticket, entry)
 
     def await_grant(self, queued: QueuedPrefill) -> PrefillGrant:
-        """Wait for the turn of a request, and choose its engine then.
+        """Wait for a request's turn, then choose its engine.
 
-        One that was chosen before might have left meanwhile.
+        An engine chosen before the wait could have left meanwhile.
 
         Raises:
-            TooLateError: its turn did not come while that was of use.
+            TooLateError: its turn did not come before the deadline.
         """
         ticket, request = queued.ticket, queued.request
         try:
@@ -141,18 +145,18 @@
         )
 
     def cancel(self, queued: QueuedPrefill) -> None:
-        """Leave the queue without a prefill."""
+        """Remove a request from the queue without a prefill."""
         self._release(queued.request, queued.ticket.turn_id, None)
 
     def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
-        """Give a place back, and learn from the time that it took."""
+        """Release a grant, and record how long the prefill took."""
         self._release(grant.request, grant.turn_id, result.read_s)
         if result.read_s is not None:
             pace = self._service_state(grant.request).pace
             pace.took(grant.request.prompt, result.read_s)
 
     def _await_turn(self, queued: QueuedPrefill) -> bool:
-        """Wait; False if the request is late and would wait in vain."""
+        """Wait; return False if the turn will not come before the deadline."""
         ticket, waiters = queued.ticket, self._knowledge.waiters
         queue = self._queue(queued.request)
         if (
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -1,7 +1,8 @@
-"""Places the prompts of other nodes together with this node's own.
+"""Server side of the prefill queue that a failure domain shares.
 
-Nodes that each see a small part of the calls cannot tell which engine is
-busy: their prompts would pile up at one engine while others are idle.
+The source node assigns the prefills of the other nodes together with its own.
+A node that sees a small part of the calls cannot tell which engine is busy:
+prefills would pile up at one engine while others are idle.
 """
 
 import attrs
@@ -30,10 +31,11 @@
     TooLateError,
 )
 
-# A place whose end is not told is free again this long after its prefill is
-# of no use: the node that had it is gone or cut off.
+# A grant that is not released expires this long after its deadline: the node
+# that held it is gone or cut off.
 RELEASE_MARGIN_S = 1.0
-# More do not fit into the part of a small machine's link that control may use.
+# Keeps answers within the share of a small machine's link that control traffic
+# may use.
 MAX_SUSPECTS = 32
 
 RequestKey = tuple[InstanceId, int]
@@ -46,7 +48,7 @@
 
 
 class PrefillServer:
-    """Answers the questions of other nodes from the local queue."""
+    """Answers the requests of other nodes from the local queue."""
 
     def __init__(
         self,
@@ -65,13 +67,9 @@
     def handle_request(
         self, peer_id: InstanceId, request: PrefillAsked
     ) -> None:
-        """Answer a question; one that has to wait is answered again later."""
+        """Answer a request; one that has to wait is answered again later."""
         key = (peer_id, request.number)
-        if (
-            not request.is_possible
-            or key in self._waiting
-            or key in self._granted
-        ):
+        if not request.is_valid or key in self._waiting or key in self._granted:
             self._log.decide(
                 'placing.dropped',
                 f'{peer_id}.{request.number}',
@@ -88,12 +86,12 @@
             self._grant(key, self._queue.await_grant(queued))
             return
         thread = eventlet.spawn(self._await_grant, key, queued)
-        # Known before the thread runs: the next message may end its wait.
+        # Stored before the thread runs: the next message may end its wait.
         self._waiting[key] = _WaitingRequest(queued, thread)
         eventlet.spawn_n(self._send_queued, key)
 
     def handle_end(self, peer_id: InstanceId, message: PrefillEnded) -> None:
-        """Take a place back, or end the wait of a caller that left."""
+        """Release a grant, or cancel a queued request."""
         key = (peer_id, message.number)
         waiting = self._waiting.pop(key, None)
         if waiting is not None:
@@ -102,7 +100,7 @@
         self._release(key, PrefillResult(message.read_s))
 
     def handle_disconnect(self, peer_id: InstanceId) -> None:
-        """Take all places of a node back that cannot tell their ends."""
+        """Release all grants and requests of a node that is disconnected."""
         keys = [*self._waiting, *self._granted]
         for owner_id, number in keys:
             if owner_id == peer_id:
@@ -119,7 +117,7 @@
         self._grant(key, grant)
 
     def _send_queued(self, key: RequestKey) -> None:
-        """Tell a node that its question is queued, while it is."""
+        """Send keep-alive answers while a request is queued."""
         peer_id, number = key
         response = PrefillTold(number, PrefillVerdict.QUEUED)
         while key in self._waiting:
@@ -162,7 +160,7 @@
             self._loads.succeeded(grant.home.target.target_id)
 
     def handle_failure(self, message: TargetFailed) -> None:
-        """Take a failure that a call of another node met."""
+        """Record a target failure reported by another node."""
         self._loads.told(message.target_id, message.failure, clock_s())
 
     def _refuse(self, key: RequestKey, error: TooLateError) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_queue_waiters.py
+++ b/packages/gateway/dandelionyoke_gateway/_queue_waiters.py
@@ -1,4 +1,4 @@
-"""Calls that wait in line, and how each hears of its turn."""
+"""Green threads that wait in a queue, and their wake-up."""
 
 import enum
 
@@ -10,20 +10,20 @@
 
 @enum.unique
 class WaitResult(enum.Enum):
-    """How a wait in line ended."""
+    """How a wait in a queue ended."""
 
     ADMITTED = 'go'
     TIMED_OUT = 'over'
 
 
 class QueueWaiters:
-    """Wakes the calls that wait for an engine."""
+    """Wakes queued calls when they are admitted or time out."""
 
     def __init__(self) -> None:
         self._waiters: dict[str, GreenEvent] = {}
 
     def wait(self, turn_id: str, deadline_s: float) -> WaitResult:
-        """Wait for a place, until a moment."""
+        """Wait to be admitted until a deadline."""
         waiter = GreenEvent()
         self._waiters[turn_id] = waiter
         timer = eventlet.spawn_after(
@@ -40,13 +40,13 @@
         return result
 
     def admit(self, turn_id: str) -> None:
-        """Tell a call that it has a place now."""
+        """Wake a call that has been admitted."""
         waiter = self._waiters.get(turn_id)
         if waiter is not None:
             _finish(waiter, WaitResult.ADMITTED)
 
 
 def _finish(waiter: GreenEvent, result: WaitResult) -> None:
-    """End a wait, unless it ended otherwise at the same moment."""
+    """End a wait unless it has already ended."""
     if not waiter.ready():
         waiter.send(result)
--- a/tests/gateway/network.py
+++ b/tests/gateway/network.py
@@ -1,4 +1,4 @@
-"""The nodes of one failure domain, without sockets."""
+"""An in-memory network between the nodes of one failure domain."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
 
 
 class Node(Protocol):
-    """What a network needs of its nodes."""
+    """The interface that a network needs of its nodes."""
 
     name: InstanceId
     knowledge: Knowledge
@@ -30,7 +30,7 @@
 
 
 class DomainNetwork(Generic[AnyNode]):
-    """Delivers messages between nodes, unless a node is silent."""
+    """Delivers messages between nodes, except to the ones in `silent`."""
 
     def __init__(self) -> None:
         self.nodes: dict[InstanceId, AnyNode] = {}
@@ -38,7 +38,7 @@
         self.sent: Counter[str] = Counter()
 
     def join(self, nodes: Iterable[AnyNode]) -> None:
-        """Take the nodes, and let each of them know the others."""
+        """Add nodes, and tell all nodes of each other."""
         self.nodes.update((node.name, node) for node in nodes)
         members = [Member(name, 'a', '10.0.0.2:7') for name in self.nodes]
         for node in self.nodes.values():
@@ -46,7 +46,7 @@
 
     @property
     def source(self) -> AnyNode:
-        """The node that works for the domain."""
+        """The domain's source node."""
         return next(
             node
             for node in self.nodes.values()
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -1,4 +1,4 @@
-"""Nodes of several domains that place prompts at the same engines."""
+"""Source nodes of several domains that assign prefills to the same engines."""
 
 from random import Random
 
@@ -69,17 +69,17 @@
         self._nodes[peer_id].task.handle_event(event)
         return True
 
-    def place(self) -> PrefillGrant:
-        """Place a prompt that shares nothing."""
+    def assign(self) -> PrefillGrant:
+        """Assign a prefill without a shared prefix."""
         now_s = clock_s()
         prompt = Prompt('m', 9000, 10, (PromptPart('own', 9000),))
         return self.queue.enter(
             PrefillRequest('lm', prompt, 1, now_s, 1.0, now_s + 5)
         )
 
-    def engine(self) -> str:
-        """Place a prompt; name its engine."""
-        home = self.place().home
+    def assign_engine(self) -> str:
+        """Assign a prefill; return its engine."""
+        home = self.assign().home
         assert home is not None
         return home.target.target_id
 
@@ -94,25 +94,25 @@
             self.addCleanup(node.log.close)
             self.addCleanup(eventlet.spawn(node.task.run).kill)
         self.first, self.second, self.third = self.nodes.values()
-        # Known from then on, as by the first call of the service.
+        # A node tracks a service from its first call on.
         for node in self.nodes.values():
-            node.queue.leave(node.place(), PrefillResult(0.2))
+            node.queue.leave(node.assign(), PrefillResult(0.2))
 
-    def settle(self) -> None:
+    def wait_for_messages(self) -> None:
         eventlet.sleep(2 * CHECK_INTERVAL_S)
 
-    def test_nodes_of_other_domains_leave_busy_engines_alone(self) -> None:
-        """Guards against prompts of each domain at the same idle engine."""
+    def test_other_domains_avoid_busy_engines(self) -> None:
+        """Guards against all domains choosing the same idle engine."""
         engines = []
         for node in (*self.nodes.values(), *self.nodes.values()):
-            engines.append(node.engine())
-            self.settle()
+            engines.append(node.assign_engine())
+            self.wait_for_messages()
         self.assertEqual(6, len(set(engines)))
 
-    def test_a_place_that_is_free_again_is_told(self) -> None:
-        """Guards against engines that are left idle."""
-        grants = [self.first.place() for _ in range(4)]
-        self.settle()
+    def test_a_released_grant_reduces_the_backlog(self) -> None:
+        """Guards against idle engines that still count as busy."""
+        grants = [self.first.assign() for _ in range(4)]
+        self.wait_for_messages()
         line = self.second.knowledge.watch_of('lm').line
         busy = [grant.home.target.target_id for grant in grants if grant.home]
         for target_id in busy:
@@ -120,21 +120,23 @@
             self.assertEqual(9000, tokens)
         for grant in grants:
             self.first.queue.leave(grant, PrefillResult(0.2))
-        self.settle()
+        self.wait_for_messages()
         for target_id in busy:
             tokens = line.fleet_backlog(clock_s())[target_id]
             self.assertEqual(0, tokens)
 
-    def test_old_news_fades(self) -> None:
-        """Guards against engines left idle for a node that is cut off."""
+    def test_an_old_backlog_expires(self) -> None:
+        """Guards against engines left idle because of a node that is cut off."""
         line = self.second.knowledge.watch_of('lm').line
         line.told('n-9', {'i-0': 9000}, clock_s() - 0.6)
         self.assertEqual(0, line.fleet_backlog(clock_s())['i-0'])
 
-    def test_an_impossible_backlog(self) -> None:
-        """Guards against a peer that draws all prompts to one engine."""
-        told = BacklogTold({'lm': {'i-0': -9000}})
-        self.second.task.handle_event(PeerMessageArrived(self.first.name, told))
+    def test_an_invalid_backlog_is_ignored(self) -> None:
+        """Guards against a peer that attracts all prefills to one engine."""
+        message = BacklogTold({'lm': {'i-0': -9000}})
+        self.second.task.handle_event(
+            PeerMessageArrived(self.first.name, message)
+        )
         line = self.second.knowledge.watch_of('lm').line
         self.assertEqual(0, line.fleet_backlog(clock_s())['i-0'])
         self.assertIn('placing.dropped', self.second.lines.text)
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -54,22 +54,24 @@
 
 
 class Node:
-    """A node of one domain, without sockets."""
+    """A node without sockets."""
 
     def __init__(self, network: 'Network', name: str) -> None:
         self.name = InstanceId(name)
         self._network = network
         self.knowledge = new_knowledge(new_settings(name), Random(3))
-        self.local = LocalPrefillQueue(self.knowledge)
+        self.local_queue = LocalPrefillQueue(self.knowledge)
         self.log = DecisionLog(Lines(), name, Metrics())
-        self.queue = DomainPrefillQueue(self.local, self.knowledge, self.log)
+        self.queue = DomainPrefillQueue(
+            self.local_queue, self.knowledge, self.log
+        )
         self.links = PrefillLinks(
-            self.queue, self.local, self.knowledge.loads, self.log
+            self.queue, self.local_queue, self.knowledge.loads, self.log
         )
         self.links.attach(self.send)
 
     def handle_event(self, event: Event) -> bool:
-        """Take an event of the links."""
+        """Handle a link event."""
         return self.links.handle_event(event)
 
     def send(self, peer_id: InstanceId, message: PeerMessage) -> bool:
@@ -78,16 +80,16 @@
 
 
 class Network(DomainNetwork[Node]):
-    """Nodes that place prompts at the same engines."""
+    """Nodes that assign prefills to the same engines."""
 
     def __init__(self, count: int, engines: list[RegisteredTarget]) -> None:
         super().__init__()
-        self.join([Node(self, f'n-{one}') for one in range(count)])
+        self.join([Node(self, f'n-{number}') for number in range(count)])
         for node in self.nodes.values():
             node.knowledge.registry.replace(engines, clock_s())
 
-    def lose(self, name: str) -> None:
-        """End all links of a node."""
+    def disconnect(self, name: str) -> None:
+        """Close all links of a node."""
         for node in self.nodes.values():
             node.handle_event(PeerDisconnected(InstanceId(name), 'cut'))
 
@@ -95,7 +97,7 @@
 def request(
     number: int = 0, *, goal_s: float = 1.0, patience_s: float = 5.0
 ) -> PrefillRequest:
-    """A prompt of the one hot shared prefix."""
+    """Build a request with the one hot shared prefix."""
     now_s = clock_s()
     prompt = Prompt('m', 9000, 10, (HOT, PromptPart(f'own-{number}', 3000)))
     return PrefillRequest(
@@ -108,7 +110,7 @@
     )
 
 
-class SharedQueueTest(testtools.TestCase):
+class DomainPrefillQueueTest(testtools.TestCase):
     def network(self, nodes: int, engines: int) -> Network:
         listed = [engine(f'i-{number}') for number in range(engines)]
         network = Network(nodes, listed)
@@ -116,101 +118,101 @@
             self.addCleanup(node.log.close)
         return network
 
-    def teach(self, network: Network, read_s: float = READ_S) -> None:
-        """Let the placing node know how long a prefill takes."""
-        local = network.source.local
+    def teach_duration(self, network: Network, read_s: float = READ_S) -> None:
+        """Let the source node learn how long a prefill takes."""
+        local_queue = network.source.local_queue
         for number in range(40):
-            grant = local.enter(request(number))
-            local.leave(grant, PrefillResult(read_s))
+            grant = local_queue.enter(request(number))
+            local_queue.leave(grant, PrefillResult(read_s))
 
-    def test_nodes_with_one_call_each_spread_a_hot_prefix(self) -> None:
-        """Guards against a pile at the first engine of a hot prefix."""
+    def test_a_hot_prefix_is_spread_over_engines(self) -> None:
+        """Guards against overload of the first engine of a hot prefix."""
         network = self.network(nodes=17, engines=8)
-        self.teach(network)
-        crowd: Counter[str] = Counter()
+        self.teach_duration(network)
+        assigned: Counter[str] = Counter()
         for node in network.others:
             grant = node.queue.enter(request())
-            crowd[grant.home.target.target_id] += 1
-        self.assertEqual(16, sum(crowd.values()))
-        self.assertLessEqual(max(crowd.values()), 2 * 16 // 8)
+            assigned[grant.home.target.target_id] += 1
+        self.assertEqual(16, sum(assigned.values()))
+        self.assertLessEqual(max(assigned.values()), 2 * 16 // 8)
 
     def test_a_call_waits_while_other_nodes_fill_the_engines(self) -> None:
-        """Guards against prompts side by side that all come late."""
+        """Guards against concurrent prefills that all finish late."""
         network = self.network(nodes=4, engines=1)
-        self.teach(network)
+        self.teach_duration(network)
         first, second, third = network.others
         grants = [first.queue.enter(request()), second.queue.enter(request())]
-        begun = GreenEvent()
-        eventlet.spawn_n(lambda: begun.send(third.queue.enter(request())))
+        granted = GreenEvent()
+        eventlet.spawn_n(lambda: granted.send(third.queue.enter(request())))
         eventlet.sleep(0.02)
-        self.assertFalse(begun.ready())
+        self.assertFalse(granted.ready())
         first.queue.leave(grants[0], PrefillResult(READ_S))
-        grant: PrefillGrant = begun.wait(timeout=1)
+        grant: PrefillGrant = granted.wait(timeout=1)
         self.assertEqual('i-0', grant.home.target.target_id)
 
-    def test_what_cannot_be_served_is_refused_at_once(self) -> None:
-        """Guards against calls that are held until their time is over."""
+    def test_a_call_that_would_be_late_is_refused_at_once(self) -> None:
+        """Guards against calls that wait in vain until their deadline."""
         network = self.network(nodes=4, engines=1)
-        self.teach(network, read_s=0.5)
+        self.teach_duration(network, read_s=0.5)
         first, second, third = network.others
         for node in (first, second):
             node.queue.enter(request())
-        asked_s = clock_s()
+        started_s = clock_s()
         late = request(goal_s=0.2, patience_s=0.3)
         refused = self.assertRaises(TooLateError, third.queue.enter, late)
-        self.assertLess(clock_s() - asked_s, ANSWER_TIMEOUT_S)
+        self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S)
         self.assertGreaterEqual(refused.retry_after_s, 0.2)
 
-    def test_a_silent_node_is_replaced_by_an_own_decision(self) -> None:
-        """Guards against calls that wait for a frozen node."""
+    def test_a_node_decides_locally_without_an_answer(self) -> None:
+        """Guards against calls that wait for an unresponsive node."""
         network = self.network(nodes=3, engines=2)
         network.silent.add(network.source.name)
         node = network.others[0]
-        asked_s = clock_s()
+        started_s = clock_s()
         self.assertIsNotNone(node.queue.enter(request()).home)
-        self.assertLess(clock_s() - asked_s, 2 * ANSWER_TIMEOUT_S)
-        asked_s = clock_s()
+        self.assertLess(clock_s() - started_s, 2 * ANSWER_TIMEOUT_S)
+        started_s = clock_s()
         self.assertIsNotNone(node.queue.enter(request()).home)
-        self.assertLess(clock_s() - asked_s, ANSWER_TIMEOUT_S / 2)
+        self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S / 2)
 
-    def test_a_node_that_freezes_while_a_call_waits(self) -> None:
-        """Guards against a queued call that hears nothing any more."""
+    def test_a_source_node_that_fails_while_a_call_waits(self) -> None:
+        """Guards against a queued call that waits for ever."""
         network = self.network(nodes=4, engines=1)
-        self.teach(network)
+        self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
             node.queue.enter(request())
-        begun = GreenEvent()
-        eventlet.spawn_n(lambda: begun.send(third.queue.enter(request())))
+        granted = GreenEvent()
+        eventlet.spawn_n(lambda: granted.send(third.queue.enter(request())))
         eventlet.sleep(0.02)
         network.silent.update(network.nodes)
-        self.assertIsNotNone(begun.wait(timeout=1).home)
+        self.assertIsNotNone(granted.wait(timeout=1).home)
 
-    def test_places_of_a_lost_node_are_free_again(self) -> None:
-        """Guards against places that leak with each node that dies."""
+    def test_grants_of_a_disconnected_node_are_released(self) -> None:
+        """Guards against grants that leak with each node that dies."""
         network = self.network(nodes=4, engines=1)
-        self.teach(network)
+        self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
             node.queue.enter(request())
         network.silent.update({first.name, second.name})
-        network.lose(first.name)
-        asked_s = clock_s()
+        network.disconnect(first.name)
+        started_s = clock_s()
         third.queue.enter(request())
-        self.assertLess(clock_s() - asked_s, ANSWER_TIMEOUT_S / 2)
+        self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S / 2)
 
-    def test_places_without_an_end_are_free_in_time(self) -> None:
-        """Guards against places that leak with a link that is cut silently."""
+    def test_grants_that_are_not_released_expire(self) -> None:
+        """Guards against grants that leak with a link that fails silently."""
         network = self.network(nodes=2, engines=1)
-        node, placing = network.others[0], network.source
+        node, source = network.others[0], network.source
         node.queue.enter(request(patience_s=-0.95))
-        tokens = placing.knowledge.watch_of('lm').line.backlog_tokens
+        tokens = source.knowledge.watch_of('lm').line.backlog_tokens
         self.assertEqual(9000, tokens('i-0'))
         eventlet.sleep(0.1)
         self.assertEqual(0, tokens('i-0'))
 
-    def test_an_engine_that_this_node_knows_to_leave_gets_nothing(self) -> None:
-        """Guards against work for an engine that another node still lists."""
+    def test_an_engine_known_to_be_leaving_gets_no_prefill(self) -> None:
+        """Guards against calls to an engine that another node still lists."""
         network = self.network(nodes=2, engines=1)
         node = network.others[0]
         left = [engine('i-0', leaving=True), engine('i-9')]
@@ -218,10 +220,10 @@
         grant = node.queue.enter(request())
         self.assertEqual('i-9', grant.home.target.target_id)
 
-    def test_a_caller_that_leaves_frees_its_wait(self) -> None:
-        """Guards against a queue that is held up by callers that are gone."""
+    def test_a_caller_that_disconnects_leaves_the_queue(self) -> None:
+        """Guards against a queue that is blocked by callers that are gone."""
         network = self.network(nodes=4, engines=1)
-        self.teach(network)
+        self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
             node.queue.enter(request())
@@ -233,13 +235,13 @@
         eventlet.sleep(0.02)
         self.assertLess(line.expected_wait_s(), before_s)
 
-    def test_no_place_leaks_in_a_random_order_of_events(self) -> None:
-        """Guards against places that are given back twice, or never."""
+    def test_no_grant_leaks_in_a_random_order_of_events(self) -> None:
+        """Guards against grants that are released twice, or never."""
         network = self.network(nodes=5, engines=2)
-        self.teach(network, read_s=0.01)
+        self.teach_duration(network, read_s=0.01)
         random = Random(11)
 
-        def use(node: Node) -> None:
+        def use_engine(node: Node) -> None:
             try:
                 grant = node.queue.enter(request(patience_s=0.2))
             except TooLateError:
@@ -250,7 +252,7 @@
                 node.queue.leave(grant, PrefillResult(0.01))
 
         users = [
-            eventlet.spawn(use, random.choice(network.others))
+            eventlet.spawn(use_engine, random.choice(network.others))
             for _ in range(200)
         ]
         for user in random.sample(users, 40):
@@ -264,8 +266,8 @@
         self.assertEqual(0, line.expected_wait_s())
         self.assertEqual(0, sum(map(line.backlog_tokens, ('i-0', 'i-1'))))
 
-    def test_one_failure_is_known_to_the_domain(self) -> None:
-        """Guards against each node learning of a dead engine by itself."""
+    def test_a_failure_is_shared_with_the_domain(self) -> None:
+        """Guards against nodes that must each detect a dead engine."""
         network = self.network(nodes=4, engines=2)
         first, second, _ = network.others
         first.knowledge.loads.unreachable('i-0', clock_s())
@@ -274,16 +276,18 @@
         self.assertEqual('i-1', grant.home.target.target_id)
         self.assertTrue(second.knowledge.loads.rests('i-0', clock_s()))
 
-    def test_a_node_that_is_cut_off_empties_no_fleet(self) -> None:
-        """Guards against one node's failures that stop all others."""
+    def test_failures_of_a_cut_off_node_do_not_exclude_all_engines(
+        self,
+    ) -> None:
+        """Guards against one node's failures that block all other nodes."""
         network = self.network(nodes=4, engines=2)
-        cut_off, sound, _ = network.others
+        cut_off, healthy, _ = network.others
         for name in ('i-0', 'i-1'):
             cut_off.knowledge.loads.unreachable(name, clock_s())
         eventlet.sleep(0.02)
-        grant = sound.queue.enter(request())
+        grant = healthy.queue.enter(request())
         self.assertIsNotNone(grant.home)
-        sound.queue.leave(grant, PrefillResult(READ_S))
+        healthy.queue.leave(grant, PrefillResult(READ_S))
         eventlet.sleep(0.02)
         loads = network.source.knowledge.loads
         target_id = grant.home.target.target_id
@@ -292,26 +296,26 @@
         loads.succeeded(target_id)
         self.assertFalse(loads.rests(target_id, clock_s() + 1.1))
 
-    def test_impossible_and_repeated_questions_are_dropped(self) -> None:
-        """Guards against places that another version's figures take up."""
+    def test_invalid_and_repeated_requests_are_dropped(self) -> None:
+        """Guards against grants for invalid figures of another version."""
         network = self.network(nodes=2, engines=1)
-        node, placing = network.others[0], network.source
-        bad = PrefillAsked(1, 'lm', 'hot', 6000, 5000, 1, 0.0, 1.0, 5.0)
-        endless = attrs.evolve(bad, token_count=9000, useful_s=math.inf)
-        good = attrs.evolve(endless, useful_s=5.0)
-        for asked in (bad, endless, good, good):
-            placing.links.handle_event(PeerMessageArrived(node.name, asked))
+        node, source = network.others[0], network.source
+        invalid = PrefillAsked(1, 'lm', 'hot', 6000, 5000, 1, 0.0, 1.0, 5.0)
+        infinite = attrs.evolve(invalid, token_count=9000, useful_s=math.inf)
+        valid = attrs.evolve(infinite, useful_s=5.0)
+        for message in (invalid, infinite, valid, valid):
+            source.links.handle_event(PeerMessageArrived(node.name, message))
         self.assertEqual(1, network.sent['PrefillTold'])
-        line = placing.knowledge.watch_of('lm').line
+        line = source.knowledge.watch_of('lm').line
         self.assertEqual(9000, line.backlog_tokens('i-0'))
 
-    def test_an_answer_that_nobody_waits_for_is_dropped(self) -> None:
-        """Guards against a late or repeated answer that changes a call."""
+    def test_an_unexpected_answer_is_dropped(self) -> None:
+        """Guards against late or repeated answers that affect a call."""
         network = self.network(nodes=2, engines=1)
-        node, placing = network.others[0], network.source
+        node, source = network.others[0], network.source
         grant = node.queue.enter(request())
-        asked = PrefillAsked(77, 'lm', 'hot', 6000, 9000, 1, 0.0, 1.0, 5.0)
-        placing.links.handle_event(PeerMessageArrived(node.name, asked))
+        message = PrefillAsked(77, 'lm', 'hot', 6000, 9000, 1, 0.0, 1.0, 5.0)
+        source.links.handle_event(PeerMessageArrived(node.name, message))
         eventlet.sleep(0.02)
         node.queue.leave(grant, PrefillResult(READ_S))
         self.assertIsNotNone(node.queue.enter(request()).home)
--- a/tests/gateway/test_queue_waiters.py
+++ b/tests/gateway/test_queue_waiters.py
@@ -1,4 +1,4 @@
-"""Calls that wait in line for their turn."""
+"""Waking of calls that wait in a queue."""
 
 import eventlet
 import testtools
@@ -7,27 +7,31 @@
 from dandelionyoke_gateway._queue_waiters import QueueWaiters, WaitResult
 
 
-class LineTurnsTest(testtools.TestCase):
+class QueueWaitersTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.waiters = QueueWaiters()
 
-    def waiting(self, call_id: str, for_s: float = 5):  # type: ignore[no-untyped-def]
-        thread = eventlet.spawn(self.waiters.wait, call_id, clock_s() + for_s)
+    def start_waiting(self, call_id: str, timeout_s: float = 5):  # type: ignore[no-untyped-def]
+        thread = eventlet.spawn(
+            self.waiters.wait, call_id, clock_s() + timeout_s
+        )
         eventlet.sleep(0)
         return thread
 
-    def test_a_call_hears_of_its_place(self) -> None:
-        first = self.waiting('a')
+    def test_an_admitted_call_wakes(self) -> None:
+        thread = self.start_waiting('a')
         self.waiters.admit('a')
-        self.assertIs(WaitResult.ADMITTED, first.wait())
+        self.assertIs(WaitResult.ADMITTED, thread.wait())
 
-    def test_a_wait_ends_when_it_is_of_no_use(self) -> None:
-        self.assertIs(WaitResult.TIMED_OUT, self.waiting('a', 0.05).wait())
+    def test_a_wait_ends_at_its_deadline(self) -> None:
+        self.assertIs(
+            WaitResult.TIMED_OUT, self.start_waiting('a', 0.05).wait()
+        )
 
-    def test_a_place_given_twice_is_taken_once(self) -> None:
-        first = self.waiting('a')
+    def test_a_second_admission_has_no_effect(self) -> None:
+        thread = self.start_waiting('a')
         self.waiters.admit('a')
         self.waiters.admit('a')
-        self.assertIs(WaitResult.ADMITTED, first.wait())
+        self.assertIs(WaitResult.ADMITTED, thread.wait())
         self.waiters.admit('a')
