--- a/packages/gateway/dandelionyoke_gateway/_rate_limits.py
+++ b/packages/gateway/dandelionyoke_gateway/_rate_limits.py
@@ -1,8 +1,8 @@
-"""Holds the calls of a node against the limits of their organisations.
+"""Charges a node's calls against the rate limits of their organisations.
 
-One node of a failure domain keeps the limits for all of it (`LimitServer`).
-The others ask it about calls that are large against a limit, and let small
-ones in themselves and report them a moment later.
+The source node of a failure domain enforces the limits for all its nodes
+(`LimitServer`). The others ask it about calls that are large relative to a
+limit; they admit small ones locally and report them shortly after.
 """
 
 import itertools
@@ -27,9 +27,9 @@
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._news_server import Send
 
-# A sound node of the domain answers within milliseconds.
+# A healthy node of the domain answers within milliseconds.
 ANSWER_TIMEOUT_S = 0.15
-# A call below this share of the burst is let in without a question.
+# A call below this share of the burst is admitted without asking.
 SMALL_CALL_SHARE = 0.01
 REPORT_INTERVAL_S = 0.2
 REQUEST_NUMBER_BITS = 48
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Charge:
-    """What a call takes of its organisation's limit."""
+    """The amount that a call uses of its organisation's limit."""
 
     attempt_id: str
     organisation: str
@@ -46,14 +46,14 @@
 
 @attrs.frozen
 class _Decision:
-    """A verdict, and the node that was asked for it; None: this one."""
+    """A verdict and the node that made it; None if it was this one."""
 
     verdict: LimitVerdict
     decided_by: InstanceId | None = None
 
 
 class OverLimitError(Exception):
-    """The call is beyond its organisation's limit; come back later."""
+    """The call exceeds its organisation's limit; retry later."""
 
     def __init__(self, charge: Charge, verdict: LimitVerdict) -> None:
         super().__init__(
@@ -70,7 +70,7 @@
         """Charge a call.
 
         Raises:
-            OverLimitError: it is beyond the limit.
+            OverLimitError: it exceeds the limit.
         """
 
     def refund(self, charge: Charge) -> None:
@@ -78,14 +78,15 @@
 
 
 class DomainRateLimits:
-    """Asks the node that keeps the limits; decides itself without it."""
+    """Asks the domain's source node; decides locally without its answer."""
 
     def __init__(self, knowledge: Knowledge, log: DecisionLog) -> None:
         self._knowledge = knowledge
         self._limiter = knowledge.limiter
         self._log = log
         self._source = DomainSource(knowledge)
-        # Another process of this instance may have open questions there.
+        # An earlier process of this instance may still have open requests
+        # there, so numbering starts at a random value.
         first_number = knowledge.random.getrandbits(REQUEST_NUMBER_BITS)
         self._request_numbers = itertools.count(first_number)
         self._responses: dict[int, LightQueue] = {}
@@ -93,14 +94,14 @@
         self._over_until_s: dict[str, float] = {}
 
     def attach(self, send: Send) -> None:
-        """Take how messages leave, once there are links."""
+        """Set the function that sends messages, once the links are open."""
         self._source.attach(send)
 
     def take(self, charge: Charge) -> None:
         """Charge a call.
 
         Raises:
-            OverLimitError: it is beyond the limit.
+            OverLimitError: it exceeds the limit.
         """
         limit = self._limiter.limit_of(charge.organisation)
         if limit is None:
@@ -123,19 +124,19 @@
             self._adjust(charge.organisation, -charge.amount)
 
     def handle_response(self, message: ChargeTold) -> None:
-        """Take the answer to a question."""
+        """Pass an answer on to the call that waits for it."""
         responses = self._responses.get(message.number)
         if responses is not None:
             responses.put(message.verdict)
 
     def handle_over_limit(self, message: OverLimit) -> None:
-        """Take which organisations are over their limits."""
+        """Record which organisations are over their limits."""
         now_s = clock_s()
         for organisation, over_s in message.for_s.items():
             self._over_until_s[organisation] = now_s + over_s
 
     def run(self) -> None:
-        """Report what was let in here for as long as the process lives."""
+        """Report locally admitted calls until the process exits."""
         while True:
             eventlet.sleep(REPORT_INTERVAL_S)
             self._send_report()
@@ -168,7 +169,7 @@
     def _request_verdict(
         self, source_id: InstanceId, charge: Charge
     ) -> LimitVerdict | None:
-        """Ask a node; None: it did not answer, and this one decides."""
+        """Ask the source node; None if it did not answer."""
         number = next(self._request_numbers)
         responses = LightQueue()
         self._responses[number] = responses
@@ -183,7 +184,7 @@
             return None
         finally:
             self._responses.pop(number)
-        # Ends what was known of a debt that is paid by now.
+        # Replaces an older `OverLimit`, which may no longer apply.
         self.handle_over_limit(OverLimit({charge.organisation: verdict.over_s}))
         return verdict
 
--- a/packages/gateway/dandelionyoke_gateway/_source_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_source_links.py
@@ -1,4 +1,4 @@
-"""Links between the nodes that work for their domains."""
+"""Links between the source nodes of the failure domains."""
 
 from collections.abc import Callable
 
@@ -10,7 +10,7 @@
 from dandelionyoke_gateway._knowledge import NEVER_S, Knowledge
 from dandelionyoke_gateway._news_server import Send
 
-# A node that was heard for the last time so long ago is not told any more.
+# A node gets no more messages this long after its last one.
 HEARD_TIMEOUT_S = 1.0
 DIAL_INTERVAL_S = 1.0
 
@@ -18,10 +18,11 @@
 
 
 class SourceLinks:
-    """Tells the first nodes of other domains what this one knows.
+    """Sends messages to the source nodes of other domains.
 
-    A domain that passes over its first node has another one work for it.
-    That one tells the others, and is told as long as it is heard.
+    These are normally the first nodes by rank. If a domain suspects its first
+    node, another of its nodes acts as the source node: that one sends
+    messages itself, and receives them for as long as it does.
     """
 
     def __init__(self, knowledge: Knowledge) -> None:
@@ -32,20 +33,20 @@
         self._last_dial_s: dict[InstanceId, float] = {}
 
     def attach(self, send: Send, connect: Connect) -> None:
-        """Take how messages leave, and how links are opened."""
+        """Set the functions that send messages and open links."""
         self._connect = connect
         self._send = send
 
     def mark_heard(self, peer_id: InstanceId) -> None:
-        """Note that a node works for its domain."""
+        """Record that a node acts as the source node of its domain."""
         self._last_heard_s[peer_id] = clock_s()
 
     def handle_disconnect(self, peer_id: InstanceId) -> None:
-        """Forget a node whose link has ended."""
+        """Forget a node after its link was closed."""
         self._last_heard_s.pop(peer_id, None)
 
     def broadcast(self, message: PeerMessage) -> None:
-        """Send a message to all that work for a domain."""
+        """Send a message to the source nodes of all domains."""
         now_s = clock_s()
         recipients = self._recipients(now_s)
         for member in recipients:
@@ -59,7 +60,7 @@
                 self.send(peer_id, message)
 
     def send(self, peer_id: InstanceId, message: PeerMessage) -> bool:
-        """Send a message to one node; False if there is no link."""
+        """Send a message to one node; return False if there is no link."""
         return self._send is not None and self._send(peer_id, message)
 
     def _recipients(self, now_s: float) -> list[Member]:
--- a/packages/gateway/dandelionyoke_gateway/_source_parts.py
+++ b/packages/gateway/dandelionyoke_gateway/_source_parts.py
@@ -1,4 +1,4 @@
-"""What the nodes that work for their domains do together."""
+"""Services that the source nodes of the failure domains provide jointly."""
 
 import eventlet
 
@@ -13,7 +13,7 @@
 
 
 class SourceParts:
-    """Keeps limits together, and tells where prompts were placed."""
+    """Runs rate limits and the exchange of prefill backlogs."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._backlog_task = BacklogTask(self._links, knowledge, log)
 
     def start(self, send: Send, connect: Connect) -> None:
-        """Begin once there are links."""
+        """Start the tasks, once the links are open."""
         self._links.attach(send, connect)
         self._rate_limits.attach(send)
         eventlet.spawn_n(self._rate_limits.run)
@@ -37,7 +37,7 @@
         eventlet.spawn_n(self._backlog_task.run)
 
     def handle_event(self, event: Event) -> bool:
-        """Take an event of the links; tell whether it was for this part."""
+        """Handle a link event; return whether it was for one of the tasks."""
         if isinstance(event, PeerDisconnected):
             self._links.handle_disconnect(event.peer_id)
             return False
--- a/tests/gateway/test_rate_limits.py
+++ b/tests/gateway/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Limits of organisations as the nodes of a domain keep them together."""
+"""Rate limits that the nodes of a failure domain enforce jointly."""
 
 import math
 from random import Random
@@ -46,7 +46,7 @@
 
 
 class Node:
-    """A node of one domain, without sockets."""
+    """A node without sockets."""
 
     def __init__(self, network: 'Network', name: str) -> None:
         self.name = InstanceId(name)
@@ -66,31 +66,31 @@
         return True
 
     def handle_event(self, event: Event) -> bool:
-        """Take an event of the links."""
+        """Handle a link event."""
         return self.server.handle_event(event)
 
     def call(self, amount: float = LARGE) -> bool:
-        """Take a call; tell whether it is within the limit."""
+        """Charge a call; return whether it is within the limit."""
         try:
             self.limits.take(Charge('call-1', 'acme', amount))
-        except OverLimitError as over:
-            self.retry_after_s = over.retry_after_s
+        except OverLimitError as error:
+            self.retry_after_s = error.retry_after_s
             return False
         return True
 
     @property
     def level(self) -> float:
-        """What this node believes that the bucket holds."""
+        """The level of the token bucket as this node knows it."""
         verdict = self.knowledge.limiter.admit('acme', 0.0, clock_s())
         return verdict.level
 
 
 class Network(DomainNetwork[Node]):
-    """Nodes that keep limits together."""
+    """Nodes that enforce limits jointly."""
 
     def __init__(self, count: int) -> None:
         super().__init__()
-        self.join([Node(self, f'n-{one}') for one in range(count)])
+        self.join([Node(self, f'n-{number}') for number in range(count)])
 
 
 class DomainRateLimitsTest(testtools.TestCase):
@@ -100,64 +100,64 @@
         for node in self.network.nodes.values():
             self.addCleanup(node.log.close)
             node.knowledge.limiter.take_nodes(1, 1, clock_s() - 60)
-        self.keeper = self.network.source
+        self.source = self.network.source
         self.first, self.second, self.third = self.network.others
 
-    def test_nodes_share_one_bucket(self) -> None:
-        """Guards against a whole limit, or a small part of it, for each."""
+    def test_nodes_share_one_token_bucket(self) -> None:
+        """Guards against nodes that each allow all, or a part, of a limit."""
         nodes = self.network.others
-        let_in = sum(nodes[number % 3].call() for number in range(30))
-        # One of them leaves the debt.
-        self.assertIn(let_in, {10, 11})
+        admitted = sum(nodes[number % 3].call() for number in range(30))
+        # The bucket may go into debt by one call.
+        self.assertIn(admitted, {10, 11})
         self.assertGreater(self.first.retry_after_s, 0)
 
     def test_small_calls_are_reported(self) -> None:
-        """Guards against calls that count nowhere."""
+        """Guards against calls that are not charged."""
         eventlet.spawn_n(self.first.limits.run)
         for _ in range(300):
             self.assertTrue(self.first.call(SMALL))
         eventlet.sleep(2 * REPORT_INTERVAL_S)
-        self.assertAlmostEqual(700, self.keeper.level, delta=60)
+        self.assertAlmostEqual(700, self.source.level, delta=60)
 
     def test_small_calls_are_refused_once_the_limit_is_reached(self) -> None:
         eventlet.spawn_n(self.first.limits.run)
         while self.second.call():
-            """Use the limit up."""
+            """Exhaust the limit."""
         self.assertTrue(self.first.call(SMALL))
         eventlet.sleep(2 * REPORT_INTERVAL_S)
         self.assertFalse(self.first.call(SMALL))
 
-    def test_small_calls_are_let_in_once_the_debt_is_paid(self) -> None:
-        """Guards against calls refused for news that has been overtaken."""
+    def test_small_calls_are_admitted_once_the_debt_is_paid(self) -> None:
+        """Guards against calls refused because of an outdated message."""
         self.first.limits.handle_over_limit(OverLimit({'acme': 60.0}))
         self.assertFalse(self.first.call(SMALL))
         self.assertTrue(self.first.call(LARGE))
         self.assertTrue(self.first.call(SMALL))
 
-    def test_a_call_that_no_target_ran_costs_nothing(self) -> None:
+    def test_a_call_that_no_target_ran_is_refunded(self) -> None:
         eventlet.spawn_n(self.first.limits.run)
         charge = Charge('call-1', 'acme', 900.0)
         self.first.limits.take(charge)
         self.first.limits.refund(charge)
         eventlet.sleep(2 * REPORT_INTERVAL_S)
-        self.assertAlmostEqual(1000, self.keeper.level, delta=1)
+        self.assertAlmostEqual(1000, self.source.level, delta=1)
 
-    def test_a_node_without_an_answer_decides_itself(self) -> None:
-        """Guards against calls refused, or held, for lack of news."""
-        self.network.silent.add(self.keeper.name)
-        began_s = clock_s()
+    def test_a_node_decides_locally_without_an_answer(self) -> None:
+        """Guards against calls refused, or held, for lack of an answer."""
+        self.network.silent.add(self.source.name)
+        started_s = clock_s()
         self.assertTrue(self.first.call())
-        self.assertLess(clock_s() - began_s, 2 * ANSWER_TIMEOUT_S)
+        self.assertLess(clock_s() - started_s, 2 * ANSWER_TIMEOUT_S)
         self.assertIn('limit.silent', self.first.lines.text)
 
-    def test_a_refusal_names_what_it_went_by(self) -> None:
+    def test_a_refusal_logs_its_reasons(self) -> None:
         while self.first.call():
-            """Use the limit up."""
+            """Exhaust the limit."""
         for field in ('call-1', 'acme', 'level', 'share', 'news_age_s'):
             self.assertIn(field, self.first.lines.text)
 
-    def test_impossible_messages(self) -> None:
-        """Guards against a peer that opens, or shuts, a limit for all."""
+    def test_invalid_messages_are_dropped(self) -> None:
+        """Guards against a peer that lifts, or exhausts, a limit for all."""
         for message in (
             ChargeAsked(1, 'acme', math.nan),
             ChargeAsked(2, 'acme', -5.0),
@@ -166,6 +166,6 @@
             GroupUseTold(GroupUse('n-9.1', 1, {'acme': math.nan})),
         ):
             event = PeerMessageArrived(self.first.name, message)
-            self.assertTrue(self.keeper.server.handle_event(event))
-        self.assertEqual(5, self.keeper.lines.text.count('limit.dropped'))
-        self.assertAlmostEqual(1000, self.keeper.level, delta=1)
+            self.assertTrue(self.source.server.handle_event(event))
+        self.assertEqual(5, self.source.lines.text.count('limit.dropped'))
+        self.assertAlmostEqual(1000, self.source.level, delta=1)
