--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_reliance.py
@@ -62,12 +62,12 @@
         return self._settings.default_watch_s
 
     def configuration_wait_s(self, now_s: float) -> float:
-        """Return for how long the configuration need not be polled."""
+        """Return the time until the configuration must be polled; 0: now."""
         proven_s = self._knowledge.freshness.proven_s
         return self._remaining_s(proven_s, self._configuration_s, now_s)
 
     def registry_wait_s(self, now_s: float) -> float:
-        """Return for how long the registry need not be polled."""
+        """Return the time until the registry must be polled; 0: now."""
         proven_s = self._knowledge.listing.proven_s
         return self._remaining_s(proven_s, self._registry_s, now_s)
 
--- a/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
@@ -175,7 +175,9 @@
             if is_due and window_id not in self._reported:
                 self._report(window_id)
         self._reported = {
-            window_id for window_id in self._reported if window_id > newest - 20
+            reported_id
+            for reported_id in self._reported
+            if reported_id > newest - 20
         }
 
     def _report_deadline_s(self) -> float:
