--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -54,7 +54,7 @@
         self.knowledge = new_knowledge(settings, Random(3))
         self.knowledge.sources._domain = domain
         self.knowledge.sources.take_members(
-            Member(f'n-{one}', one, '10.0.0.2:7') for one in 'abc'
+            Member(f'n-{other}', other, '10.0.0.2:7') for other in 'abc'
         )
         self.knowledge.registry.replace(ENGINES, clock_s())
         self.lines = Lines()
