--- a/packages/gateway/dandelionyoke_gateway/_backlog_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_backlog_task.py
@@ -1,7 +1,8 @@
-"""Tells the nodes that place prompts what each has placed.
+"""Shares prefill backlogs between the source nodes of the failure domains.
 
-They choose among the same engines. Without this each of them would find an
-engine idle at which the others have prompts under way.
+A domain's source node assigns prefills to engines, and all source nodes
+choose among the same engines. Without these messages, each would consider an
+engine idle that is busy with prefills of the other domains.
 """
 
 import eventlet
@@ -14,14 +15,14 @@
 from dandelionyoke_gateway._source_links import SourceLinks
 
 CHECK_INTERVAL_S = 0.05
-# Told again without a change, within the time for which it counts.
+# An unchanged backlog is sent again this often, before receivers expire it.
 HEARTBEAT_INTERVAL_S = 0.25
 
 Backlogs = dict[str, dict[str, int]]
 
 
 class BacklogTask:
-    """Tells and takes the prompts under way, by service and engine."""
+    """Sends and receives prefill backlogs, by service and engine."""
 
     def __init__(
         self, links: SourceLinks, knowledge: Knowledge, log: DecisionLog
@@ -29,53 +30,55 @@
         self._links = links
         self._knowledge = knowledge
         self._log = log
-        self._told: Backlogs = {}
-        self._told_s = NEVER_S
+        self._last_sent: Backlogs = {}
+        self._last_sent_s = NEVER_S
 
     def run(self) -> None:
-        """Tell for as long as the process lives."""
+        """Send backlogs until the process exits."""
         while True:
             eventlet.sleep(CHECK_INTERVAL_S)
             if self._knowledge.sources.is_source(clock_s()):
-                self._tell_if_due()
+                self._send_if_due()
 
-    def take(self, event: Event) -> bool:
-        """Take an event of the links; tell whether it was for this part."""
+    def handle_event(self, event: Event) -> bool:
+        """Handle a link event; return whether it was a backlog message."""
         if not isinstance(event, PeerMessageArrived):
             return False
         if not isinstance(event.message, BacklogTold):
             return False
-        self._take(event.peer_id, event.message)
+        self._record_backlog(event.peer_id, event.message)
         return True
 
-    def _tell_if_due(self) -> None:
-        backlogs = self._backlogs()
+    def _send_if_due(self) -> None:
+        backlogs = self._collect_backlogs()
         now_s = clock_s()
-        is_due = now_s - self._told_s >= HEARTBEAT_INTERVAL_S
-        if backlogs == self._told and not (backlogs and is_due):
+        is_due = now_s - self._last_sent_s >= HEARTBEAT_INTERVAL_S
+        if backlogs == self._last_sent and not (backlogs and is_due):
             return
-        self._told = backlogs
-        self._told_s = now_s
-        self._links.tell(BacklogTold(backlogs))
+        self._last_sent = backlogs
+        self._last_sent_s = now_s
+        self._links.broadcast(BacklogTold(backlogs))
 
-    def _backlogs(self) -> Backlogs:
-        found: Backlogs = {}
-        for service, watch in self._knowledge.watches.items():
-            backlog = watch.line.backlog()
+    def _collect_backlogs(self) -> Backlogs:
+        backlogs: Backlogs = {}
+        for service, state in self._knowledge.service_states.items():
+            backlog = state.line.backlog()
             if backlog:
-                found[service] = backlog
-        return found
+                backlogs[service] = backlog
+        return backlogs
 
-    def _take(self, peer_id: InstanceId, told: BacklogTold) -> None:
-        if not told.is_possible:
+    def _record_backlog(
+        self, peer_id: InstanceId, message: BacklogTold
+    ) -> None:
+        if not message.is_valid:
             self._log.decide(
                 'placing.dropped',
                 peer_id,
                 outcome='ignored',
-                cause='impossible backlog',
+                cause='invalid backlog',
             )
             return
-        self._links.heard(peer_id)
-        for service, watch in self._knowledge.watches.items():
-            backlog = told.tokens.get(service, {})
-            watch.line.told(peer_id, backlog, clock_s())
+        self._links.mark_heard(peer_id)
+        for service, state in self._knowledge.service_states.items():
+            backlog = message.tokens.get(service, {})
+            state.line.told(peer_id, backlog, clock_s())
--- a/packages/gateway/dandelionyoke_gateway/_member_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_member_task.py
@@ -1,4 +1,4 @@
-"""Which other nodes there are, as far as the store knows."""
+"""Registers this node in the store and lists the other nodes."""
 
 from collections.abc import Callable
 
@@ -19,68 +19,70 @@
 from dandelionyoke_gateway._ports import Store
 
 MEMBERS_PREFIX = 'members/'
-# A node that is gone is counted for so long. What depends on the number of
-# nodes allows for half as many again.
+# A node that is gone is still counted for this long. Limits that depend on
+# the number of nodes allow for 1.5 times as many.
 MEMBER_TTL_S = 15.0
-INTERVAL_S = 5.0
-# When all start together, the first looks find only a part of them.
-FIRST_INTERVAL_S = 1.2
+POLL_INTERVAL_S = 5.0
+# If all nodes start together, the first polls find only some of them.
+INITIAL_POLL_INTERVAL_S = 1.2
 
 
 class MemberTask:
-    """Enters this node in the store and counts the others."""
+    """Registers this node in the store and refreshes the list of nodes."""
 
     def __init__(
         self,
         knowledge: Knowledge,
         store: Store,
-        tell: Callable[[tuple[str, ...]], None],
+        on_members: Callable[[tuple[str, ...]], None],
     ) -> None:
         self._knowledge = knowledge
         self._store = store
-        self._tell = tell
+        self._on_members = on_members
         self._records = LeasedRecords(store, MEMBER_TTL_S, renews=True)
 
     def run(self) -> None:
-        """Stay entered for as long as the process lives."""
+        """Stay registered until the process exits."""
         settings = self._knowledge.settings
         key = f'{MEMBERS_PREFIX}{settings.instance_id}'
         endpoint = settings.peers
-        own = Member(
+        own_member = Member(
             settings.instance_id,
             settings.domain,
             f'{endpoint.host}:{endpoint.port}',
             settings.processors * settings.processor_share,
         )
-        pause_s = FIRST_INTERVAL_S
+        interval_s = INITIAL_POLL_INTERVAL_S
         while True:
-            self._records.keep(key, record_to_json(own))
-            self._count(own)
-            sleep(pause_s * self._knowledge.random.uniform(0.8, 1.2))
-            pause_s = min(INTERVAL_S, 2 * pause_s)
+            self._records.keep_alive(key, record_to_json(own_member))
+            self._refresh_members(own_member)
+            sleep(interval_s * self._knowledge.random.uniform(0.8, 1.2))
+            interval_s = min(POLL_INTERVAL_S, 2 * interval_s)
 
-    def _count(self, own: Member) -> None:
-        # A count may be seconds old; such a read costs a tenth of another.
+    def _refresh_members(self, own_member: Member) -> None:
+        # The list may be seconds old; a stale read costs a tenth of a
+        # consistent one.
         answer = self._store.perform(
             StoreList(OperationId('members'), MEMBERS_PREFIX, may_be_old=True)
         )
         if not isinstance(answer, StoreListing):
             return
-        found = {
+        members = {
             member.instance_id: member
             for item in answer.items
             if (member := _read_member(item)) is not None
         }
-        found[own.instance_id] = own
-        self._knowledge.take_node_count(len(found))
-        self._knowledge.sources.take_members(found.values())
-        self._tell(tuple(sorted(found)))
+        members[own_member.instance_id] = own_member
+        self._knowledge.take_node_count(len(members))
+        self._knowledge.sources.take_members(members.values())
+        self._on_members(tuple(sorted(members)))
 
 
 def _read_member(item: StoreItem) -> Member | None:
-    """Read a node's entry; None for one of another form."""
+    """Parse a node's entry; None if its format is unknown."""
     try:
         return record_from_json(item.value or '', Member)
     except CodecError:
-        # Another version's entry: it is neither asked nor counted.
+        # Written by another version: the node gets no requests and is not
+        # counted.
         return None
