--- a/tests/core/test_tokens.py
+++ b/tests/core/test_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens join to their text, and blocks name whole prefixes."""
+"""Tests of token splitting and of the names of prefix blocks."""
 
 import testtools
 from hypothesis import given, strategies
