--- a/packages/core/dandelionyoke_core/_unrepeatable.py
+++ b/packages/core/dandelionyoke_core/_unrepeatable.py
@@ -1,4 +1,4 @@
-"""Which calls of a plain service may run at most once."""
+"""Detection of calls of plain services that may run at most once."""
 
 import posixpath
 from urllib.parse import unquote
@@ -9,23 +9,23 @@
 
 
 def is_unrepeatable(service: Service, method: str, path: str) -> bool:
-    """Whether a call is one that may run at most once.
+    """Return whether a call may run at most once.
 
-    The service may take `//returns`, `/x/../returns` and `/%72eturns` for
-    `/returns`. Taken as written, each would slip past the pattern, and a
-    repeat would run twice; so all are compared in one form.
+    A service may treat `//returns`, `/x/../returns` and `/%72eturns` like
+    `/returns`. Without normalisation these paths would not match the pattern
+    and a repeated call would run twice, so the paths are normalised first.
     """
-    asked = f'{method.upper()} {_plain_path(path)}'
-    return any(_covers(pattern, asked) for pattern in service.unrepeatable)
+    requested = f'{method.upper()} {_normalised_path(path)}'
+    return any(_matches(pattern, requested) for pattern in service.unrepeatable)
 
 
-def _covers(pattern: str, asked: str) -> bool:
+def _matches(pattern: str, requested: str) -> bool:
     if not pattern.endswith('*'):
         method, _, path = pattern.partition(' ')
-        return asked == f'{method.upper()} {_plain_path(path)}'
-    return f'{asked}/'.startswith(pattern[:-1])
+        return requested == f'{method.upper()} {_normalised_path(path)}'
+    return f'{requested}/'.startswith(pattern[:-1])
 
 
-def _plain_path(path: str) -> str:
+def _normalised_path(path: str) -> str:
     decoded = unquote(path.partition('?')[0])
     return posixpath.normpath(f'/{decoded.lstrip("/")}')
