--- a/packages/core/dandelionyoke_core/_chat.py
+++ b/packages/core/dandelionyoke_core/_chat.py
@@ -1,4 +1,4 @@
-"""A chat as the one prompt that an engine gets."""
+"""Conversion of chat messages to a single prompt."""
 
 from collections.abc import Iterable
 
@@ -14,6 +14,6 @@
 
 
 def chat_prompt(messages: Iterable[ChatMessage]) -> str:
-    """Write a chat as `role: content` lines and the assistant's turn."""
+    """Format messages as `role: content` lines, ending with `assistant:`."""
     lines = [f'{message.role}: {message.content}' for message in messages]
     return '\n'.join((*lines, 'assistant:'))
