--- a/packages/core/dandelionyoke_core/_keys.py
+++ b/packages/core/dandelionyoke_core/_keys.py
@@ -1,4 +1,4 @@
-"""Whose key a call carries."""
+"""Authentication of callers by API key."""
 
 import hashlib
 
@@ -9,27 +9,30 @@
 from dandelionyoke_core._refusals import Refusal, RefusalKind
 
 DEFAULT_RETRY_AFTER_S = 5.0
-# Above this age, a refusal of an unknown key says how old the knowledge is.
-REMARKABLE_AGE_S = 60.0
+# Above this age of the configuration, refusals of unknown keys state the age.
+STALE_KNOWLEDGE_AGE_S = 60.0
 
 
 @attrs.frozen
 class KeysSettings:
-    """When callers that no one can vouch for may come back."""
+    """Settings of authentication.
+
+    `retry_after_s` applies while the configuration is missing or too old.
+    """
 
     retry_after_s: float = DEFAULT_RETRY_AFTER_S
 
 
 def hash_key(bearer_key: str) -> str:
-    """Hash a key as the configuration stores it."""
+    """Return the hash under which the configuration stores a key."""
     return hashlib.sha256(bearer_key.encode()).hexdigest()
 
 
 class KeysPart:
-    """Finds the organisation of a key in the configuration in force.
+    """Find the organisation of a key in the current configuration.
 
-    Keys are compared by their hashes. How long a look-up takes tells a
-    caller at most something of the hash, from which no key can be built.
+    Keys are compared by their hashes. The duration of a look-up reveals at
+    most something about the hash, and the key cannot be derived from it.
     """
 
     def __init__(
@@ -39,7 +42,7 @@
         self._settings = settings or KeysSettings()
 
     def authenticate(self, bearer_key: str, now_s: float) -> Identity | Refusal:
-        """Find the organisation of a key."""
+        """Return the organisation of a key, or a refusal."""
         snapshot = self._directory.snapshot
         age_s = self._directory.knowledge_age_s(now_s)
         if snapshot.revision == 0 and age_s is None:
@@ -52,8 +55,8 @@
             return _unknown_key(age_s)
         if _is_too_old(organisation, age_s):
             return self._no_knowledge(
-                'This entry is cut off, and its configuration is older than '
-                f'the limit of {organisation.organisation_id}'
+                'The configuration of this entry is older than the limit of '
+                f'{organisation.organisation_id}'
             )
         return _identity(organisation, key)
 
@@ -61,7 +64,7 @@
         return Refusal(
             kind=RefusalKind.NO_KNOWLEDGE,
             detail=detail,
-            remedy='Call again; another entry may know more',
+            remedy='Send the request again; another entry may be up to date',
             retry_after_s=self._settings.retry_after_s,
         )
 
@@ -78,10 +81,10 @@
 
 
 def _unknown_key(age_s: float | None) -> Refusal:
-    detail = 'The key is not known'
-    if age_s is None or age_s > REMARKABLE_AGE_S:
+    detail = 'Unknown key'
+    if age_s is None or age_s > STALE_KNOWLEDGE_AGE_S:
         age = 'an unknown time' if age_s is None else f'{age_s:.0f} s'
-        detail = f'{detail} here; this entry last heard news {age} ago'
+        detail = f'{detail}; the configuration was last confirmed {age} ago'
     return Refusal(
         kind=RefusalKind.UNAUTHENTICATED,
         detail=detail,
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -1,4 +1,4 @@
-"""A call runs for the organisation of its key, or is refused truthfully."""
+"""Tests of the authentication of callers by API key."""
 
 import testtools
 from hypothesis import given, strategies
@@ -15,9 +15,9 @@
     hash_key,
 )
 
-PATIENT = Organisation(OrganisationId('patient'))
-STRICT = Organisation(OrganisationId('strict'), knowledge_age_limit_s=60)
-OWNERS = {'patient key': PATIENT, 'strict key': STRICT}
+UNLIMITED_AGE = Organisation(OrganisationId('patient'))
+LIMITED_AGE = Organisation(OrganisationId('strict'), knowledge_age_limit_s=60)
+OWNERS = {'patient key': UNLIMITED_AGE, 'strict key': LIMITED_AGE}
 SNAPSHOT = Snapshot(
     revision=3,
     organisations={owner.organisation_id: owner for owner in OWNERS.values()},
@@ -42,35 +42,37 @@
 
 
 class KeysTest(testtools.TestCase):
-    def test_a_key_stands_for_its_organisation(self) -> None:
+    def test_a_key_identifies_its_organisation(self) -> None:
         for key, owner in OWNERS.items():
             self.assertEqual(Identity(owner, hash_key(key)), authenticate(key))
 
     @given(strategies.text().filter(lambda key: key not in OWNERS))
-    def test_no_other_text_is_a_key(self, key: str) -> None:
+    def test_any_other_text_is_refused(self, key: str) -> None:
         self.assertEqual(RefusalKind.UNAUTHENTICATED, authenticate(key).kind)
 
-    def test_refusals_say_what_is_so(self) -> None:
-        """An entry knows nothing yet, or was cut off for long.
+    def test_refusals_distinguish_wrong_keys_from_missing_knowledge(
+        self,
+    ) -> None:
+        """The configuration of an entry is missing or too old.
 
-        A caller whose key is fine must not hear that it is wrong, and has
-        to learn when to come back; nothing of its call was run.
+        A caller with a valid key must not be told that the key is invalid. It
+        must be told when to retry and that its call did not run.
         """
         empty = Snapshot()
         orphaned = Snapshot(revision=3, keys=SNAPSHOT.keys)
-        unknown = RefusalKind.UNAUTHENTICATED
-        nothing = RefusalKind.NO_KNOWLEDGE
+        unauthenticated = RefusalKind.UNAUTHENTICATED
+        no_knowledge = RefusalKind.NO_KNOWLEDGE
         for key, snapshot, age_s, kind in (
-            ('patient key', empty, None, nothing),
-            ('patient key', empty, 1.0, unknown),
-            ('other key', SNAPSHOT, 1.0, unknown),
-            ('other key', SNAPSHOT, None, unknown),
-            ('patient key', orphaned, 1.0, unknown),
+            ('patient key', empty, None, no_knowledge),
+            ('patient key', empty, 1.0, unauthenticated),
+            ('other key', SNAPSHOT, 1.0, unauthenticated),
+            ('other key', SNAPSHOT, None, unauthenticated),
+            ('patient key', orphaned, 1.0, unauthenticated),
             ('patient key', SNAPSHOT, 1e6, None),
             ('patient key', SNAPSHOT, None, None),
             ('strict key', SNAPSHOT, 60.0, None),
-            ('strict key', SNAPSHOT, 60.1, nothing),
-            ('strict key', SNAPSHOT, None, nothing),
+            ('strict key', SNAPSHOT, 60.1, no_knowledge),
+            ('strict key', SNAPSHOT, None, no_knowledge),
         ):
             answer = authenticate(key, snapshot, age_s)
             if kind is None:
@@ -78,8 +80,8 @@
                 continue
             self.assertEqual(kind, answer.kind, (key, age_s))
             self.assertEqual(RunState.NO, answer.run)
-            comes_back = answer.retry_after_s is not None
-            self.assertEqual(kind is nothing, comes_back)
+            has_retry_delay = answer.retry_after_s is not None
+            self.assertEqual(kind is no_knowledge, has_retry_delay)
 
-    def test_an_old_refusal_tells_the_age(self) -> None:
+    def test_a_refusal_states_the_age_of_an_old_configuration(self) -> None:
         self.assertIn('300 s ago', authenticate('new key', age_s=300).detail)
