--- a/packages/core/dandelionyoke_core/_runs.py
+++ b/packages/core/dandelionyoke_core/_runs.py
@@ -1,4 +1,4 @@
-"""What is in progress on which engine, here and as far as peers tell."""
+"""Requests in progress on engines, from this entry and from peers."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterator
@@ -13,8 +13,9 @@
 class Run:
     """A request in progress on an engine.
 
-    `trial` is whether it was a suspect when it started, `announced` whether
-    peers were told of it, so that they have to be told of its end.
+    `trial` tells whether its fingerprint was a suspect when it started.
+    `announced` tells whether peers know of the run, in which case they must
+    also be told when it ends.
     """
 
     attempt_id: AttemptId
@@ -26,57 +27,66 @@
 
 
 class Runs:
-    """The runs of this entry, those left at silent engines, and peers'."""
+    """The runs of this entry, its lost runs, and the trials of peers.
+
+    A run is lost when it was abandoned at a silent engine.
+    """
 
     def __init__(self, settings: QuarantineSettings) -> None:
         self._settings = settings
-        self._here: dict[AttemptId, Run] = {}
-        self._lost: deque[tuple[float, Run]] = deque(maxlen=settings.max_lost)
-        self._peers: OrderedDict[AttemptId, tuple[float, Run]] = OrderedDict()
+        self._own_runs: dict[AttemptId, Run] = {}
+        self._lost_runs: deque[tuple[float, Run]] = deque(
+            maxlen=settings.max_lost
+        )
+        self._peer_trials: OrderedDict[AttemptId, tuple[float, Run]] = (
+            OrderedDict()
+        )
 
     def start(self, run: Run) -> None:
-        """Take up a run, or what changed about it."""
-        self._here[run.attempt_id] = run
+        """Add or update a run of this entry."""
+        self._own_runs[run.attempt_id] = run
 
     def end(self, attempt_id: AttemptId) -> Run | None:
-        """Forget a run of this entry."""
-        return self._here.pop(attempt_id, None)
+        """Remove and return a run of this entry."""
+        return self._own_runs.pop(attempt_id, None)
 
     def find(self, attempt_id: AttemptId) -> Run | None:
-        """Look a run of this entry up."""
-        return self._here.get(attempt_id)
+        """Return a run of this entry."""
+        return self._own_runs.get(attempt_id)
 
     def copies(self, fingerprint: str) -> tuple[Run, ...]:
-        """List this entry's runs of one request."""
+        """Return the runs of this entry with a fingerprint."""
         return tuple(
-            run for run in self._here.values() if run.fingerprint == fingerprint
+            run
+            for run in self._own_runs.values()
+            if run.fingerprint == fingerprint
         )
 
     def lose(self, run: Run, now_s: float) -> None:
-        """Remember a run that was left at a silent engine."""
-        self._lost.append((now_s, run))
+        """Record a run that was abandoned at a silent engine."""
+        self._lost_runs.append((now_s, run))
 
     def lost(self, now_s: float) -> Iterator[Run]:
-        """Go through the runs that were lost not long ago."""
-        since_s = now_s - self._settings.lost_window_s
-        for lost_s, run in tuple(self._lost):
-            if lost_s >= since_s:
+        """Iterate over the runs lost in the last `lost_window_s`."""
+        window_start_s = now_s - self._settings.lost_window_s
+        for lost_s, run in tuple(self._lost_runs):
+            if lost_s >= window_start_s:
                 yield run
 
     def tell_peer(self, run: Run, now_s: float) -> None:
-        """Take up a trial of a peer."""
-        until_s = now_s + self._settings.trial_lifetime_s
-        self._peers[run.attempt_id] = (until_s, run)
-        if len(self._peers) > self._settings.max_trials:
-            self._peers.popitem(last=False)
+        """Add a trial of a peer; it expires after `trial_lifetime_s`."""
+        expires_s = now_s + self._settings.trial_lifetime_s
+        self._peer_trials[run.attempt_id] = (expires_s, run)
+        if len(self._peer_trials) > self._settings.max_trials:
+            self._peer_trials.popitem(last=False)
 
     def end_peer(self, attempt_id: AttemptId) -> None:
-        """Forget a trial of a peer."""
-        self._peers.pop(attempt_id, None)
+        """Remove a trial of a peer."""
+        self._peer_trials.pop(attempt_id, None)
 
     def known(self, now_s: float) -> Iterator[Run]:
-        """Go through what is in progress, here and as peers told."""
-        yield from self._here.values()
-        for until_s, run in self._peers.values():
-            if now_s < until_s:
+        """Iterate over the runs of this entry and the trials of peers."""
+        yield from self._own_runs.values()
+        for expires_s, run in self._peer_trials.values():
+            if now_s < expires_s:
                 yield run
