--- a/packages/core/dandelionyoke_core/_courier.py
+++ b/packages/core/dandelionyoke_core/_courier.py
@@ -1,4 +1,4 @@
-"""Carries shared records over the links of one node."""
+"""Propagation of shared records over the links of one node."""
 
 from collections.abc import Iterable
 
@@ -17,96 +17,95 @@
 
 
 @attrs.frozen
-class _Parcel:
+class _PendingEntry:
     entry: RecordEntry
     source: InstanceId | None = None
 
 
 class Courier:
-    """Passes each record on once, when it is newer than what was known.
+    """Forward each record once, if it is newer than the known version.
 
-    On a new link both ends say which versions they have, and each sends
-    what the other lacks. A record of one domain goes only over links to
-    peers that have said that they are in it.
+    On a new link both ends exchange the versions that they have, and each
+    sends the records that the other lacks. A domain-local record is sent only
+    to peers that have announced the same domain.
     """
 
     def __init__(self, own: Instance, settings: GossipSettings) -> None:
         self._own = own
         self._table = RecordTable(settings)
         self._peer_domains: dict[InstanceId, Domain] = {}
-        self._parcels: list[_Parcel] = []
+        self._pending: list[_PendingEntry] = []
 
     def find(self, record_key: str) -> SharedRecord | None:
-        """Look a record up."""
+        """Return a record by its key."""
         return self._table.find(record_key)
 
     def expire(self, now_s: float) -> None:
-        """Drop the records whose lifetime is over."""
+        """Remove expired records."""
         self._table.expire(now_s)
 
     def share(
         self, record: SharedRecord, everywhere: bool, now_s: float
     ) -> None:
-        """Take a record of this node, to be flushed."""
+        """Queue a record of this node for the next flush."""
         entry = self._table.keep(record, everywhere, now_s)
         if entry is not None:
-            self._parcels.append(_Parcel(entry))
+            self._pending.append(_PendingEntry(entry))
 
     def greet(self, peer_id: InstanceId) -> SendPeer:
-        """Tell a new peer what is known here."""
+        """Create the summary of known versions for a new peer."""
         summary = RecordSummary(self._own, self._table.versions())
         return SendPeer(peer_id, summary)
 
     def forget(self, peer_id: InstanceId) -> None:
-        """Drop what was known of a link that ended."""
+        """Remove the state of a closed link."""
         self._peer_domains.pop(peer_id, None)
 
     def answer(
         self, peer_id: InstanceId, summary: RecordSummary, now_s: float
     ) -> list[Action]:
-        """Send a new peer what it lacks."""
+        """Send a new peer the records that its summary lacks."""
         self._peer_domains[peer_id] = summary.instance.domain
-        newer = self._table.newer_than(
+        missing = self._table.newer_than(
             summary.versions, self._shares_domain(peer_id), now_s
         )
-        return [SendPeer(peer_id, batch) for batch in batches(newer)]
+        return [SendPeer(peer_id, batch) for batch in batches(missing)]
 
     def take(
         self, peer_id: InstanceId, batch: RecordBatch, now_s: float
     ) -> list[SharedRecord]:
-        """Take a peer's records; return those that are news."""
-        news: list[SharedRecord] = []
+        """Store the records of a peer and return those that are newer."""
+        newer_records: list[SharedRecord] = []
         for entry in batch.entries:
-            learned = self._table.learn(entry, now_s)
-            if learned is not None:
-                record, onward = learned
-                self._parcels.append(_Parcel(onward, peer_id))
-                news.append(record)
-        return news
+            accepted = self._table.learn(entry, now_s)
+            if accepted is not None:
+                record, forwarded = accepted
+                self._pending.append(_PendingEntry(forwarded, peer_id))
+                newer_records.append(record)
+        return newer_records
 
     def flush(self, peer_ids: Iterable[InstanceId]) -> list[Action]:
-        """Send what is new over the links that are up."""
-        if not self._parcels:
+        """Send the pending records over the links that are up."""
+        if not self._pending:
             return []
-        parcels = self._parcels
-        self._parcels = []
+        pending = self._pending
+        self._pending = []
         actions: list[Action] = []
         for peer_id in peer_ids:
-            entries = self._entries_for(peer_id, parcels)
+            entries = self._entries_for(peer_id, pending)
             actions.extend(
                 SendPeer(peer_id, batch) for batch in batches(entries)
             )
         return actions
 
     def _entries_for(
-        self, peer_id: InstanceId, parcels: Iterable[_Parcel]
+        self, peer_id: InstanceId, pending: Iterable[_PendingEntry]
     ) -> list[RecordEntry]:
         same_domain = self._shares_domain(peer_id)
         return [
-            parcel.entry
-            for parcel in parcels
-            if parcel.source != peer_id
-            and (same_domain or parcel.entry.everywhere)
+            item.entry
+            for item in pending
+            if item.source != peer_id and (same_domain or item.entry.everywhere)
         ]
 
     def _shares_domain(self, peer_id: InstanceId) -> bool:
