--- a/packages/core/dandelionyoke_core/_mix_history.py
+++ b/packages/core/dandelionyoke_core/_mix_history.py
@@ -1,4 +1,4 @@
-"""How long the mix has held, and so how long it may be expected to hold."""
+"""The stability of the work mix over time."""
 
 from collections.abc import Sequence
 
@@ -11,47 +11,47 @@
 
 @attrs.define
 class MixHistory:
-    """When the mix last shifted.
+    """Record when the work mix last changed by more than a threshold.
 
-    A mix that has held for a while is expected to hold as long again:
-    nothing else is known of a swing, and it errs to the cautious side right
-    after one.
+    A mix is expected to stay stable for as long as it has been stable so far.
+    Nothing else is known about its changes, and the rule is cautious right
+    after a change.
     """
 
     threshold: float
-    _reference: float | None = None
-    _since_s: float = 0.0
-    _first_s: float | None = None
+    _reference_share: float | None = None
+    _stable_since_s: float = 0.0
+    _first_seen_s: float | None = None
 
     def learn(
         self, rows: Sequence[WorkRow], speed: EngineSpeed, now_s: float
     ) -> None:
-        """Compare the present mix with what it was."""
+        """Compare the current mix with the reference mix."""
         if not rows:
             return
-        if self._first_s is None:
-            self._first_s = now_s
+        if self._first_seen_s is None:
+            self._first_seen_s = now_s
         share = prefill_share(rows, speed)
-        if self._reference is None:
-            self._reference = share
-            self._since_s = now_s
-        elif abs(share - self._reference) > self.threshold:
-            self._reference = share
-            self._since_s = now_s
+        if self._reference_share is None:
+            self._reference_share = share
+            self._stable_since_s = now_s
+        elif abs(share - self._reference_share) > self.threshold:
+            self._reference_share = share
+            self._stable_since_s = now_s
 
     def known_s(self, now_s: float) -> float:
-        """Tell how long the mix has been watched."""
-        return 0 if self._first_s is None else now_s - self._first_s
+        """Return for how long the mix has been observed, in seconds."""
+        return 0 if self._first_seen_s is None else now_s - self._first_seen_s
 
     def held_s(self, now_s: float) -> float:
-        """Tell how long the mix has held."""
-        return now_s - self._since_s
+        """Return for how long the mix has been stable, in seconds."""
+        return now_s - self._stable_since_s
 
 
 def prefill_share(rows: Sequence[WorkRow], speed: EngineSpeed) -> float:
-    """Tell which part of the engines' time is prefill."""
+    """Return the share of the engine time that is spent on prefill."""
     prompt = sum(row.prompt_per_s for row in rows)
     output = sum(row.output_per_s for row in rows)
     prefill_s = speed.engine_s(prompt, 0, Role.MIXED)
-    whole_s = speed.engine_s(prompt, output, Role.MIXED)
-    return prefill_s / whole_s if whole_s else 0
+    total_s = speed.engine_s(prompt, output, Role.MIXED)
+    return prefill_s / total_s if total_s else 0
--- a/packages/core/dandelionyoke_core/_work_mix.py
+++ b/packages/core/dandelionyoke_core/_work_mix.py
@@ -1,4 +1,4 @@
-"""The mix of work: how much of it is prompt, how much output."""
+"""The work mix: rates of prompt and output tokens by their ratio."""
 
 import math
 
@@ -7,18 +7,18 @@
 from dandelionyoke_core._names import ServiceName
 from dandelionyoke_core._rate import DecayingRate
 
-# Calls are sorted by the power of two of prompt to output tokens.
-LOWEST_BUCKET = -4
-HIGHEST_BUCKET = 9
+# A bucket is the rounded log2 of the ratio of prompt to output tokens.
+MIN_BUCKET = -4
+MAX_BUCKET = 9
 FAST_WINDOW_S = 8.0
 SLOW_WINDOW_S = 90.0
-# A bucket that is asked for less than this is not worth telling.
-LEAST_CALLS_PER_S = 0.005
+# Buckets with a lower rate are not reported.
+MIN_TOKENS_PER_S = 0.005
 
 
 @attrs.frozen
 class MixRow:
-    """Work of one bucket, a second: lately, and over a longer while."""
+    """The token rates of one bucket, over a short and a long window."""
 
     service: ServiceName
     bucket: int
@@ -28,7 +28,7 @@
     slow_output_per_s: float
 
     def scaled(self, factor: float) -> 'MixRow':
-        """Give the same work so many times."""
+        """Return the row with all rates multiplied by a factor."""
         return attrs.evolve(
             self,
             prompt_per_s=self.prompt_per_s * factor,
@@ -40,7 +40,7 @@
 
 @attrs.define
 class BucketRates:
-    """Prompt and output of one bucket in two windows."""
+    """Prompt and output rates of one bucket over both windows."""
 
     prompt: DecayingRate = attrs.field(
         factory=lambda: DecayingRate(FAST_WINDOW_S)
@@ -56,7 +56,7 @@
     )
 
     def add(self, prompt: float, output: float, now_s: float) -> None:
-        """Count a call."""
+        """Count the tokens of a call."""
         self.prompt.add(prompt, now_s)
         self.output.add(output, now_s)
         self.slow_prompt.add(prompt, now_s)
@@ -64,7 +64,7 @@
 
 
 class WorkMeter:
-    """Counts the work that this entry is asked for."""
+    """Measure the work requested at this entry."""
 
     def __init__(self) -> None:
         self._rates: dict[tuple[ServiceName, int], BucketRates] = {}
@@ -72,19 +72,19 @@
     def add(
         self, service: ServiceName, prompt: float, output: float, now_s: float
     ) -> None:
-        """Count a call by what it takes."""
-        key = (service, bucket_of(prompt, output))
+        """Count a call in the bucket of its token ratio."""
+        key = (service, ratio_bucket(prompt, output))
         rates = self._rates.setdefault(key, BucketRates())
         rates.add(prompt, output, now_s)
 
     def rows(self, service: ServiceName, now_s: float) -> tuple[MixRow, ...]:
-        """Give the work of a service."""
+        """Return the rows of a service."""
         return tuple(
             row for row in self.every_row(now_s) if row.service == service
         )
 
     def every_row(self, now_s: float) -> tuple[MixRow, ...]:
-        """Give the work of all services."""
+        """Return the rows of all services."""
         rows = (
             MixRow(
                 service,
@@ -96,16 +96,16 @@
             )
             for (service, bucket), rates in self._rates.items()
         )
-        return tuple(row for row in rows if _is_worth_telling(row))
+        return tuple(row for row in rows if _is_significant(row))
 
 
-def bucket_of(prompt: float, output: float) -> int:
-    """Sort a call by its ratio of prompt to output."""
+def ratio_bucket(prompt: float, output: float) -> int:
+    """Return the bucket for a ratio of prompt to output tokens."""
     ratio = max(prompt, 1) / max(output, 1)
     bucket = round(math.log2(ratio))
-    return max(LOWEST_BUCKET, min(HIGHEST_BUCKET, bucket))
+    return max(MIN_BUCKET, min(MAX_BUCKET, bucket))
 
 
-def _is_worth_telling(row: MixRow) -> bool:
-    tokens = row.slow_prompt_per_s + row.slow_output_per_s
-    return tokens > LEAST_CALLS_PER_S
+def _is_significant(row: MixRow) -> bool:
+    tokens_per_s = row.slow_prompt_per_s + row.slow_output_per_s
+    return tokens_per_s > MIN_TOKENS_PER_S
