--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -1,9 +1,9 @@
-"""Which calls run now, which wait, and which are refused at once."""
+"""Admission control: start, queue or refuse each call."""
 
 from typing import ClassVar
 
 from dandelionyoke_core._admission_refusals import (
-    bounded_retry,
+    clamp_retry_after_s,
     no_target,
     overloaded,
 )
@@ -35,7 +35,7 @@
 
 
 class AdmissionPart:
-    """Limits and fair queues over the services."""
+    """Apply organisation limits and fair queueing to the calls of services."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -59,38 +59,38 @@
         self._demand = DemandTable(settings, peers, instance_id)
         self._limits = OrganisationLimits(settings, self._demand)
         self._services: dict[ServiceName, ServiceQueue] = {}
-        self._places: dict[RequestId, ServiceName] = {}
-        self._due_s: float | None = None
+        self._services_by_request: dict[RequestId, ServiceName] = {}
+        self._next_check_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         match event:
             case Started(wall_s=wall_s):
                 self._demand.start(now_s, wall_s)
-                self._limits.entries_known(len(self._peers.live), now_s)
+                self._limits.update_entry_count(len(self._peers.live), now_s)
             case Woken():
-                return [*self._demand.share(now_s), *self._wake(now_s)]
+                return [*self._demand.share(now_s), *self._start_queued(now_s)]
             case PeersKnown(live=live):
-                self._limits.entries_known(len(live), now_s)
+                self._limits.update_entry_count(len(live), now_s)
             case RecordLearned(record=DemandShared() as record):
                 self._demand.learn(record, now_s)
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when queued calls, or the demand, have to be looked at."""
-        due = (self._due_s, self._demand.next_wakeup_s())
+        """Return when the queues or the demand record are next due."""
+        due = (self._next_check_s, self._demand.next_wakeup_s())
         return min((due_s for due_s in due if due_s is not None), default=None)
 
     def mix(self, service: ServiceName, now_s: float) -> tuple[MixRow, ...]:
-        """Estimate the work that all entries are asked for."""
+        """Estimate the work requested at all entries."""
         return self._demand.mix(service, now_s)
 
-    # The Admitter port.
+    # Admitter protocol.
 
     def offer(
         self, ticket: Ticket, now_s: float
     ) -> Admitted | Queued | Refusal:
-        """Decide on a new call at once."""
+        """Admit, queue or refuse a new call."""
         service = self._service(ticket.service)
         output_tokens = service.output.mean_tokens(ticket.max_output_tokens)
         self._demand.count(ticket, output_tokens, now_s)
@@ -102,19 +102,19 @@
         if refusal is not None:
             return refusal
         self._limits.admit(ticket, output_tokens, now_s)
-        self._places[ticket.request_id] = ticket.service
+        self._services_by_request[ticket.request_id] = ticket.service
         cost = self._cost(ticket.prompt_tokens, output_tokens)
-        was_empty = not service.has_queue
+        queue_was_empty = not service.has_queued_calls
         run_s = 0 if outlook is None else outlook.run_s
         service.queue.push(ticket, cost, self._weight(ticket), run_s)
-        if was_empty and self._may_start(ticket, service, outlook, now_s):
+        if queue_was_empty and self._can_start(ticket, service, outlook, now_s):
             service.start_next()
             return Admitted()
-        self._look_again(now_s + self._settings.look_again_s)
+        self._schedule_check(now_s + self._settings.queue_check_interval_s)
         return Queued()
 
     def withdraw(self, request_id: RequestId, now_s: float) -> None:
-        """Forget a call of which nothing was served."""
+        """Remove a call that received no output."""
         self.finish(request_id, 0, 0, now_s)
 
     def finish(
@@ -124,36 +124,39 @@
         output_tokens: int,
         now_s: float,
     ) -> None:
-        """Give back the place of a call, with what it was served."""
-        name = self._places.pop(request_id, None)
-        if name is None:
+        """Release the slot of a call and charge the tokens it was served."""
+        service_name = self._services_by_request.pop(request_id, None)
+        if service_name is None:
             return
-        service = self._service(name)
-        waiting = service.queue.remove(request_id)
-        if waiting is not None:
-            self._give_back(service, waiting.ticket, 0)
+        service = self._service(service_name)
+        queued = service.queue.remove(request_id)
+        if queued is not None:
+            self._settle_limits(service, queued.ticket, 0)
             return
         running = service.running.pop(request_id)
         ticket = running.ticket
-        served = self._cost(prompt_tokens, output_tokens)
-        name_of = ticket.organisation.organisation_id
-        service.queue.correct(name_of, served - running.cost, running.weight)
-        service.drained.add(served, now_s)
-        self._give_back(service, ticket, prompt_tokens + output_tokens)
+        served_cost = self._cost(prompt_tokens, output_tokens)
+        organisation_id = ticket.organisation.organisation_id
+        service.queue.correct_cost(
+            organisation_id, served_cost - running.cost, running.weight
+        )
+        service.drain_rate.add(served_cost, now_s)
+        self._settle_limits(service, ticket, prompt_tokens + output_tokens)
         if output_tokens:
             service.output.learn(output_tokens, ticket.max_output_tokens)
-        # finish() cannot return a notice, so the freed place is given away
-        # by a wake-up that is due at once; without it a queued call would
-        # wait for the next timer.
-        if service.has_queue:
-            self._look_again(now_s)
+        # finish() cannot return a notice, so an immediate wake-up assigns the
+        # freed slot. Without it a queued call would wait for the next timer.
+        if service.has_queued_calls:
+            self._schedule_check(now_s)
 
     def come_back_s(self, service: ServiceName, now_s: float) -> float:
-        """Estimate when a refused call would find room, in seconds."""
-        found = self._service(service)
-        return bounded_retry(
+        """Estimate after how many seconds a refused call could be admitted."""
+        service_queue = self._service(service)
+        return clamp_retry_after_s(
             self._settings,
-            found.wait_s(found.queue.cost, now_s, self._settings.min_retry_s),
+            service_queue.wait_s(
+                service_queue.queue.cost, now_s, self._settings.min_retry_s
+            ),
         )
 
     # Decisions.
@@ -165,9 +168,9 @@
         outlook: Outlook | None,
         now_s: float,
     ) -> Refusal | None:
-        limited = self._limits.refusal(ticket, now_s)
-        if limited is not None:
-            return limited
+        limit_refusal = self._limits.refusal(ticket, now_s)
+        if limit_refusal is not None:
+            return limit_refusal
         if outlook is None:
             return no_target(self._settings, ticket.service)
         return self._queue_refusal(ticket, service, outlook, now_s)
@@ -180,15 +183,15 @@
         now_s: float,
     ) -> Refusal | None:
         settings = self._settings
-        name = ticket.organisation.organisation_id
+        organisation_id = ticket.organisation.organisation_id
         queue = service.queue
-        ahead = queue.ahead(name)
-        wait_s = service.wait_s(ahead, now_s, settings.min_retry_s)
-        if self._is_too_late(ticket, wait_s + outlook.total_s, now_s):
+        work_ahead = queue.work_ahead(organisation_id)
+        wait_s = service.wait_s(work_ahead, now_s, settings.min_retry_s)
+        if self._would_miss_deadline(ticket, wait_s + outlook.total_s, now_s):
             return overloaded(
                 self._settings,
                 RefusalKind.DEADLINE,
-                'the deadline would pass',
+                'the call would miss its deadline',
                 wait_s,
             )
         if len(queue) >= settings.max_queued:
@@ -198,17 +201,17 @@
                 'the queue is full',
                 wait_s,
             )
-        share = settings.max_queued * settings.max_queued_share
-        if queue.queued_of(name) >= share:
+        max_calls = settings.max_queued * settings.max_queued_share
+        if queue.queued_count(organisation_id) >= max_calls:
             return overloaded(
                 self._settings,
                 RefusalKind.OVERLOADED,
-                'too many calls wait already',
+                'the organisation has too many queued calls',
                 wait_s,
             )
         return None
 
-    def _is_too_late(
+    def _would_miss_deadline(
         self, ticket: Ticket, needed_s: float, now_s: float
     ) -> bool:
         if ticket.deadline_s is None:
@@ -222,11 +225,11 @@
         size = WorkSize(
             ticket.prompt_tokens,
             service.output.mean_tokens(ticket.max_output_tokens),
-            service.output.high_tokens(ticket.max_output_tokens),
+            service.output.upper_tokens(ticket.max_output_tokens),
         )
         return self._capacities.outlook(ticket.service, size, now_s)
 
-    def _may_start(
+    def _can_start(
         self,
         ticket: Ticket,
         service: ServiceQueue,
@@ -242,16 +245,16 @@
 
     # Queues.
 
-    def _wake(self, now_s: float) -> list[Output]:
-        """Let one call of each queue go, and look again at once.
+    def _start_queued(self, now_s: float) -> list[Output]:
+        """Start one call of each queue and check the queues again at once.
 
-        The next look then sees the load of the call that went; letting
-        several go on one look would send them all to the same free room.
+        The next check then includes the load of the started call. Starting
+        several calls in one check would send them all to the same free slot.
         """
-        self._due_s = None
+        self._next_check_s = None
         outputs: list[Output] = []
         for service in self._services.values():
-            outputs.extend(self._reject_late(service, now_s))
+            outputs.extend(self._reject_expired(service, now_s))
             outputs.extend(self._start_next(service, now_s))
         return outputs
 
@@ -260,38 +263,40 @@
         if head is None:
             return []
         outlook = self._outlook(head.ticket, service, now_s)
-        if self._may_start(head.ticket, service, outlook, now_s):
+        if self._can_start(head.ticket, service, outlook, now_s):
             request_id = service.start_next()
-            self._look_again(now_s)
+            self._schedule_check(now_s)
             return [] if request_id is None else [CallAdmitted(request_id)]
-        self._look_again(now_s + self._settings.look_again_s)
+        self._schedule_check(now_s + self._settings.queue_check_interval_s)
         return []
 
-    def _reject_late(self, service: ServiceQueue, now_s: float) -> list[Output]:
+    def _reject_expired(
+        self, service: ServiceQueue, now_s: float
+    ) -> list[Output]:
         outputs: list[Output] = []
-        for waiting in service.queue.waiting():
-            ticket = waiting.ticket
-            limit_s = ticket.arrived_s + self._settings.queue_limit_s
+        for queued in service.queue.queued_calls():
+            ticket = queued.ticket
+            expires_s = ticket.arrived_s + self._settings.max_queue_wait_s
             if ticket.deadline_s is not None:
-                run_s = waiting.run_s * self._settings.deadline_margin
-                limit_s = min(limit_s, ticket.deadline_s - run_s)
-            if now_s < limit_s:
+                run_s = queued.run_s * self._settings.deadline_margin
+                expires_s = min(expires_s, ticket.deadline_s - run_s)
+            if now_s < expires_s:
                 continue
             self.withdraw(ticket.request_id, now_s)
             refusal = overloaded(
                 self._settings,
                 RefusalKind.DEADLINE,
-                'the call waited too long',
+                'the call was queued for too long',
                 service.wait_s(service.queue.cost, now_s, 0),
             )
             outputs.append(CallRejected(ticket.request_id, refusal))
         return outputs
 
-    def _look_again(self, at_s: float) -> None:
-        if self._due_s is None or at_s < self._due_s:
-            self._due_s = at_s
+    def _schedule_check(self, at_s: float) -> None:
+        if self._next_check_s is None or at_s < self._next_check_s:
+            self._next_check_s = at_s
 
-    def _give_back(
+    def _settle_limits(
         self, service: ServiceQueue, ticket: Ticket, served_tokens: int
     ) -> None:
         expected = service.output.mean_tokens(ticket.max_output_tokens)
@@ -306,11 +311,11 @@
         return service
 
     def _cost(self, prompt_tokens: float, output_tokens: float) -> float:
-        # A call of no tokens, as to a plain service, is still some work.
+        # Calls without tokens, such as those of plain services, cost 1.
         tokens = prompt_tokens + self._settings.output_weight * output_tokens
         return max(1, tokens)
 
     def _weight(self, ticket: Ticket) -> float:
         organisation = ticket.organisation
-        step = self._settings.priority_factor**organisation.priority
-        return max(1, organisation.weight) * step
+        priority_weight = self._settings.priority_factor**organisation.priority
+        return max(1, organisation.weight) * priority_weight
--- a/packages/core/dandelionyoke_core/_admission_refusals.py
+++ b/packages/core/dandelionyoke_core/_admission_refusals.py
@@ -1,18 +1,18 @@
-"""What admission says when it does not let a call in."""
+"""Refusals of calls that are not admitted."""
 
 from dandelionyoke_core._admission_settings import AdmissionSettings
 from dandelionyoke_core._names import ServiceName
 from dandelionyoke_core._refusals import Refusal, RefusalKind
 
-REMEDY = 'Send the call again after the time given'
+RETRY_REMEDY = 'Send the request again after retry_after_s'
 
 
 def no_target(settings: AdmissionSettings, service: ServiceName) -> Refusal:
-    """Refuse a call that no target can take."""
+    """Refuse a call because its service has no usable target."""
     return Refusal(
         RefusalKind.NO_TARGET,
-        f'no target of {service} can take work now',
-        REMEDY,
+        f'no target of {service} accepts work at the moment',
+        RETRY_REMEDY,
         retry_after_s=settings.no_target_retry_s,
     )
 
@@ -23,12 +23,15 @@
     detail: str,
     wait_s: float,
 ) -> Refusal:
-    """Refuse a call that would wait too long."""
+    """Refuse a call because of the length of the queue."""
     return Refusal(
-        kind, detail, REMEDY, retry_after_s=bounded_retry(settings, wait_s)
+        kind,
+        detail,
+        RETRY_REMEDY,
+        retry_after_s=clamp_retry_after_s(settings, wait_s),
     )
 
 
-def bounded_retry(settings: AdmissionSettings, wait_s: float) -> float:
-    """Keep the time to come back within what is of use to a caller."""
+def clamp_retry_after_s(settings: AdmissionSettings, wait_s: float) -> float:
+    """Limit a retry delay to the configured minimum and maximum."""
     return min(settings.max_retry_s, max(settings.min_retry_s, wait_s))
--- a/packages/core/dandelionyoke_core/_capacity.py
+++ b/packages/core/dandelionyoke_core/_capacity.py
@@ -1,4 +1,4 @@
-"""What admission may know of the targets behind a service."""
+"""Capacity of the targets of a service, as seen by admission."""
 
 from typing import Protocol
 
@@ -10,9 +10,10 @@
 
 @attrs.frozen
 class ServiceCapacity:
-    """What the usable targets of a service can do, over all entries.
+    """The capacity of the usable targets of a service, for all entries.
 
-    `slots` is how many calls may run at once; 0 while no target is usable.
+    `slots` is the number of calls that may run concurrently. It is 0 while no
+    target is usable.
     """
 
     targets: int = 0
@@ -21,9 +22,10 @@
 
 @attrs.frozen
 class Outlook:
-    """What a call would find now: whether it could begin, and its times.
+    """The expected times of a call that is sent to a target now.
 
-    `run_s` is what would be left of `total_s` without the queue there.
+    `has_room` tells whether the target could start the call. `run_s` is
+    `total_s` without the time in the queue of the target.
     """
 
     has_room: bool
@@ -33,12 +35,15 @@
 
 
 class CapacityView(Protocol):
-    """Tells what a service can do now."""
+    """View of the capacity of services and of the expected times of calls."""
 
     def capacity(self, service: ServiceName, now_s: float) -> ServiceCapacity:
-        """Add up the usable targets of a service."""
+        """Sum the capacity of the usable targets of a service."""
 
     def outlook(
         self, service: ServiceName, size: WorkSize, now_s: float
     ) -> Outlook | None:
-        """Look at the best of a few targets; None while none is usable."""
+        """Estimate a call at the best of a sample of targets.
+
+        Returns None while no target is usable.
+        """
--- a/packages/core/dandelionyoke_core/_choice.py
+++ b/packages/core/dandelionyoke_core/_choice.py
@@ -1,4 +1,4 @@
-"""Which few targets are compared for a call, and what each would cost."""
+"""Choice of a target for a call from a small set of candidates."""
 
 from collections.abc import Mapping, Sequence
 from random import Random
@@ -12,17 +12,17 @@
 from dandelionyoke_core._routing_settings import RoutingSettings
 from dandelionyoke_core._target_state import TargetState
 
-MAX_HOLDERS = 2
+MAX_AFFINITY_TARGETS = 2
 
-States = Mapping[TargetId, TargetState]
+TargetStates = Mapping[TargetId, TargetState]
 
 
-class Chooser:
-    """Compares a small random set and the targets that a prefix points to.
+class TargetChooser:
+    """Compare a small random sample and the affinity targets of the prefix.
 
-    Comparing the whole fleet would send every entry's next call to the same
-    target, the one whose last report looked best, and would cost more the
-    larger the fleet is.
+    With a comparison of the whole fleet, all entries would send their next
+    call to the same target, the one with the best last report. The cost would
+    also grow with the fleet.
     """
 
     def __init__(
@@ -38,35 +38,46 @@
         self._random = random
 
     def best(
-        self, need: RouteNeed, size: WorkSize, usable: States, now_s: float
+        self,
+        need: RouteNeed,
+        size: WorkSize,
+        usable: TargetStates,
+        now_s: float,
     ) -> TargetState:
-        """Choose for a call; there must be a usable target."""
-        near, far = self._split(usable, now_s)
-        pointed = self._pointed(need, usable, near, far)
-        ids = [*self._sampled(near, far), *pointed]
+        """Choose a target for a call from at least one usable target."""
+        local, remote = self._split_by_domain(usable, now_s)
+        affinity_ids = self._affinity_targets(need, usable, local, remote)
+        ids = [*self._sample(local, remote), *affinity_ids]
         if need.prefer is not None and need.prefer in usable:
             ids.append(need.prefer)
         states = [usable[target_id] for target_id in dict.fromkeys(ids)]
-        home = pointed[0] if pointed else None
+        affinity_id = affinity_ids[0] if affinity_ids else None
         return min(
-            states, key=lambda state: self._cost(need, size, state, home)
+            states, key=lambda state: self._cost(need, size, state, affinity_id)
         )
 
     def outlook(
-        self, size: WorkSize, usable: States, now_s: float
+        self, size: WorkSize, usable: TargetStates, now_s: float
     ) -> tuple[Estimate, TargetState]:
-        """Give the best estimate of a small random set for any call."""
-        near, far = self._split(usable, now_s)
-        states = [usable[target_id] for target_id in self._sampled(near, far)]
-        found = [(self._estimate(size, state, 0), state) for state in states]
-        return min(found, key=lambda pair: _urgency(pair[0]))
-
-    def _split(
-        self, usable: States, now_s: float
+        """Return the best estimate in a random sample, ignoring prefixes."""
+        local, remote = self._split_by_domain(usable, now_s)
+        states = [
+            usable[target_id] for target_id in self._sample(local, remote)
+        ]
+        forecasts = [
+            (self._estimate(size, state, 0), state) for state in states
+        ]
+        return min(forecasts, key=lambda pair: _estimate_rank(pair[0]))
+
+    def _split_by_domain(
+        self, usable: TargetStates, now_s: float
     ) -> tuple[Sequence[TargetId], Sequence[TargetId]]:
-        """Part the near ones from the far ones that are known well enough."""
-        since_s = now_s - self._settings.report_fresh_s
-        near = [
+        """Split targets into local ones and remote ones with fresh reports.
+
+        If there are none of either, all usable targets are returned as remote.
+        """
+        since_s = now_s - self._settings.max_report_age_s
+        local = [
             target_id
             for target_id, state in usable.items()
             if state.target.domain == self._domain
@@ -76,81 +87,85 @@
             for target_id, state in usable.items()
             if state.target.domain != self._domain and state.heard_s >= since_s
         ]
-        if near or fresh:
-            return near, fresh
-        return near, list(usable)
+        if local or fresh:
+            return local, fresh
+        return local, list(usable)
 
-    def _sampled(
-        self, near: Sequence[TargetId], far: Sequence[TargetId]
+    def _sample(
+        self, local: Sequence[TargetId], remote: Sequence[TargetId]
     ) -> list[TargetId]:
         count = self._settings.sample
-        sampled = self._random.sample(near, min(count, len(near)))
-        rest = 1 if near else count
-        return sampled + self._random.sample(far, min(rest, len(far)))
+        sampled = self._random.sample(local, min(count, len(local)))
+        remote_count = 1 if local else count
+        return sampled + self._random.sample(
+            remote, min(remote_count, len(remote))
+        )
 
-    def _pointed(
+    def _affinity_targets(
         self,
         need: RouteNeed,
-        usable: States,
-        near: Sequence[TargetId],
-        far: Sequence[TargetId],
+        usable: TargetStates,
+        local: Sequence[TargetId],
+        remote: Sequence[TargetId],
     ) -> list[TargetId]:
-        """Name the targets that the prefix hashes to.
+        """Return the targets that the prefix hashes to.
 
-        Cache events are late and have gaps; the hash brings calls with one
-        prefix together even while no event has told of it. Where all far
-        targets are known, all domains share one choice: their caches then
-        hold each prefix once, and domains are a fraction of a millisecond
-        apart.
+        Cache events are delayed and have gaps. The hash sends calls with the
+        same prefix to the same target even before an event reports it. If all
+        remote targets have fresh reports, all domains hash to the same
+        targets. Their caches then hold each prefix once, and domains are only
+        a fraction of a millisecond apart.
         """
         if not need.blocks:
             return []
-        all_known = len(near) + len(far) == len(usable)
-        ids = [*near, *far] if all_known else near or far
-        head = need.blocks[: self._settings.affinity_blocks][-1]
-        return list(rendezvous(ids, head, MAX_HOLDERS))
+        all_known = len(local) + len(remote) == len(usable)
+        ids = [*local, *remote] if all_known else local or remote
+        prefix_block = need.blocks[: self._settings.affinity_blocks][-1]
+        return list(rendezvous(ids, prefix_block, MAX_AFFINITY_TARGETS))
 
     def _cost(
         self,
         need: RouteNeed,
         size: WorkSize,
         state: TargetState,
-        home: TargetId | None,
+        affinity_id: TargetId | None,
     ) -> float:
         settings = self._settings
-        is_far = state.target.domain != self._domain
-        far_s = settings.far_penalty_s if is_far else 0
+        is_remote = state.target.domain != self._domain
+        distance_s = settings.remote_penalty_s if is_remote else 0
         if not state.is_engine:
-            return state.load().calls + far_s
-        cached = state.prefixes.overlap(need.blocks)
+            return state.load().calls + distance_s
+        cached_blocks = state.prefixes.overlap(need.blocks)
         if need.prefer == state.target.target_id:
-            cached = len(need.blocks)
-        found = self._estimate(size, state, cached)
-        cost = found.total_s + settings.engine_time_weight * found.engine_s
-        cost += found.short_blocks * settings.short_block_penalty_s
-        if state.target.target_id == home:
-            cost -= self._reuse_s(need, state)
-        return cost + far_s
-
-    def _reuse_s(self, need: RouteNeed, state: TargetState) -> float:
-        """Time that later calls may save if this one goes to its home.
-
-        This entry sees a part of the calls only, so what it sees again
-        counts several times.
-        Without it the first calls with a prefix go wherever it is idle just
-        then, and each target computes and keeps the prefix once more.
+            cached_blocks = len(need.blocks)
+        forecast = self._estimate(size, state, cached_blocks)
+        cost = (
+            forecast.total_s + settings.engine_time_weight * forecast.engine_s
+        )
+        cost += forecast.missing_blocks * settings.missing_block_penalty_s
+        if state.target.target_id == affinity_id:
+            cost -= self._expected_saving_s(need, state)
+        return cost + distance_s
+
+    def _expected_saving_s(self, need: RouteNeed, state: TargetState) -> float:
+        """Time that later calls may save if this one uses its affinity target.
+
+        This entry sees only a part of the calls, so the observed reuse is
+        multiplied by `reuse_factor`. Without this saving the first calls with
+        a prefix would go to whichever target is idle, and each of these
+        targets would compute and cache the prefix again.
         """
         tokens = len(need.blocks) * state.report.block_tokens
         prefill_s = self._settings.speed.engine_s(tokens, 0, Role.MIXED)
         weight = self._settings.engine_time_weight
-        seen = self._reuse.share(need.service)
-        reuse_share = self._settings.reuse_factor * seen
+        observed_share = self._reuse.share(need.service)
+        reuse_share = self._settings.reuse_factor * observed_share
         return (
             weight
             * prefill_s
             * max(
-                self._settings.least_reuse_share,
-                min(self._settings.most_reuse_share, reuse_share),
+                self._settings.min_reuse_share,
+                min(self._settings.max_reuse_share, reuse_share),
             )
         )
 
@@ -160,5 +175,5 @@
         return estimate(size, state.load(), cached_blocks, self._settings.speed)
 
 
-def _urgency(found: Estimate) -> tuple[bool, float]:
-    return found.short_blocks > 0, found.total_s
+def _estimate_rank(forecast: Estimate) -> tuple[bool, float]:
+    return forecast.missing_blocks > 0, forecast.total_s
--- a/packages/core/dandelionyoke_core/_fair_queue.py
+++ b/packages/core/dandelionyoke_core/_fair_queue.py
@@ -1,10 +1,10 @@
-"""Weighted fair queueing on served work, one queue for each service.
+"""Weighted fair queueing of the calls of one service.
 
-Start-time fair queueing: each organisation is a flow whose next call starts
-where its last one ended in virtual time; the lowest start goes first. What a
-call really used replaces its estimate when it ends, so that an organisation
-neither gains by asking for less than it uses nor pays for what it did not
-get.
+This is start-time fair queueing. Each organisation is a flow. A call gets the
+virtual finish time of the previous call of its flow as its virtual start time,
+and the call with the lowest virtual start time goes first. When a call ends,
+its actual cost replaces the estimate. An organisation therefore gains nothing
+from underestimated calls and is not charged for output that it did not get.
 """
 
 from collections import deque
@@ -16,30 +16,30 @@
 
 
 @attrs.frozen
-class Waiting:
-    """A queued call; `run_s` is what it is expected to take once it goes."""
+class QueuedCall:
+    """A queued call; `run_s` is its expected duration once started."""
 
     ticket: Ticket
     cost: float
     weight: float
-    start: float
+    virtual_start: float
     run_s: float
 
 
 @attrs.define
-class Flow:
-    """One organisation's place in virtual time and its queued calls."""
+class OrganisationFlow:
+    """The virtual finish time of an organisation and its queued calls."""
 
-    finish: float = 0.0
-    calls: deque[Waiting] = attrs.field(factory=deque)
+    virtual_finish: float = 0.0
+    calls: deque[QueuedCall] = attrs.field(factory=deque)
 
 
 class FairQueue:
-    """Calls of many organisations, taken in the order of fairness."""
+    """A queue that serves organisations in proportion to their weights."""
 
     def __init__(self) -> None:
-        self._flows: dict[OrganisationId, Flow] = {}
-        self._virtual = 0.0
+        self._flows: dict[OrganisationId, OrganisationFlow] = {}
+        self._virtual_time = 0.0
         self._size = 0
         self._cost = 0.0
 
@@ -48,93 +48,93 @@
 
     @property
     def cost(self) -> float:
-        """Work that waits."""
+        """Total cost of the queued calls."""
         return self._cost
 
-    def queued_of(self, organisation_id: OrganisationId) -> int:
-        """Count an organisation's queued calls."""
+    def queued_count(self, organisation_id: OrganisationId) -> int:
+        """Count the queued calls of an organisation."""
         flow = self._flows.get(organisation_id)
         return 0 if flow is None else len(flow.calls)
 
-    def ahead(self, organisation_id: OrganisationId) -> float:
-        """Add up the work that a new call of an organisation waits for."""
+    def work_ahead(self, organisation_id: OrganisationId) -> float:
+        """Sum the cost of the calls ahead of a new call of an organisation."""
         flow = self._flows.get(organisation_id)
-        finish = 0.0 if flow is None else flow.finish
-        start = max(self._virtual, finish)
+        finish = 0.0 if flow is None else flow.virtual_finish
+        start = max(self._virtual_time, finish)
         return sum(
             call.cost
             for other in self._flows.values()
             for call in other.calls
-            if call.start <= start
+            if call.virtual_start <= start
         )
 
     def push(
         self, ticket: Ticket, cost: float, weight: float, run_s: float
     ) -> None:
-        """Queue a call."""
+        """Add a call to the queue."""
         flow = self._flow(ticket)
-        start = max(self._virtual, flow.finish)
-        flow.finish = start + cost / weight
-        flow.calls.append(Waiting(ticket, cost, weight, start, run_s))
+        start = max(self._virtual_time, flow.virtual_finish)
+        flow.virtual_finish = start + cost / weight
+        flow.calls.append(QueuedCall(ticket, cost, weight, start, run_s))
         self._size += 1
         self._cost += cost
 
-    def pop(self) -> Waiting | None:
-        """Take the call that is next by fairness."""
+    def pop(self) -> QueuedCall | None:
+        """Remove and return the call with the lowest virtual start time."""
         heads = [flow for flow in self._flows.values() if flow.calls]
         if not heads:
             return None
-        flow = min(heads, key=lambda head: head.calls[0].start)
-        taken = flow.calls.popleft()
-        self._virtual = max(self._virtual, taken.start)
-        self._forget_one(taken)
+        flow = min(heads, key=lambda head: head.calls[0].virtual_start)
+        first = flow.calls.popleft()
+        self._virtual_time = max(self._virtual_time, first.virtual_start)
+        self._subtract_cost(first)
         self._prune()
-        return taken
+        return first
 
-    def peek(self) -> Waiting | None:
-        """Look at the call that is next by fairness."""
+    def peek(self) -> QueuedCall | None:
+        """Return the call with the lowest virtual start time."""
         heads = [flow.calls[0] for flow in self._flows.values() if flow.calls]
-        return min(heads, key=lambda head: head.start, default=None)
+        return min(heads, key=lambda head: head.virtual_start, default=None)
 
-    def remove(self, request_id: RequestId) -> Waiting | None:
-        """Take a call out and give its organisation the place back."""
+    def remove(self, request_id: RequestId) -> QueuedCall | None:
+        """Remove a queued call and refund its cost to its organisation."""
         for flow in self._flows.values():
-            for waiting in flow.calls:
-                if waiting.ticket.request_id == request_id:
-                    flow.calls.remove(waiting)
-                    flow.finish -= waiting.cost / waiting.weight
-                    self._forget_one(waiting)
-                    return waiting
+            for queued in flow.calls:
+                if queued.ticket.request_id == request_id:
+                    flow.calls.remove(queued)
+                    flow.virtual_finish -= queued.cost / queued.weight
+                    self._subtract_cost(queued)
+                    return queued
         return None
 
-    def correct(
+    def correct_cost(
         self, organisation_id: OrganisationId, excess: float, weight: float
     ) -> None:
-        """Replace an estimate by what was served: `excess` more than it."""
+        """Charge `excess`, the actual cost minus the estimated cost."""
         flow = self._flows.get(organisation_id)
         if flow is not None:
-            flow.finish += excess / weight
+            flow.virtual_finish += excess / weight
         elif excess > 0:
-            finish = self._virtual + excess / weight
-            self._flows[organisation_id] = Flow(finish)
+            finish = self._virtual_time + excess / weight
+            self._flows[organisation_id] = OrganisationFlow(finish)
 
-    def waiting(self) -> list[Waiting]:
-        """List all queued calls."""
+    def queued_calls(self) -> list[QueuedCall]:
+        """Return all queued calls."""
         return [call for flow in self._flows.values() for call in flow.calls]
 
-    def _flow(self, ticket: Ticket) -> Flow:
+    def _flow(self, ticket: Ticket) -> OrganisationFlow:
         organisation_id = ticket.organisation.organisation_id
-        return self._flows.setdefault(organisation_id, Flow())
+        return self._flows.setdefault(organisation_id, OrganisationFlow())
 
-    def _forget_one(self, waiting: Waiting) -> None:
+    def _subtract_cost(self, queued: QueuedCall) -> None:
         self._size -= 1
-        self._cost = max(0.0, self._cost - waiting.cost)
+        self._cost = max(0.0, self._cost - queued.cost)
 
     def _prune(self) -> None:
         idle = [
-            name
-            for name, flow in self._flows.items()
-            if not flow.calls and flow.finish <= self._virtual
+            organisation_id
+            for organisation_id, flow in self._flows.items()
+            if not flow.calls and flow.virtual_finish <= self._virtual_time
         ]
-        for name in idle:
-            self._flows.pop(name)
+        for organisation_id in idle:
+            self._flows.pop(organisation_id)
--- a/packages/core/dandelionyoke_core/_limits.py
+++ b/packages/core/dandelionyoke_core/_limits.py
@@ -1,8 +1,8 @@
-"""Limits per organisation over all entries, without a shared counter.
+"""Organisation limits over all entries, without a shared counter.
 
-Each entry lets through a share of an organisation's limit. It works the
-share out from the demand that it hears of, as every other entry does, and
-the shares add up to the whole limit.
+Each entry enforces a share of the limits of an organisation. All entries
+compute their shares from the demand that they report to each other, and the
+shares add up to the whole limit.
 """
 
 from collections import deque
@@ -17,12 +17,13 @@
 from dandelionyoke_core._refusals import Refusal, RefusalKind
 
 MAX_ORGANISATIONS = 4096
-TINY = 1e-9
+# Avoids a division by zero for a limit of 0 requests per second.
+EPSILON = 1e-9
 
 
 @attrs.define
-class Allowance:
-    """What an organisation may still do at this entry."""
+class LimitState:
+    """The remaining allowance of an organisation at this entry."""
 
     tokens: TokenBucket
     calls: TokenBucket
@@ -30,8 +31,11 @@
 
 
 @attrs.frozen
-class Shares:
-    """This entry's parts of an organisation's limits, a second."""
+class LimitShares:
+    """The shares of this entry in the limits of an organisation.
+
+    `running` is the share of the concurrent calls.
+    """
 
     tokens_per_s: float
     calls_per_s: float
@@ -39,86 +43,90 @@
 
 
 class OrganisationLimits:
-    """This entry's share of each organisation's limits."""
+    """Enforce the share of this entry in the limits of each organisation."""
 
     def __init__(
         self, settings: AdmissionSettings, demand: DemandTable
     ) -> None:
         self._settings = settings
         self._demand = demand
-        self._allowances: dict[OrganisationId, Allowance] = {}
-        self._entries: deque[tuple[float, int]] = deque()
+        self._states: dict[OrganisationId, LimitState] = {}
+        self._entry_counts: deque[tuple[float, int]] = deque()
 
-    def entries_known(self, count: int, now_s: float) -> None:
-        """Learn how many entries live.
+    def update_entry_count(self, count: int, now_s: float) -> None:
+        """Record the number of live entries.
 
-        The highest count of a while ago still holds: in a cut each side
-        sees only itself, and would let the whole limit through.
+        The shares use the highest count of the last
+        `peak_entries_window_s`. In a network partition each side sees only
+        its own entries, and with the current count both sides together would
+        exceed the limit.
         """
-        while self._entries and self._entries[-1][1] <= count:
-            self._entries.pop()
-        self._entries.append((now_s, count))
-        oldest_s = now_s - self._settings.live_memory_s
-        while self._entries[0][0] < oldest_s and len(self._entries) > 1:
-            self._entries.popleft()
+        while self._entry_counts and self._entry_counts[-1][1] <= count:
+            self._entry_counts.pop()
+        self._entry_counts.append((now_s, count))
+        oldest_s = now_s - self._settings.peak_entries_window_s
+        while (
+            self._entry_counts[0][0] < oldest_s and len(self._entry_counts) > 1
+        ):
+            self._entry_counts.popleft()
 
     def refusal(self, ticket: Ticket, now_s: float) -> Refusal | None:
-        """Refuse a call that goes over a limit."""
+        """Return a refusal if the call exceeds a limit, else None."""
         shares = self.shares(ticket, now_s)
-        allowance = self._refilled(ticket, shares, now_s)
-        if allowance.running >= max(1, shares.running):
-            return _over_limit('calls at once', self._settings.min_retry_s)
-        wait_s = allowance.calls.wait_s(shares.calls_per_s)
+        state = self._refilled_state(ticket, shares, now_s)
+        if state.running >= max(1, shares.running):
+            return _over_limit('concurrent calls', self._settings.min_retry_s)
+        wait_s = state.calls.wait_s(shares.calls_per_s)
         if wait_s > 0:
-            return _over_limit('calls a second', self._bounded(wait_s))
-        wait_s = allowance.tokens.wait_s(shares.tokens_per_s)
+            return _over_limit('calls per second', self._clamp_wait(wait_s))
+        wait_s = state.tokens.wait_s(shares.tokens_per_s)
         if wait_s > 0:
-            return _over_limit('tokens a second', self._bounded(wait_s))
+            return _over_limit('tokens per second', self._clamp_wait(wait_s))
         return None
 
     def admit(self, ticket: Ticket, output_tokens: float, now_s: float) -> None:
-        """Charge a call with what it is expected to take."""
+        """Charge the expected tokens of a call to its organisation."""
         shares = self.shares(ticket, now_s)
-        allowance = self._refilled(ticket, shares, now_s)
-        allowance.running += 1
-        allowance.calls.level -= 1
-        allowance.tokens.level -= ticket.prompt_tokens + output_tokens
+        state = self._refilled_state(ticket, shares, now_s)
+        state.running += 1
+        state.calls.level -= 1
+        state.tokens.level -= ticket.prompt_tokens + output_tokens
 
     def finish(self, ticket: Ticket, excess_tokens: float) -> None:
-        """Give the place back; charge what was served over the estimate."""
+        """Release a running call and charge the tokens over the estimate."""
         organisation_id = ticket.organisation.organisation_id
-        allowance = self._allowances.get(organisation_id)
-        if allowance is not None:
-            allowance.running = max(0, allowance.running - 1)
-            allowance.tokens.level -= excess_tokens
+        state = self._states.get(organisation_id)
+        if state is not None:
+            state.running = max(0, state.running - 1)
+            state.tokens.level -= excess_tokens
 
-    def shares(self, ticket: Ticket, now_s: float) -> Shares:
-        """Work out this entry's parts of an organisation's limits."""
+    def shares(self, ticket: Ticket, now_s: float) -> LimitShares:
+        """Compute the shares of this entry in the limits of an organisation."""
         organisation = ticket.organisation
-        name = organisation.organisation_id
-        entries = self._entries[0][1] if self._entries else 1
-        here = self._demand.told(name)
-        there = self._demand.elsewhere(name, now_s)
-        if there is None:
-            # Nobody is heard: the others may be letting their parts
-            # through, so no more than an equal one is safe.
-            return Shares(
+        organisation_id = organisation.organisation_id
+        entries = self._entry_counts[0][1] if self._entry_counts else 1
+        local_demand = self._demand.told(organisation_id)
+        remote_demand = self._demand.elsewhere(organisation_id, now_s)
+        if remote_demand is None:
+            # No other entry reports its demand. The others may still use
+            # their shares, so only an equal share is safe.
+            return LimitShares(
                 organisation.tokens_per_s / entries,
                 organisation.requests_per_s / entries,
                 organisation.concurrent_requests / entries,
             )
         reserved = self._settings.reserved_share
         calls_per_s = demand_share(
-            here.calls_per_s,
-            there.calls_per_s,
+            local_demand.calls_per_s,
+            remote_demand.calls_per_s,
             organisation.requests_per_s,
             entries,
             reserved,
         )
-        return Shares(
+        return LimitShares(
             demand_share(
-                here.tokens_per_s,
-                there.tokens_per_s,
+                local_demand.tokens_per_s,
+                remote_demand.tokens_per_s,
                 organisation.tokens_per_s,
                 entries,
                 reserved,
@@ -126,65 +134,70 @@
             calls_per_s,
             organisation.concurrent_requests
             * calls_per_s
-            / max(organisation.requests_per_s, TINY),
+            / max(organisation.requests_per_s, EPSILON),
         )
 
-    def _bounded(self, wait_s: float) -> float:
+    def _clamp_wait(self, wait_s: float) -> float:
         return min(self._settings.max_retry_s, wait_s)
 
-    def _refilled(
-        self, ticket: Ticket, shares: Shares, now_s: float
-    ) -> Allowance:
-        name = ticket.organisation.organisation_id
+    def _refilled_state(
+        self, ticket: Ticket, shares: LimitShares, now_s: float
+    ) -> LimitState:
+        organisation_id = ticket.organisation.organisation_id
         burst_s = self._settings.burst_s
         token_burst = shares.tokens_per_s * burst_s
-        # A small part still lets whole calls through; a limit of 0 none.
+        # A small share still admits whole calls; a limit of 0 admits none.
         call_burst = max(1, shares.calls_per_s * burst_s)
         if shares.calls_per_s <= 0:
             call_burst = 0
-        allowance = self._allowances.get(name)
-        if allowance is None:
-            self._make_room()
-            allowance = Allowance(
+        state = self._states.get(organisation_id)
+        if state is None:
+            self._evict_idle()
+            state = LimitState(
                 TokenBucket(token_burst, now_s), TokenBucket(call_burst, now_s)
             )
-            self._allowances[name] = allowance
-        allowance.tokens.refill(shares.tokens_per_s, token_burst, now_s)
-        allowance.calls.refill(shares.calls_per_s, call_burst, now_s)
-        return allowance
+            self._states[organisation_id] = state
+        state.tokens.refill(shares.tokens_per_s, token_burst, now_s)
+        state.calls.refill(shares.calls_per_s, call_burst, now_s)
+        return state
 
-    def _make_room(self) -> None:
-        if len(self._allowances) < MAX_ORGANISATIONS:
+    def _evict_idle(self) -> None:
+        if len(self._states) < MAX_ORGANISATIONS:
             return
         idle = [
-            name
-            for name, allowance in self._allowances.items()
-            if not allowance.running
+            organisation_id
+            for organisation_id, state in self._states.items()
+            if not state.running
         ]
-        for name in idle[: MAX_ORGANISATIONS // 2]:
-            self._allowances.pop(name)
+        for organisation_id in idle[: MAX_ORGANISATIONS // 2]:
+            self._states.pop(organisation_id)
 
 
 def demand_share(
-    here: float, there: float, limit: float, entries: int, reserved: float
+    local_demand: float,
+    remote_demand: float,
+    limit: float,
+    entries: int,
+    reserved: float,
 ) -> float:
-    """Share a limit by demand; over all entries it adds up to the limit.
+    """Compute the share of this entry in a limit, in proportion to demand.
 
-    What nobody asks for is shared equally, and so is a reserved part, so
-    that an organisation that comes to a new entry finds some room there.
+    The shares of all entries add up to the limit. Unused capacity is split
+    equally. So is the reserved part of the limit, so that an organisation
+    can start to send calls to another entry.
     """
     if limit <= 0:
         return 0
-    whole = here + there
-    spare = max(0, limit - whole) / entries
-    by_demand = limit * (here + spare) / max(limit, whole)
-    return reserved * limit / entries + (1 - reserved) * by_demand
+    total = local_demand + remote_demand
+    unused = max(0, limit - total) / entries
+    proportional = limit * (local_demand + unused) / max(limit, total)
+    return reserved * limit / entries + (1 - reserved) * proportional
 
 
 def _over_limit(limit: str, wait_s: float) -> Refusal:
     return Refusal(
         RefusalKind.OVER_LIMIT,
         f'the limit of {limit} of this organisation is reached',
-        'Send the call again after the time given, or ask for a higher limit',
+        'Send the request again after retry_after_s, or ask for a higher limit',
         retry_after_s=wait_s,
     )
--- a/packages/core/dandelionyoke_core/_prefix_index.py
+++ b/packages/core/dandelionyoke_core/_prefix_index.py
@@ -1,7 +1,7 @@
-"""Which prefix blocks a target is thought to hold.
+"""Index of the prefix blocks that targets probably have in their KV cache.
 
-A hint, never a promise: cache events come late and with gaps, and an engine
-drops blocks as it needs the memory. A wrong hit costs one prefill.
+The index is only a hint. Cache events are delayed and have gaps, and engines
+evict blocks when they need memory. A false hit costs one prefill.
 """
 
 from collections import OrderedDict
@@ -12,11 +12,11 @@
 MAX_BLOCKS = 100_000
 
 
-class PrefixMemory:
-    """The blocks of all targets; the oldest are forgotten first.
+class PrefixBlockTable:
+    """The blocks of all targets, with least recently used eviction.
 
-    One bound for all of them: a bound for each target would let the memory
-    of a node grow with the fleet.
+    The maximum size applies to all targets together. With a maximum per
+    target the memory of a node would grow with the fleet.
     """
 
     def __init__(self, max_blocks: int = MAX_BLOCKS) -> None:
@@ -28,71 +28,79 @@
         return len(self._blocks)
 
     def new_owner(self) -> int:
-        """Give a number under which blocks are kept."""
+        """Return a new owner id for blocks."""
         self._owners += 1
         return self._owners
 
     def holds(self, owner: int, block: str) -> bool:
-        """Tell whether a block is kept under an owner."""
+        """Return whether an owner has a block."""
         return (owner, block) in self._blocks
 
     def add(self, owner: int, block: str) -> None:
-        """Keep a block, or keep it for longer."""
+        """Add a block, or mark it as recently used."""
         self._blocks[owner, block] = None
         self._blocks.move_to_end((owner, block))
         if len(self._blocks) > self._max_blocks:
             self._blocks.popitem(last=False)
 
     def drop(self, owner: int, block: str) -> None:
-        """Forget a block."""
+        """Remove a block."""
         self._blocks.pop((owner, block), None)
 
 
 class PrefixIndex:
-    """The blocks of one target."""
+    """The prefix blocks of one target."""
 
-    def __init__(self, memory: PrefixMemory) -> None:
+    def __init__(self, table: PrefixBlockTable) -> None:
         self.sequence = 0
-        self._memory = memory
-        self._owner = memory.new_owner()
+        self._table = table
+        self._owner = table.new_owner()
 
     def holds(self, block: str) -> bool:
-        """Tell whether the target is thought to hold a block."""
-        return self._memory.holds(self._owner, block)
+        """Return whether the target probably has a block."""
+        return self._table.holds(self._owner, block)
 
     def overlap(self, blocks: Sequence[str]) -> int:
-        """Count the leading blocks that the target holds."""
+        """Count the leading blocks that the target probably has."""
         for position, block in enumerate(blocks):
             if not self.holds(block):
                 return position
         return len(blocks)
 
     def add(self, blocks: Iterable[str]) -> None:
-        """Expect blocks after a dispatch, before any event tells of them.
+        """Add the blocks of a dispatched call before cache events report them.
 
-        The first block is kept for longest: without it the rest is useless.
+        The first block is added last and so evicted last, since the rest is
+        useless without it.
         """
         for block in reversed(tuple(blocks)):
-            self._memory.add(self._owner, block)
+            self._table.add(self._owner, block)
 
     def learn(
-        self, first: int, following: int, events: Iterable[CacheEvent]
+        self,
+        first_sequence: int,
+        next_sequence: int,
+        events: Iterable[CacheEvent],
     ) -> None:
-        """Take events in; a gap may hide removals, so it starts afresh."""
-        if first > self.sequence + 1:
-            self._forget()
+        """Apply cache events; a gap clears the index, as it may hide evictions.
+
+        `first_sequence` is the number of the first event and `next_sequence`
+        the number after the last one.
+        """
+        if first_sequence > self.sequence + 1:
+            self._reset_blocks()
         for event in events:
             if event.stored:
-                self._memory.add(self._owner, event.block)
+                self._table.add(self._owner, event.block)
             else:
-                self._memory.drop(self._owner, event.block)
-        self.sequence = max(self.sequence, following - 1)
+                self._table.drop(self._owner, event.block)
+        self.sequence = max(self.sequence, next_sequence - 1)
 
     def clear(self) -> None:
-        """Forget all, as after a restart of the target."""
-        self._forget()
+        """Clear the index, for example after a restart of the target."""
+        self._reset_blocks()
         self.sequence = 0
 
-    def _forget(self) -> None:
-        # What is kept under the old number ages out of the memory.
-        self._owner = self._memory.new_owner()
+    def _reset_blocks(self) -> None:
+        # The blocks of the old owner id are evicted over time.
+        self._owner = self._table.new_owner()
--- a/packages/core/dandelionyoke_core/_reuse_estimate.py
+++ b/packages/core/dandelionyoke_core/_reuse_estimate.py
@@ -1,4 +1,4 @@
-"""How likely a prompt's prefix comes again, by service."""
+"""Estimates of how often prompts share a prefix, by service."""
 
 from collections import OrderedDict
 
@@ -7,37 +7,40 @@
 from dandelionyoke_core._names import ServiceName
 from dandelionyoke_core._ports import RouteNeed
 
-MAX_SEEN = 8192
-START_SHARE = 0.25
-LEARNING = 0.03
+MAX_REMEMBERED_BLOCKS = 8192
+INITIAL_SHARE = 0.25
+LEARNING_RATE = 0.03
 
 
 @attrs.define
 class ReuseEstimate:
-    """Remembers the middle block of each prompt that this entry sent.
+    """Estimate prefix reuse from the middle block of each sent prompt.
 
-    The hits in caches would not do: they are few where calls with one prefix
-    are spread, so that spreading them would look right for good. The middle
-    block is taken since a first one that all calls share, as a system
-    prompt, tells nothing of the long rest.
+    Cache hits are no measure of reuse. They are rare while calls with the
+    same prefix go to different targets, so routing would never learn to keep
+    such calls together. The middle block is used because the first block can
+    be common to all calls, as with a system prompt, and says nothing about
+    the rest of the prompt.
     """
 
-    _seen: OrderedDict[str, None] = attrs.field(factory=OrderedDict)
+    _seen_blocks: OrderedDict[str, None] = attrs.field(factory=OrderedDict)
     _shares: dict[ServiceName, float] = attrs.field(factory=dict)
 
     def share(self, service: ServiceName) -> float:
-        """Tell which part of the prompts came again at this entry."""
-        return self._shares.get(service, START_SHARE)
+        """Return the share of prompts at this entry with a known prefix."""
+        return self._shares.get(service, INITIAL_SHARE)
 
     def learn(self, need: RouteNeed) -> None:
-        """Take in a call that was sent."""
+        """Update the estimate with a call that was sent."""
         if not need.blocks:
             return
-        middle = need.blocks[len(need.blocks) // 2]
-        seen = int(middle in self._seen)
-        before = self.share(need.service)
-        self._shares[need.service] = before + LEARNING * (seen - before)
-        self._seen[middle] = None
-        self._seen.move_to_end(middle)
-        if len(self._seen) > MAX_SEEN:
-            self._seen.popitem(last=False)
+        middle_block = need.blocks[len(need.blocks) // 2]
+        was_seen = int(middle_block in self._seen_blocks)
+        previous_share = self.share(need.service)
+        self._shares[need.service] = previous_share + LEARNING_RATE * (
+            was_seen - previous_share
+        )
+        self._seen_blocks[middle_block] = None
+        self._seen_blocks.move_to_end(middle_block)
+        if len(self._seen_blocks) > MAX_REMEMBERED_BLOCKS:
+            self._seen_blocks.popitem(last=False)
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -1,10 +1,10 @@
-"""Which target a call goes to, and what is known of the targets."""
+"""Routing: observation of the targets and choice of a target."""
 
 from random import Random
 from typing import ClassVar
 
 from dandelionyoke_core._capacity import Outlook, ServiceCapacity
-from dandelionyoke_core._choice import Chooser
+from dandelionyoke_core._choice import TargetChooser
 from dandelionyoke_core._events import (
     CacheEventsReported,
     Event,
@@ -16,7 +16,7 @@
     Woken,
 )
 from dandelionyoke_core._fleet_view import TargetSight
-from dandelionyoke_core._fresh_shares import FreshShares
+from dandelionyoke_core._fresh_shares import UncachedShares
 from dandelionyoke_core._load_estimate import WorkSize
 from dandelionyoke_core._names import (
     AttemptId,
@@ -39,12 +39,12 @@
 from dandelionyoke_core._records import Role, Target
 from dandelionyoke_core._reuse_estimate import ReuseEstimate
 from dandelionyoke_core._routing_settings import RoutingSettings
-from dandelionyoke_core._target_state import NEVER_S, Sent, TargetState
+from dandelionyoke_core._target_state import NEVER_S, SentAttempt, TargetState
 from dandelionyoke_core._target_table import TargetTable
 
 
 class RoutingPart:
-    """Observes the targets and chooses one for each attempt."""
+    """Track the state of the targets and choose one for each attempt."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -70,46 +70,48 @@
         self._settings = settings
         self._directory = directory
         self._table = TargetTable(settings)
-        self._fresh = FreshShares()
-        self._reuse = ReuseEstimate()
-        self._chooser = Chooser(settings, domain, self._reuse, random)
-        self._schedule = PollSchedule(
+        self._uncached_shares = UncachedShares()
+        self._reuse_estimate = ReuseEstimate()
+        self._chooser = TargetChooser(
+            settings, domain, self._reuse_estimate, random
+        )
+        self._poll_schedule = PollSchedule(
             settings, peers, domain, instance_id, self._table, random
         )
-        self._outputs: dict[ServiceName, OutputEstimate] = {}
-        self._budgets: dict[ServiceName, ReclaimableBudget] = {}
+        self._output_estimates: dict[ServiceName, OutputEstimate] = {}
+        self._reclaimable_budgets: dict[ServiceName, ReclaimableBudget] = {}
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         if isinstance(event, Started):
-            self._schedule.start(now_s, event.wall_s)
+            self._poll_schedule.start(now_s, event.wall_s)
         if isinstance(event, Started | Woken):
-            return self._schedule.due(now_s)
+            return self._poll_schedule.due(now_s)
         return self._table.learn(event, now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next reading is due."""
-        return self._schedule.next_wakeup_s()
+        """Return when the next poll is due."""
+        return self._poll_schedule.next_wakeup_s()
 
-    # The Router port.
+    # Router protocol.
 
     def choose(self, need: RouteNeed, now_s: float) -> Target | NoRoute:
         """Choose a target for an attempt."""
-        self._schedule.need(need.service, now_s)
+        self._poll_schedule.need(need.service, now_s)
         usable = self._usable(need.service, now_s)
-        fitting = {
+        eligible = {
             target_id: state
             for target_id, state in usable.items()
-            if _fits(state, need)
+            if _is_eligible(state, need)
         }
-        allowed = self._without_reclaimable(need, fitting, now_s)
+        allowed = self._apply_reclaimable_budget(need, eligible, now_s)
         if not allowed:
             return NoRoute('no usable target', self._settings.retry_after_s)
-        size = self._size(need)
+        size = self._work_size(need)
         return self._chooser.best(need, size, allowed, now_s).target
 
     def find(self, target_id: TargetId) -> Target | None:
-        """Look a target up; None when it is gone."""
+        """Return a target, or None if it no longer exists."""
         state = self._table.find(target_id)
         return None if state is None else state.target
 
@@ -120,40 +122,40 @@
         need: RouteNeed,
         now_s: float,
     ) -> None:
-        """Count an attempt as in progress at a target."""
+        """Record an attempt as in flight at a target."""
         state = self._table.find(target_id)
         if state is None:
             return
         cached_blocks = state.prefixes.overlap(need.blocks)
-        size = self._size(need)
-        sent = Sent(need, now_s, cached_blocks, size.reserved_tokens)
+        size = self._work_size(need)
+        sent = SentAttempt(need, now_s, cached_blocks, size.reserved_tokens)
         self._table.dispatched(attempt_id, target_id, sent)
-        self._fresh.learn(sent, state.report.block_tokens)
-        self._reuse.learn(need)
-        self._budget(need.service).add(
+        self._uncached_shares.learn(sent, state.report.block_tokens)
+        self._reuse_estimate.learn(need)
+        self._reclaimable_budget(need.service).add(
             self._engine_s(size), now_s, reclaimable=state.target.reclaimable
         )
 
     def progressed(
         self, attempt_id: AttemptId, output_tokens: int, now_s: float
     ) -> None:
-        """Count output of an attempt (the total so far)."""
+        """Record the total output of an attempt so far."""
         self._table.progressed(attempt_id, output_tokens, now_s)
 
     def ended(
         self, attempt_id: AttemptId, now_s: float, failed: bool = False
     ) -> None:
-        """Stop counting an attempt."""
+        """Record the end of an attempt."""
         sent = self._table.ended(attempt_id, now_s)
         if sent is not None and not failed:
-            self._output(sent.need.service).learn(
+            self._output_estimate(sent.need.service).learn(
                 sent.output_tokens, sent.need.max_output_tokens
             )
 
-    # The CapacityView port.
+    # CapacityView protocol.
 
     def capacity(self, service: ServiceName, now_s: float) -> ServiceCapacity:
-        """Add up the usable targets of a service."""
+        """Sum the capacity of the usable targets of a service."""
         usable = self._usable(service, now_s).values()
         slots = sum(self._slots(state) for state in usable)
         return ServiceCapacity(len(usable), slots)
@@ -161,30 +163,33 @@
     def outlook(
         self, service: ServiceName, size: WorkSize, now_s: float
     ) -> Outlook | None:
-        """Look at the best of a few targets; None while none is usable."""
+        """Estimate a call at the best of a sample of targets.
+
+        Returns None while no target is usable.
+        """
         usable = self._usable(service, now_s)
         if not usable:
             return None
-        found, state = self._chooser.outlook(size, usable, now_s)
+        estimate, state = self._chooser.outlook(size, usable, now_s)
         has_room = (
-            found.queue_s <= self._settings.start_within_s
-            and found.token_s <= self._settings.max_token_s
-            and found.short_blocks <= 0
+            estimate.queue_s <= self._settings.max_queue_s
+            and estimate.token_s <= self._settings.max_token_s
+            and estimate.missing_blocks <= 0
             and state.load().calls < self._slots(state)
         )
         return Outlook(
             has_room,
-            found.first_token_s,
-            found.total_s,
-            found.total_s - found.queue_s,
+            estimate.first_token_s,
+            estimate.total_s,
+            estimate.total_s - estimate.queue_s,
         )
 
-    # The TargetView port.
+    # TargetView protocol.
 
     def sights(
         self, service: ServiceName, now_s: float
     ) -> tuple[TargetSight, ...]:
-        """Show the targets of a service, everywhere."""
+        """Return the state of the targets of a service in all domains."""
         return tuple(
             TargetSight(
                 state.target,
@@ -198,10 +203,10 @@
         )
 
     def fresh_share(self, service: ServiceName) -> float:
-        """Tell which part of the prompts is not found in caches."""
-        return self._fresh.share(service)
+        """Return the share of prompt tokens that is not cached."""
+        return self._uncached_shares.share(service)
 
-    # What a call takes.
+    # Usable targets and the expected size of a call.
 
     def _usable(
         self, service: ServiceName, now_s: float
@@ -212,34 +217,36 @@
             if state.usable(now_s)
         }
 
-    def _without_reclaimable(
+    def _apply_reclaimable_budget(
         self,
         need: RouteNeed,
         usable: dict[TargetId, TargetState],
         now_s: float,
     ) -> dict[TargetId, TargetState]:
-        steady = {
+        on_demand = {
             target_id: state
             for target_id, state in usable.items()
             if not state.target.reclaimable
         }
         if need.steady:
-            return steady
+            return on_demand
         service = self._directory.snapshot.services.get(need.service)
         share = 0 if service is None else service.reclaimable_share
-        engine_s = self._engine_s(self._size(need))
-        if self._budget(need.service).allows(engine_s, share, now_s):
+        engine_s = self._engine_s(self._work_size(need))
+        if self._reclaimable_budget(need.service).allows(
+            engine_s, share, now_s
+        ):
             return usable
-        # With no steady target left, refusing would serve the caller worse
-        # than a target that may vanish.
-        return steady or usable
+        # Without an on-demand target, a spot target that may be reclaimed is
+        # better for the caller than a refusal.
+        return on_demand or usable
 
-    def _size(self, need: RouteNeed) -> WorkSize:
-        output = self._output(need.service)
+    def _work_size(self, need: RouteNeed) -> WorkSize:
+        output = self._output_estimate(need.service)
         return WorkSize(
             need.prompt_tokens,
             output.mean_tokens(need.max_output_tokens),
-            output.high_tokens(need.max_output_tokens),
+            output.upper_tokens(need.max_output_tokens),
         )
 
     def _engine_s(self, size: WorkSize) -> float:
@@ -247,11 +254,13 @@
             size.prompt_tokens, size.output_tokens, Role.MIXED
         )
 
-    def _output(self, service: ServiceName) -> OutputEstimate:
-        return self._outputs.setdefault(service, OutputEstimate())
+    def _output_estimate(self, service: ServiceName) -> OutputEstimate:
+        return self._output_estimates.setdefault(service, OutputEstimate())
 
-    def _budget(self, service: ServiceName) -> ReclaimableBudget:
-        return self._budgets.setdefault(service, ReclaimableBudget())
+    def _reclaimable_budget(self, service: ServiceName) -> ReclaimableBudget:
+        return self._reclaimable_budgets.setdefault(
+            service, ReclaimableBudget()
+        )
 
     def _slots(self, state: TargetState) -> int:
         if state.is_engine:
@@ -259,7 +268,7 @@
         return self._settings.plain_slots
 
 
-def _fits(state: TargetState, need: RouteNeed) -> bool:
+def _is_eligible(state: TargetState, need: RouteNeed) -> bool:
     if state.target.target_id in need.avoid:
         return False
     models = state.report.models
--- a/packages/core/dandelionyoke_core/_routing_settings.py
+++ b/packages/core/dandelionyoke_core/_routing_settings.py
@@ -1,4 +1,4 @@
-"""The settings of routing and of the observation of targets."""
+"""Settings of routing and of the observation of targets."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen
 class RoutingSettings:
-    """How targets are observed and chosen.
+    """Settings of target observation and target choice.
 
-    `sample` random targets are compared with the one that the call's prefix
-    points to. A target that could not be reached gets no call for
-    `avoid_s`, and `crash_failures` failed polls in a row count as its end.
-    `far_polls` targets of other domains are read at each round, for the
-    services that were asked for in the last `needed_s`.
+    `sample` random targets are compared with the affinity targets of the
+    prefix. An unreachable target gets no calls for `unreachable_cooldown_s`,
+    and after `failures_before_crash` consecutive failed polls it counts as
+    crashed. Each round polls `far_polls` targets of other domains, for the
+    services that were requested in the last `needed_s`.
     """
 
     list_interval_s: float = 2.0
@@ -29,19 +29,19 @@
     needed_s: float = 60.0
     poll_all_below_entries: int = 4
     sample: int = 3
-    avoid_s: float = 3.0
-    crash_failures: int = 3
-    report_fresh_s: float = 6.0
-    far_penalty_s: float = 0.01
-    short_block_penalty_s: float = 0.05
+    unreachable_cooldown_s: float = 3.0
+    failures_before_crash: int = 3
+    max_report_age_s: float = 6.0
+    remote_penalty_s: float = 0.01
+    missing_block_penalty_s: float = 0.05
     engine_time_weight: float = 4.0
     affinity_blocks: int = 8
-    prefix_blocks: int = 100_000
+    max_prefix_blocks: int = 100_000
     reuse_factor: float = 3.0
-    least_reuse_share: float = 0.1
-    most_reuse_share: float = 0.8
+    min_reuse_share: float = 0.1
+    max_reuse_share: float = 0.8
     plain_slots: int = 16
-    start_within_s: float = 0.5
+    max_queue_s: float = 0.5
     max_token_s: float = 0.045
     share_burst_s: float = 2.0
     share_lifetime_s: float = 20.0
--- a/packages/core/dandelionyoke_core/_service_queue.py
+++ b/packages/core/dandelionyoke_core/_service_queue.py
@@ -1,8 +1,8 @@
-"""One service's queue, its running calls and how fast it drains."""
+"""The queue of one service, its running calls and its drain rate."""
 
 import attrs
 
-from dandelionyoke_core._fair_queue import FairQueue, Waiting
+from dandelionyoke_core._fair_queue import FairQueue, QueuedCall
 from dandelionyoke_core._names import RequestId
 from dandelionyoke_core._output_estimate import OutputEstimate
 from dandelionyoke_core._ports import Ticket
@@ -10,8 +10,8 @@
 
 
 @attrs.frozen
-class Running:
-    """A call that holds a place."""
+class RunningCall:
+    """An admitted call that occupies a slot."""
 
     ticket: Ticket
     cost: float
@@ -20,35 +20,40 @@
 
 @attrs.define
 class ServiceQueue:
-    """What waits and what runs."""
+    """The queued and the running calls of one service."""
 
-    drained: DecayingRate
+    drain_rate: DecayingRate
     queue: FairQueue = attrs.field(factory=FairQueue)
-    running: dict[RequestId, Running] = attrs.field(factory=dict)
+    running: dict[RequestId, RunningCall] = attrs.field(factory=dict)
     output: OutputEstimate = attrs.field(factory=OutputEstimate)
 
     @property
-    def has_queue(self) -> bool:
-        """Whether calls wait."""
+    def has_queued_calls(self) -> bool:
+        """Whether any call is queued."""
         return len(self.queue) > 0
 
     def start_next(self) -> RequestId | None:
-        """Let the next call by fairness go."""
-        taken = self.queue.pop()
-        if taken is None:
+        """Start the next call in fair-queueing order."""
+        queued_call = self.queue.pop()
+        if queued_call is None:
             return None
-        return self._start(taken)
+        return self._start(queued_call)
 
-    def wait_s(self, ahead: float, now_s: float, unknown_s: float) -> float:
-        """Estimate how long this much work ahead takes to drain."""
-        rate = self.drained.per_s(now_s)
-        if ahead <= 0:
+    def wait_s(
+        self, work_ahead: float, now_s: float, default_s: float
+    ) -> float:
+        """Estimate the time to drain the work ahead of a call.
+
+        Returns `default_s` while the drain rate is unknown.
+        """
+        rate = self.drain_rate.per_s(now_s)
+        if work_ahead <= 0:
             return 0
-        return ahead / rate if rate > 0 else unknown_s
+        return work_ahead / rate if rate > 0 else default_s
 
-    def _start(self, taken: Waiting) -> RequestId:
-        request_id = taken.ticket.request_id
-        self.running[request_id] = Running(
-            taken.ticket, taken.cost, taken.weight
+    def _start(self, queued_call: QueuedCall) -> RequestId:
+        request_id = queued_call.ticket.request_id
+        self.running[request_id] = RunningCall(
+            queued_call.ticket, queued_call.cost, queued_call.weight
         )
         return request_id
--- a/packages/core/dandelionyoke_core/_target_table.py
+++ b/packages/core/dandelionyoke_core/_target_table.py
@@ -1,4 +1,4 @@
-"""The targets as the platform lists them and as they report themselves."""
+"""The table of targets, from platform listings and target reports."""
 
 from collections.abc import Iterable, Mapping
 
@@ -17,7 +17,7 @@
 )
 from dandelionyoke_core._observation import LoadsShared
 from dandelionyoke_core._ports import Output
-from dandelionyoke_core._prefix_index import PrefixIndex, PrefixMemory
+from dandelionyoke_core._prefix_index import PrefixBlockTable, PrefixIndex
 from dandelionyoke_core._records import LoadReport, Presence, Target
 from dandelionyoke_core._routing_settings import RoutingSettings
 from dandelionyoke_core._target_changes import (
@@ -25,118 +25,120 @@
     TargetsShared,
 )
 from dandelionyoke_core._target_state import (
-    Sent,
+    SentAttempt,
     TargetState,
-    unknown_report,
+    empty_report,
 )
 
 
 class TargetTable:
-    """Every known target with its last report and this entry's attempts."""
+    """The state of every known target."""
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.changes = RecentChanges()
         self._settings = settings
-        self._prefixes = PrefixMemory(settings.prefix_blocks)
+        self._prefixes = PrefixBlockTable(settings.max_prefix_blocks)
         self._states: dict[TargetId, TargetState] = {}
         self._services: dict[ServiceName, dict[TargetId, TargetState]] = {}
-        self._places: dict[AttemptId, TargetId] = {}
+        self._targets_by_attempt: dict[AttemptId, TargetId] = {}
 
     def learn(self, event: Event, now_s: float) -> list[Output]:
-        """Take in what is told of targets."""
+        """Update the table from an event about targets."""
         match event:
             case TargetsListed(targets=targets):
-                return self._listed(targets, now_s)
+                return self._on_listing(targets, now_s)
             case LoadReported(target_id=target_id, report=report):
-                return self._take(target_id, report, now_s)
+                return self._on_report(target_id, report, now_s)
             case TargetUnreachable(target_id=target_id):
-                return self._missed(target_id, now_s)
+                return self._on_unreachable(target_id, now_s)
             case CacheEventsReported():
-                self._cache_reported(event)
+                self._on_cache_events(event)
             case TargetLeaving(target_id=target_id):
-                self._leave(target_id)
+                self._on_leaving(target_id)
             case RecordLearned(record=LoadsShared() as loads):
-                return self._loads_shared(loads, now_s)
-            case RecordLearned(record=TargetsShared() as news):
-                return self._targets_shared(news, now_s)
+                return self._on_loads_shared(loads, now_s)
+            case RecordLearned(record=TargetsShared() as shared):
+                return self._on_targets_shared(shared, now_s)
         return []
 
     def find(self, target_id: TargetId) -> TargetState | None:
-        """Look a target up."""
+        """Return the state of a target, or None if it is unknown."""
         return self._states.get(target_id)
 
     def every(self) -> Iterable[TargetState]:
-        """Go through all targets."""
+        """Return the states of all targets."""
         return self._states.values()
 
     def of_service(
         self, service: ServiceName
     ) -> Mapping[TargetId, TargetState]:
-        """Give the targets of a service."""
+        """Return the states of the targets of a service."""
         return self._services.get(service, {})
 
     def dispatched(
-        self, attempt_id: AttemptId, target_id: TargetId, sent: Sent
+        self, attempt_id: AttemptId, target_id: TargetId, sent: SentAttempt
     ) -> None:
-        """Count an attempt as in progress at a target."""
+        """Record an attempt as in flight at a target."""
         state = self._states.get(target_id)
         if state is not None:
-            state.start(attempt_id, sent)
-            self._places[attempt_id] = target_id
+            state.add_attempt(attempt_id, sent)
+            self._targets_by_attempt[attempt_id] = target_id
 
     def progressed(
         self, attempt_id: AttemptId, output_tokens: int, now_s: float
     ) -> None:
-        """Count output of an attempt (the total so far)."""
-        state = self._place(attempt_id)
+        """Record the total output of an attempt so far."""
+        state = self._state_of_attempt(attempt_id)
         if state is not None:
-            state.progress(attempt_id, output_tokens, now_s)
+            state.record_output(attempt_id, output_tokens, now_s)
 
-    def ended(self, attempt_id: AttemptId, now_s: float) -> Sent | None:
-        """Stop counting an attempt."""
-        state = self._place(attempt_id)
-        self._places.pop(attempt_id, None)
-        return None if state is None else state.finish(attempt_id, now_s)
+    def ended(self, attempt_id: AttemptId, now_s: float) -> SentAttempt | None:
+        """Record the end of an attempt."""
+        state = self._state_of_attempt(attempt_id)
+        self._targets_by_attempt.pop(attempt_id, None)
+        return None if state is None else state.end_attempt(attempt_id, now_s)
 
-    def _place(self, attempt_id: AttemptId) -> TargetState | None:
-        target_id = self._places.get(attempt_id)
+    def _state_of_attempt(self, attempt_id: AttemptId) -> TargetState | None:
+        target_id = self._targets_by_attempt.get(attempt_id)
         return None if target_id is None else self._states.get(target_id)
 
-    def _listed(
+    def _on_listing(
         self, targets: tuple[Target, ...], now_s: float
     ) -> list[Output]:
         outputs: list[Output] = []
         is_first = not self._states
         for target in targets:
-            outputs.extend(self._put(target, now_s))
+            outputs.extend(self._upsert(target, now_s))
         if is_first:
-            # The others have read the list too: it is news to none.
+            # The other entries have read the list as well, so the changes
+            # need not be shared.
             self.changes.forget()
         listed = {target.target_id for target in targets}
         for target_id in set(self._states) - listed:
             self._unlist(target_id, now_s)
         return outputs
 
-    def _targets_shared(
-        self, news: TargetsShared, now_s: float
+    def _on_targets_shared(
+        self, shared: TargetsShared, now_s: float
     ) -> list[Output]:
         outputs: list[Output] = []
-        for target in news.changed:
+        for target in shared.changed:
             state = self._states.get(target.target_id)
-            # News may be older than what the list said here; a target
-            # that leaves does not come back under its name.
+            # A shared change may be older than the list that was read here,
+            # so it updates a known target only if the target is not live. A
+            # target that is leaving does not return under its name.
             if state is None or target.state is not Presence.LIVE:
-                outputs.extend(self._put(target, now_s))
-        for target_id in news.gone:
+                outputs.extend(self._upsert(target, now_s))
+        for target_id in shared.gone:
             if target_id in self._states:
                 self._unlist(target_id, now_s)
         return outputs
 
-    def _put(self, target: Target, now_s: float) -> list[Output]:
+    def _upsert(self, target: Target, now_s: float) -> list[Output]:
         state = self._states.get(target.target_id)
         if state is None:
             state = TargetState(
-                target, unknown_report(target), PrefixIndex(self._prefixes)
+                target, empty_report(target), PrefixIndex(self._prefixes)
             )
             self._states[target.target_id] = state
             service = self._services.setdefault(target.service, {})
@@ -144,13 +146,14 @@
             self.changes.note(target, now_s)
         elif state.target != target:
             self.changes.note(target, now_s)
-        leaves = _begins_to_leave(state.target, target)
-        if _stays_after_all(state.target, target):
-            # A target that was to leave stays after all; it is paid for.
-            state.left = False
+        starts_leaving = _starts_leaving(state.target, target)
+        if _returns_to_live(state.target, target):
+            # The removal of the target was cancelled. It is paid for, so it
+            # gets calls again.
+            state.is_leaving = False
         state.target = target
         state.listed = True
-        if leaves:
+        if starts_leaving:
             return [TargetLeaving(target.target_id, target.state.value)]
         return []
 
@@ -163,67 +166,71 @@
             self._states.pop(target_id)
             self._services[state.target.service].pop(target_id)
 
-    def _loads_shared(self, shared: LoadsShared, now_s: float) -> list[Output]:
+    def _on_loads_shared(
+        self, shared: LoadsShared, now_s: float
+    ) -> list[Output]:
         outputs: list[Output] = []
         for target_id, report in shared.reports():
             state = self._states.get(target_id)
             if state is not None:
                 state.shared_s = now_s
-            outputs.extend(self._take(target_id, report, now_s))
+            outputs.extend(self._on_report(target_id, report, now_s))
         for target_id in shared.unreachable:
-            outputs.extend(self._missed(target_id, now_s))
+            outputs.extend(self._on_unreachable(target_id, now_s))
         return outputs
 
-    def _take(
+    def _on_report(
         self, target_id: TargetId, report: LoadReport, now_s: float
     ) -> list[Output]:
         state = self._states.get(target_id)
         if state is None:
             return []
-        before = state.report.incarnation
-        restarted = before not in {'', report.incarnation}
-        taken_s = now_s - report.age_s
-        if taken_s < state.taken_s:
+        previous_incarnation = state.report.incarnation
+        restarted = previous_incarnation not in {'', report.incarnation}
+        report_taken_s = now_s - report.age_s
+        if report_taken_s < state.report_taken_s:
             return []
-        state.reached(now_s)
-        state.take(report, taken_s)
+        state.mark_reachable(now_s)
+        state.update_report(report, report_taken_s)
         if not restarted:
             return []
         state.prefixes.clear()
-        return _crash(state)
+        return _crash_notices(state)
 
-    def _missed(self, target_id: TargetId, now_s: float) -> list[Output]:
+    def _on_unreachable(
+        self, target_id: TargetId, now_s: float
+    ) -> list[Output]:
         state = self._states.get(target_id)
         if state is None:
             return []
-        state.missed(now_s + self._settings.avoid_s)
-        if state.failures == self._settings.crash_failures:
-            return _crash(state)
+        state.mark_unreachable(now_s + self._settings.unreachable_cooldown_s)
+        if state.failures == self._settings.failures_before_crash:
+            return _crash_notices(state)
         return []
 
-    def _cache_reported(self, event: CacheEventsReported) -> None:
+    def _on_cache_events(self, event: CacheEventsReported) -> None:
         state = self._states.get(event.target_id)
         if state is not None:
             state.prefixes.learn(
                 event.first_sequence, event.next_sequence, event.events
             )
 
-    def _leave(self, target_id: TargetId) -> None:
+    def _on_leaving(self, target_id: TargetId) -> None:
         state = self._states.get(target_id)
         if state is not None:
-            state.left = True
+            state.is_leaving = True
 
 
-def _crash(state: TargetState) -> list[Output]:
+def _crash_notices(state: TargetState) -> list[Output]:
     if not state.sent:
         return []
     return [TargetCrashed(state.target.target_id, tuple(state.sent))]
 
 
-def _stays_after_all(before: Target, after: Target) -> bool:
+def _returns_to_live(before: Target, after: Target) -> bool:
     return before.state is not after.state and after.state is Presence.LIVE
 
 
-def _begins_to_leave(before: Target, after: Target) -> bool:
-    """Tell whether a target leaves, or leaves sooner than it was to."""
+def _starts_leaving(before: Target, after: Target) -> bool:
+    """Return whether a target starts to leave, or will leave sooner."""
     return before.state is not after.state and after.state is not Presence.LIVE
--- a/tests/core/policy_fakes.py
+++ b/tests/core/policy_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes that the tests of routing, admission and fleet share."""
+"""Fakes shared by the tests of routing, admission and the fleet part."""
 
 from random import Random
 
@@ -56,7 +56,7 @@
 
 @attrs.define
 class FixedCapacity:
-    """Targets with so many places; `run_s` is what a call takes."""
+    """A fixed number of slots; each call takes `run_s`."""
 
     slots: float = 1e9
     has_room: bool = True
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission against one shared queue and one global counter."""
+"""Tests of admission against a shared queue and a global counter."""
 
 import itertools
 from collections import Counter
@@ -45,7 +45,7 @@
 
 
 def drain(part: AdmissionPart, now_s: float) -> list[object]:
-    """Wake a part until it wants to be woken later."""
+    """Wake a part until no wake-up is due."""
     outputs: list[object] = []
     while (due_s := part.next_wakeup_s()) is not None and due_s <= now_s:
         outputs += part.handle(Woken(), now_s)
@@ -53,7 +53,7 @@
 
 
 class Fleet:
-    """Entries that hear each other's records, or do not."""
+    """A group of entries that receive each other's records if `joined`."""
 
     def __init__(self, count: int, *, joined: bool) -> None:
         names = tuple(entry(number) for number in range(count))
@@ -65,8 +65,8 @@
         ]
         self._ids = itertools.count()
 
-    def second(self, now_s: float, calls: list[int]) -> int:
-        """Offer calls at each entry within a second; count the admitted."""
+    def run_second(self, now_s: float, calls: list[int]) -> int:
+        """Offer calls at each entry within a second and count the admitted."""
         self._share(now_s)
         admitted = 0
         for part, count in zip(self.parts, calls, strict=True):
@@ -104,16 +104,16 @@
         st.integers(1, 4),
     )
     @settings(max_examples=60)
-    def test_it_is_fair_where_one_shared_queue_is_not(
+    def test_organisations_get_fair_shares_unlike_in_a_shared_queue(
         self, first: list[int], second: list[int], weight: int
     ) -> None:
-        """One organisation queues all its calls just before the other's.
+        """One organisation queues all its calls just before another one.
 
-        With one shared queue the other's callers wait until the first is
-        done, however little they ask for.
+        With a first-in-first-out queue the calls of the second organisation
+        would wait for all calls of the first, however few they are.
         """
         capacity = FixedCapacity(slots=1)
-        part = make_admission(capacity, queue_limit_s=1e9)
+        part = make_admission(capacity, max_queue_wait_s=1e9)
         costs: dict[str, int] = {}
         part.offer(make_ticket('plug'), 0)
         for name, prompts in (('a', first), ('b', second)):
@@ -137,50 +137,50 @@
             served[running[0]] += costs[running]
             left[running[0]] -= 1
             if min(left.values()) > 0:
-                apart = abs(served['a'] - served['b'] / weight)
-                self.assertLessEqual(apart, 400 + 400)
+                difference = abs(served['a'] - served['b'] / weight)
+                self.assertLessEqual(difference, 400 + 400)
 
     @given(
         st.lists(st.integers(0, 60), min_size=ENTRIES, max_size=ENTRIES),
         st.booleans(),
     )
     @settings(max_examples=25)
-    def test_limits_hold_as_with_one_global_counter(
+    def test_limits_hold_as_with_a_global_counter(
         self, calls: list[int], joined: bool
     ) -> None:
-        """Calls of one organisation come to all entries, or to a few.
+        """An organisation sends calls to all entries or only to a few.
 
-        Without one counter each entry could let the whole limit through,
-        or refuse a caller whose organisation has nearly all of it left.
+        Without a shared counter each entry could admit the whole limit, or
+        refuse calls although most of the limit is unused.
         """
         fleet = Fleet(ENTRIES, joined=joined)
         seconds = 20
         admitted = sum(
-            fleet.second(float(second), calls) for second in range(seconds)
+            fleet.run_second(float(second), calls) for second in range(seconds)
         )
         global_counter = min(sum(calls), LIMIT) * seconds
-        # Each entry's bucket begins full, and holds one call at least.
+        # The bucket of each entry starts full and holds at least one call.
         burst = LIMIT * BURST_S + ENTRIES
         self.assertLessEqual(admitted, LIMIT * seconds + burst)
         if joined:
             self.assertGreaterEqual(admitted, 0.8 * global_counter)
 
-    def test_in_a_cut_the_old_count_of_entries_holds(self) -> None:
-        """A domain is cut off, and each side takes the other for dead.
+    def test_a_partition_keeps_the_previous_entry_count(self) -> None:
+        """A network partition makes each side consider the other dead.
 
-        Both would let the organisation's whole limit through, and the
-        customer would be billed for more than it agreed to.
+        Both sides would admit the whole limit of the organisation, and it
+        would be billed for more than it agreed to.
         """
         fleet = Fleet(ENTRIES, joined=False)
         part = fleet.parts[0]
         alone = (entry(0),)
         part.handle(PeersKnown(alone, alone), 5)
         admitted = sum(
-            fleet.second(second, [60] + [0] * (ENTRIES - 1))
+            fleet.run_second(second, [60] + [0] * (ENTRIES - 1))
             for second in range(6, 26)
         )
-        equal = LIMIT / ENTRIES
-        self.assertLessEqual(admitted, equal * (20 + BURST_S) + 1)
+        equal_share = LIMIT / ENTRIES
+        self.assertLessEqual(admitted, equal_share * (20 + BURST_S) + 1)
 
     @given(
         st.lists(st.floats(0, 500), min_size=1, max_size=20),
@@ -190,10 +190,10 @@
     def test_the_shares_add_up_to_the_limit(
         self, demands: list[float], limit: float, reserved: float
     ) -> None:
-        whole = sum(demands)
+        total = sum(demands)
         shares = [
-            demand_share(one, whole - one, limit, len(demands), reserved)
-            for one in demands
+            demand_share(demand, total - demand, limit, len(demands), reserved)
+            for demand in demands
         ]
         self.assertAlmostEqual(limit, sum(shares), delta=limit / 1000)
 
@@ -207,20 +207,22 @@
         )
     )
     @settings(max_examples=80)
-    def test_no_call_is_lost_and_no_place(
-        self, story: list[tuple[str, int]]
+    def test_no_call_and_no_slot_is_lost(
+        self, operations: list[tuple[str, int]]
     ) -> None:
         part = make_admission(
-            FixedCapacity(slots=2), max_queued=6, queue_limit_s=20
+            FixedCapacity(slots=2), max_queued=6, max_queue_wait_s=20
         )
         waiting: set[str] = set()
         running: set[str] = set()
         now_s = 0.0
-        for number, (what, pick) in enumerate(story):
+        for number, (operation, argument) in enumerate(operations):
             now_s += 0.3
             known = sorted(waiting | running)
-            if what == 'offer':
-                ticket = make_ticket(f'r{number:03}', f'o{pick}', now_s=now_s)
+            if operation == 'offer':
+                ticket = make_ticket(
+                    f'r{number:03}', f'o{argument}', now_s=now_s
+                )
                 decision = part.offer(ticket, now_s)
                 if isinstance(decision, Queued):
                     waiting.add(ticket.request_id)
@@ -229,11 +231,11 @@
                 else:
                     self.assertEqual(RunState.NO, decision.run)
                     self.assertGreater(decision.retry_after_s, 0)
-            elif what == 'wait':
-                now_s += pick
+            elif operation == 'wait':
+                now_s += argument
             elif known:
-                name = known[pick % len(known)]
-                if what == 'finish':
+                name = known[argument % len(known)]
+                if operation == 'finish':
                     part.finish(RequestId(name), 100, 5, now_s)
                 else:
                     part.withdraw(RequestId(name), now_s)
@@ -248,11 +250,11 @@
             self.assertLessEqual(len(waiting), 6)
             self.assertTrue(len(running) == 2 or not waiting)
 
-    def test_refusals_are_immediate_and_tell_when_to_come_back(self) -> None:
-        """More calls come than the targets can take.
+    def test_refusals_are_immediate_and_have_a_retry_delay(self) -> None:
+        """More calls arrive than the targets can handle.
 
-        A caller that is told at once can try elsewhere; one that is kept
-        waiting finds out when its deadline has passed.
+        A caller that is refused at once can retry elsewhere. A caller that is
+        kept waiting learns of the refusal only after its deadline.
         """
         full = FixedCapacity(slots=1, run_s=2)
         cases = (
@@ -272,10 +274,10 @@
             self.assertGreater(refusal.retry_after_s, 0)
             self.assertLessEqual(refusal.retry_after_s, 30)
 
-    def test_the_time_to_come_back_follows_the_drain_rate(self) -> None:
+    def test_the_retry_delay_follows_the_drain_rate(self) -> None:
         waits = []
         for interval_s in (0.1, 1.0):
-            part = make_admission(FixedCapacity(slots=1), queue_limit_s=1e9)
+            part = make_admission(FixedCapacity(slots=1), max_queue_wait_s=1e9)
             running = f'plug-{interval_s}'
             part.offer(make_ticket(running), 0)
             for number in range(60):
@@ -288,10 +290,13 @@
             waits.append(part.come_back_s(make_ticket('x').service, now_s))
         self.assertGreater(waits[1], 3 * waits[0])
 
-    def test_a_queued_call_that_can_not_end_in_time_is_given_up(self) -> None:
-        """A call waits while others run, and its deadline comes near.
+    def test_a_queued_call_that_would_miss_its_deadline_is_rejected(
+        self,
+    ) -> None:
+        """The deadline of a queued call approaches while other calls run.
 
-        Begun too late it would take an engine's time and still be late.
+        Started too late, the call would use engine time and still miss its
+        deadline.
         """
         part = make_admission(FixedCapacity(slots=1, run_s=4))
         part.offer(make_ticket('plug'), 0)
@@ -304,23 +309,27 @@
         ]
         self.assertEqual(RefusalKind.DEADLINE, rejected.refusal.kind)
 
-    def test_an_idle_entry_is_heard_and_says_little(self) -> None:
-        """Nobody calls at one entry. Its peers must go on hearing that it
-        asks for nothing, or they keep its part of a limit free for it and
-        refuse their callers; but each word of it costs every node."""
+    def test_an_idle_entry_reports_rarely_but_stays_known(self) -> None:
+        """An idle entry must keep reporting that it has no demand.
+
+        Otherwise its peers reserve its share of each limit and refuse their
+        own callers. Since each record costs every node, it reports rarely.
+        """
         part = make_admission(FixedCapacity())
-        told_s = [
+        shared_s = [
             now_s
             for now_s in range(60)
             for output in part.handle(Woken(), now_s)
             if isinstance(output, ShareRecord)
         ]
-        gaps_s = [late - early for early, late in pairwise(told_s)]
+        gaps_s = [late - early for early, late in pairwise(shared_s)]
         lifetime_s = AdmissionSettings().demand_lifetime_s
         self.assertLess(max(gaps_s), lifetime_s)
-        self.assertLessEqual(len(told_s), 60 / (lifetime_s - 2))
+        self.assertLessEqual(len(shared_s), 60 / (lifetime_s - 2))
 
-    def test_a_large_fleet_tells_sums_and_a_small_one_all(self) -> None:
+    def test_large_fleets_share_sums_and_small_fleets_full_records(
+        self,
+    ) -> None:
         for count, everywhere in ((8, {True}), (68, {True, False})):
             names = tuple(entry(number) for number in range(count))
             peers = FixedPeers(names, names)
@@ -338,8 +347,10 @@
             sums = [out for out in found if out.record.is_sum]
             self.assertEqual(everywhere, {out.everywhere for out in found})
             self.assertEqual(int(count > 16), len(sums))
-            told = {len(out.record.organisations) for out in found}
-            self.assertEqual({1} if count > 16 else {2}, told)
+            organisation_counts = {
+                len(out.record.organisations) for out in found
+            }
+            self.assertEqual({1} if count > 16 else {2}, organisation_counts)
             self.assertTrue(
                 all(isinstance(out.record, DemandShared) for out in found)
             )
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing against whole-fleet scans, exact counts and plain sets."""
+"""Tests of routing against simple reference models."""
 
 from collections import Counter
 from random import Random
@@ -33,8 +33,8 @@
     message_from_mapping,
     message_to_mapping,
 )
-from dandelionyoke_core._prefix_index import PrefixIndex, PrefixMemory
-from dandelionyoke_core._target_state import Sent, TargetState
+from dandelionyoke_core._prefix_index import PrefixBlockTable, PrefixIndex
+from dandelionyoke_core._target_state import SentAttempt, TargetState
 from tests.core.policy_fakes import (
     AWAY,
     HERE,
@@ -47,8 +47,8 @@
 )
 
 COUNT = 6
-# What may happen to a target, as the naive model and the part are both told.
-HAPPENINGS = ('drain', 'undrain', 'leave', 'reclaim', 'miss', 'reach', 'unlist')
+# Changes of a target that both the reference model and the part apply.
+CHANGES = ('drain', 'undrain', 'leave', 'reclaim', 'miss', 'reach', 'unlist')
 
 
 def report(target_id: TargetId, **fields: object) -> LoadReport:
@@ -62,8 +62,8 @@
 
 
 @attrs.define
-class ScannedTarget:
-    """A target of the naive model, which scans them all."""
+class ReferenceTarget:
+    """A target of the reference model, which scans the whole fleet."""
 
     target: Target
     draining: bool = False
@@ -71,10 +71,10 @@
     missing: bool = False
     listed: bool = True
 
-    def happen(self, what: str) -> None:
-        match what:
+    def apply(self, change: str) -> None:
+        match change:
             case 'drain' | 'undrain':
-                self.draining = what == 'drain'
+                self.draining = change == 'drain'
                 self.missing = False
             case 'leave':
                 self.left = True
@@ -83,42 +83,44 @@
                     self.target, state=Presence.RECLAIMED
                 )
             case 'miss' | 'reach':
-                self.missing = what == 'miss'
+                self.missing = change == 'miss'
             case 'unlist':
                 self.listed = False
 
-    def takes(self, *, steady: bool) -> bool:
+    def accepts(self, *, steady: bool) -> bool:
         gone = self.left or not self.listed or self.missing or self.draining
         live = self.target.state is Presence.LIVE
         return live and not gone and not (steady and self.target.reclaimable)
 
 
-def tell(part: RoutingPart, fleet: list[ScannedTarget], row: int) -> None:
-    """Tell the part what the naive model already knows."""
-    scanned = fleet[row]
-    target_id = scanned.target.target_id
+def sync_part(
+    part: RoutingPart, fleet: list[ReferenceTarget], row: int
+) -> None:
+    """Send the part the state of the reference model."""
+    reference = fleet[row]
+    target_id = reference.target.target_id
     listed = tuple(one.target for one in fleet if one.listed)
     part.handle(TargetsListed(listed), 0)
-    if scanned.left:
+    if reference.left:
         part.handle(TargetLeaving(target_id, 'test'), 0)
-    if scanned.missing:
+    if reference.missing:
         part.handle(TargetUnreachable(target_id, 'test'), 0)
     else:
-        told = report(target_id, draining=scanned.draining)
+        told = report(target_id, draining=reference.draining)
         part.handle(LoadReported(target_id, told), 0)
 
 
 class RoutingTest(testtools.TestCase):
     @given(
         st.lists(
-            st.tuples(st.integers(0, COUNT - 1), st.sampled_from(HAPPENINGS)),
+            st.tuples(st.integers(0, COUNT - 1), st.sampled_from(CHANGES)),
             max_size=30,
         ),
         st.integers(0, 99),
     )
     @settings(max_examples=150)
-    def test_it_chooses_what_a_scan_of_the_fleet_allows(
-        self, story: list[tuple[int, str]], seed: int
+    def test_chosen_targets_are_allowed_by_a_scan_of_the_fleet(
+        self, steps: list[tuple[int, str]], seed: int
     ) -> None:
         targets = tuple(
             attrs.evolve(
@@ -128,16 +130,16 @@
             )
             for row, target in enumerate(make_targets(COUNT))
         )
-        fleet = [ScannedTarget(target) for target in targets]
+        fleet = [ReferenceTarget(target) for target in targets]
         part = make_routing(targets, seed=seed)
-        for row, what in story:
-            fleet[row].happen(what)
-            tell(part, fleet, row)
+        for row, change in steps:
+            fleet[row].apply(change)
+            sync_part(part, fleet, row)
             for steady in (True, False):
                 allowed = {
                     one.target.target_id
                     for one in fleet
-                    if one.takes(steady=steady)
+                    if one.accepts(steady=steady)
                 }
                 found = part.choose(make_need(steady=steady), 0)
                 if isinstance(found, NoRoute):
@@ -145,8 +147,8 @@
                 else:
                     self.assertIn(found.target_id, allowed)
 
-    def test_what_is_kept_of_prefixes_is_bounded_for_all_targets(self) -> None:
-        memory = PrefixMemory(100)
+    def test_the_prefix_table_has_one_maximum_for_all_targets(self) -> None:
+        memory = PrefixBlockTable(100)
         indices = [PrefixIndex(memory) for _ in range(20)]
         for index in indices:
             index.add([f'b{number}' for number in range(40)])
@@ -160,7 +162,7 @@
         st.sampled_from(TargetKind),
     )
     @settings(max_examples=60)
-    def test_a_few_compared_are_nearly_as_even_as_a_scan(
+    def test_sampled_targets_are_nearly_as_balanced_as_a_scan(
         self, calls: int, count: int, seed: int, kind: TargetKind
     ) -> None:
         part = make_routing(make_targets(count, kind=kind), seed=seed)
@@ -185,63 +187,65 @@
     )
     @settings(max_examples=200)
     def test_a_late_report_is_corrected_to_the_exact_load(
-        self, story: list[tuple[str, int, int]]
+        self, steps: list[tuple[str, int, int]]
     ) -> None:
-        """A report shows the load as it was; calls came and ended since.
+        """Calls start and end after a report was taken.
 
-        Without the correction a burst is sent to one engine until its next
-        report, and its callers wait while other engines are idle.
+        Without a correction a burst would go to one engine until its next
+        report, and its callers would wait while other engines are idle.
         """
         (target,) = make_targets(1)
         state = TargetState(
-            target, report(target.target_id), PrefixIndex(PrefixMemory())
+            target, report(target.target_id), PrefixIndex(PrefixBlockTable())
         )
-        truth: dict[str, Sent] = {}
-        past = [(0.0, report(target.target_id))]
-        state.take(past[0][1], 0)
-        for step, (what, pick, lag) in enumerate(story):
+        in_flight: dict[str, SentAttempt] = {}
+        reports = [(0.0, report(target.target_id))]
+        state.update_report(reports[0][1], 0)
+        for step, (change, argument, lag) in enumerate(steps):
             now_s = step + 1.0
-            live = sorted(truth)
-            if what == 'send':
-                need = make_need(prompt_tokens=100 * (pick + 1))
-                truth[f'a{step:03}'] = Sent(need, now_s, 0, 100)
-                state.start(f'a{step:03}', truth[f'a{step:03}'])
-            elif what == 'report':
-                taken_s, told = past[max(0, len(past) - 1 - lag)]
-                if taken_s >= state.taken_s:
-                    state.take(told, taken_s)
-            elif live and what == 'progress':
-                state.progress(live[pick % len(live)], 5, now_s)
+            live = sorted(in_flight)
+            if change == 'send':
+                need = make_need(prompt_tokens=100 * (argument + 1))
+                in_flight[f'a{step:03}'] = SentAttempt(need, now_s, 0, 100)
+                state.add_attempt(f'a{step:03}', in_flight[f'a{step:03}'])
+            elif change == 'report':
+                taken_s, told = reports[max(0, len(reports) - 1 - lag)]
+                if taken_s >= state.report_taken_s:
+                    state.update_report(told, taken_s)
+            elif live and change == 'progress':
+                state.record_output(live[argument % len(live)], 5, now_s)
             elif live:
-                name = live[pick % len(live)]
-                truth.pop(name)
-                state.finish(name, now_s)
-            pending = [one for one in truth.values() if one.first_s is None]
+                name = live[argument % len(live)]
+                in_flight.pop(name)
+                state.end_attempt(name, now_s)
+            pending = [
+                one for one in in_flight.values() if one.first_output_s is None
+            ]
             tokens = sum(one.need.prompt_tokens for one in pending)
-            past.append(
+            reports.append(
                 (
                     now_s + 0.5,
                     report(
                         target.target_id,
-                        running=len(truth),
+                        running=len(in_flight),
                         prefill_queue_tokens=tokens,
                     ),
                 )
             )
             load = state.load()
             self.assertEqual(
-                (len(truth), tokens), (load.calls, load.prefill_tokens)
+                (len(in_flight), tokens), (load.calls, load.prefill_tokens)
             )
 
     @given(st.lists(st.integers(1, 9000), max_size=40), st.integers(0, 99))
     @settings(max_examples=80)
-    def test_calls_with_room_never_outgrow_the_memory(
+    def test_calls_with_room_never_exceed_the_memory(
         self, prompts: list[int], seed: int
     ) -> None:
-        """An engine is filled with calls that all fit when they begin.
+        """An engine gets calls that all fit when they start.
 
-        As their answers grow it runs out of blocks and throws one out, whose
-        caller sees its answer stop and start over.
+        As their output grows the engine runs out of blocks and preempts one,
+        and the answer of that call stops and starts over.
         """
         part = make_routing(make_targets(2), seed=seed)
         for name in ('t0', 't1'):
@@ -255,32 +259,32 @@
             if outlook is not None and outlook.has_room:
                 part.dispatched(f'a{number}', target.target_id, need, 1)
                 part.progressed(f'a{number}', 1, 1)
-                # The share of the output that is left room for.
+                # Output tokens for which memory is reserved.
                 held[target.target_id] += -(-(prompt + 800) // 16)
         self.assertLessEqual(max(held.values(), default=0), 4000)
 
     @given(st.sampled_from((0.0, 0.2, 0.5)), st.integers(0, 20))
     @settings(max_examples=20)
-    def test_reclaimable_targets_get_their_share_at_most(
+    def test_reclaimable_targets_get_at_most_their_share(
         self, share: float, seed: int
     ) -> None:
-        steady, *cheap = make_targets(4)
+        steady, *reclaimable = make_targets(4)
         fleet = (
             steady,
-            *(attrs.evolve(one, reclaimable=True) for one in cheap),
+            *(attrs.evolve(one, reclaimable=True) for one in reclaimable),
         )
         part = make_routing(fleet, share=share, seed=seed)
-        there = 0
+        reclaimable_count = 0
         for number in range(300):
             target = part.choose(make_need(), 0)
             part.dispatched(f'a{number}', target.target_id, make_need(), 0)
-            there += target.reclaimable
-        self.assertLessEqual(there, 300 * share + 10 * (share > 0))
+            reclaimable_count += target.reclaimable
+        self.assertLessEqual(reclaimable_count, 300 * share + 10 * (share > 0))
 
-    def test_a_restarted_or_vanished_engine_crashed(self) -> None:
-        """An engine dies of a request and restarts at once, or stays away.
+    def test_a_restarted_or_unreachable_engine_counts_as_crashed(self) -> None:
+        """An engine crashes and restarts at once, or stays unreachable.
 
-        The caller would wait for an answer that can never come.
+        Undetected, the caller would wait for an answer that never comes.
         """
         (target,) = make_targets(1)
         for restarts in (True, False):
@@ -297,10 +301,12 @@
                 [TargetCrashed(target.target_id, ('a1',))], outputs
             )
 
-    def test_an_unreachable_target_is_left_alone_and_tried_again(self) -> None:
-        """A target's connections are refused for a moment.
+    def test_an_unreachable_target_gets_no_calls_until_it_responds(
+        self,
+    ) -> None:
+        """A target refuses connections for a short time.
 
-        Each call sent there meanwhile would lose the time of a failed try.
+        Each call sent to it meanwhile would lose time on a failed attempt.
         """
         part = make_routing(make_targets(2))
         part.handle(TargetUnreachable(TargetId('t0'), 'refused'), 0)
@@ -312,7 +318,7 @@
         chosen = {part.choose(make_need(), 1).target_id for _ in range(20)}
         self.assertEqual({'t0', 't1'}, chosen)
 
-    def test_in_a_large_domain_two_read_a_target_and_all_know(self) -> None:
+    def test_in_a_large_domain_two_entries_poll_a_target_for_all(self) -> None:
         entries = tuple(entry(number) for number in range(68))
         peers = FixedPeers(entries * 6, entries)
         targets = make_targets(148)
@@ -346,9 +352,11 @@
         self.assertEqual({7}, set(calls_at(parts[0]).values()))
 
     def test_a_target_that_stays_after_all_gets_work_again(self) -> None:
-        """An operator takes the removal of a target back, or the platform
-        does. It is live and paid for, but would get no call for as long as
-        the entry runs."""
+        """The operator or the platform cancels the removal of a target.
+
+        The target is live and paid for, but without this handling it would
+        get no calls for as long as the entry runs.
+        """
         (live,) = make_targets(1)
         leaving = attrs.evolve(live, state=Presence.LEAVING)
         part = make_routing((live,))
@@ -359,11 +367,11 @@
                     part.handle(notice, 1)
             self.assertIsInstance(part.choose(make_need(), 1), expected)
 
-    def test_two_read_the_list_and_all_learn_of_a_reclaim(self) -> None:
-        """A zone's cheap targets are reclaimed on a few seconds' notice.
+    def test_two_entries_read_the_list_and_all_learn_of_a_reclaim(self) -> None:
+        """The spot targets of a zone are reclaimed with seconds of notice.
 
-        An entry that reads the long list once a minute would send callers
-        to targets that are about to vanish.
+        An entry that reads the long list only once a minute would send calls
+        to targets that are about to disappear.
         """
         entries = tuple(entry(number) for number in range(68))
         peers = FixedPeers(entries * 6, entries)
@@ -380,11 +388,11 @@
             if ListTargets() in part.handle(Woken(), 3):
                 listers.append(name)
         self.assertEqual(2, len(listers))
-        teller = parts[listers[0]]
-        teller.handle(TargetsListed((reclaimed, *targets[2:], fresh)), 3)
+        lister = parts[listers[0]]
+        lister.handle(TargetsListed((reclaimed, *targets[2:], fresh)), 3)
         (news,) = [
             out.record
-            for out in teller.handle(Woken(), 9)
+            for out in lister.handle(Woken(), 9)
             if isinstance(out, ShareRecord)
             and isinstance(out.record, TargetsShared)
         ]
@@ -404,13 +412,13 @@
         )
     )
     @settings(max_examples=100)
-    def test_cache_events_give_what_a_plain_set_gives(
-        self, story: list[tuple[bool, int, bool]]
+    def test_cache_events_give_the_same_index_as_a_set(
+        self, steps: list[tuple[bool, int, bool]]
     ) -> None:
-        """Cache events get lost; a lost removal would look like a hit."""
-        index = PrefixIndex(PrefixMemory())
+        """Cache events get lost; a lost eviction would look like a hit."""
+        index = PrefixIndex(PrefixBlockTable())
         known: set[str] = set()
-        for sequence, (stored, block, lost) in enumerate(story, start=1):
+        for sequence, (stored, block, lost) in enumerate(steps, start=1):
             event = CacheEvent(sequence, stored, f'b{block}')
             if lost:
                 continue
@@ -422,7 +430,7 @@
             held = {f'b{n}' for n in range(10) if index.holds(f'b{n}')}
             self.assertEqual(known, held)
 
-    def test_one_prefix_goes_to_one_target_until_it_is_full(self) -> None:
+    def test_a_prefix_goes_to_one_target_until_it_is_full(self) -> None:
         for seed in range(10):
             blocks = tuple(
                 f'shop-{Random(seed).random()}-{n}' for n in range(99)
