--- a/packages/core/dandelionyoke_core/_call.py
+++ b/packages/core/dandelionyoke_core/_call.py
@@ -1,4 +1,4 @@
-"""One call of a caller and its attempts, while it is in progress."""
+"""The state of a call in progress and of its current attempt."""
 
 import enum
 
@@ -13,7 +13,7 @@
 
 @enum.unique
 class Phase(enum.Enum):
-    """Where a call stands."""
+    """The phase of a call in progress."""
 
     QUEUED = 'queued'
     CLAIMING = 'claiming'
@@ -23,35 +23,37 @@
 
 @attrs.define
 class Attempt:
-    """A stream of one target that is being read.
+    """A response stream that is read from a target.
 
-    The target knows the work by `work_id`: the id of the attempt that
-    started it, which a resumed stream only reads on. `answers_at_once` is
-    whether the target is known to answer a call before its first token.
+    The target identifies the work by `work_id`, the id of the attempt that
+    started it. A resumed stream reads the same work under a new attempt id.
+    `accepts_early` tells whether the target is known to accept a call before
+    its first token.
     """
 
     attempt_id: AttemptId
     work_id: AttemptId
     target: Target
-    heard_s: float
+    last_activity_s: float
     accepted: bool = False
-    answers_at_once: bool = False
-    progressed: bool = False
+    accepts_early: bool = False
+    has_output: bool = False
 
     @property
-    def resumes(self) -> bool:
-        """Whether this stream reads on an earlier attempt's work."""
+    def is_resumption(self) -> bool:
+        """Whether this stream resumes the work of an earlier attempt."""
         return self.attempt_id != self.work_id
 
 
 @attrs.define
 class Call:
-    """What is known of a call.
+    """The state of a call.
 
-    `tokens` reached the caller. `unproven` names work that was handed to a
-    target which has not said that it did not run it. `owes_retry` is whether
-    the next placement draws on the retry budget; `row` counts placements
-    without a sign of life between them.
+    `tokens` were sent to the caller. `possibly_run` holds the ids of work
+    that was sent to a target and that the target has not reported as not run.
+    `needs_retry_budget` tells whether the next placement is charged to the
+    retry budget. `unanswered_placements` counts the placements since the last
+    response of a target.
     """
 
     event: ModelCalled | ServiceCalled
@@ -66,62 +68,62 @@
     attempt: Attempt | None = None
     attempts: int = 0
     placements: int = 0
-    row: int = 0
-    unproven: set[AttemptId] = attrs.field(factory=set)
+    unanswered_placements: int = 0
+    possibly_run: set[AttemptId] = attrs.field(factory=set)
     avoid: set[TargetId] = attrs.field(factory=set)
     caller_gone: bool = False
     claimed: bool = False
-    stalled_s: float | None = None
+    stalled_since_s: float | None = None
     retry_at_s: float = 0.0
-    owes_retry: bool = False
+    needs_retry_budget: bool = False
 
     @property
     def request_id(self) -> RequestId:
-        """The id that everything about this call carries."""
+        """The id of the request, common to all its attempts and logs."""
         return self.event.request_id
 
     @property
-    def run(self) -> RunState:
-        """What can truthfully be said of its run."""
-        if self.tokens or self.unproven:
+    def run_state(self) -> RunState:
+        """Whether the call may have run at a target."""
+        if self.tokens or self.possibly_run:
             return RunState.UNKNOWN
         return RunState.NO
 
-    def truthful(self, refusal: Refusal) -> Refusal:
-        """Make a refusal say what is known of this call's run."""
-        return attrs.evolve(refusal, run=self.run)
+    def with_run_state(self, refusal: Refusal) -> Refusal:
+        """Return the refusal with the run state of this call."""
+        return attrs.evolve(refusal, run=self.run_state)
 
     def next_attempt_id(self) -> AttemptId:
-        """Name a new attempt; no two attempts of a call share a name."""
+        """Return a new attempt id, unique within the call."""
         self.attempts += 1
         return AttemptId(f'{self.request_id}.{self.attempts}')
 
-    def place(self, target: Target, now_s: float) -> Attempt:
-        """Hand the work to a target."""
+    def start_attempt(self, target: Target, now_s: float) -> Attempt:
+        """Start an attempt at a target."""
         attempt_id = self.next_attempt_id()
         self.attempt = Attempt(attempt_id, attempt_id, target, now_s)
         self.placements += 1
-        self.row += 1
-        self.unproven.add(attempt_id)
+        self.unanswered_placements += 1
+        self.possibly_run.add(attempt_id)
         self.phase = Phase.RUNNING
         return self.attempt
 
-    def heard(self, now_s: float) -> None:
-        """Note a sign of life of the present attempt."""
-        self.stalled_s = None
-        self.row = 0
+    def record_activity(self, now_s: float) -> None:
+        """Record that the target of the current attempt has responded."""
+        self.stalled_since_s = None
+        self.unanswered_placements = 0
         if self.attempt is not None:
             self.attempt.accepted = True
-            self.attempt.heard_s = now_s
+            self.attempt.last_activity_s = now_s
 
-    def reread(self, attempt: Attempt, now_s: float) -> Attempt:
-        """Read the same work on, as a new stream."""
+    def resume_attempt(self, attempt: Attempt, now_s: float) -> Attempt:
+        """Start a new stream that resumes the work of an attempt."""
         attempt_id = self.next_attempt_id()
         self.attempt = Attempt(
             attempt_id,
             attempt.work_id,
             attempt.target,
             now_s,
-            answers_at_once=attempt.accepted or attempt.answers_at_once,
+            accepts_early=attempt.accepted or attempt.accepts_early,
         )
         return self.attempt
--- a/packages/core/dandelionyoke_core/_call_desk.py
+++ b/packages/core/dandelionyoke_core/_call_operations.py
@@ -1,4 +1,4 @@
-"""The steps that model calls and service calls have in common."""
+"""Operations that model calls and service calls have in common."""
 
 import attrs
 
@@ -29,8 +29,8 @@
 
 
 @attrs.define
-class CallDesk:
-    """The calls in progress and the parts that they are decided with."""
+class CallOperations:
+    """The calls in progress and the collaborators that handle them."""
 
     settings: RequestSettings
     admitter: Admitter
@@ -40,16 +40,18 @@
     budget: RetryBudget
     calls: dict[RequestId, Call] = attrs.field(factory=dict)
 
-    def choose(self, call: Call, now_s: float) -> Target | NoRoute:
-        """Ask the router, with the targets that failed this call."""
+    def choose_target(self, call: Call, now_s: float) -> Target | NoRoute:
+        """Choose a target other than those that failed this call."""
         avoid = frozenset(call.avoid)
         if call.fingerprint:
             avoid |= self.quarantine.crowded(call.fingerprint, now_s)
         need = attrs.evolve(call.need, avoid=avoid)
         return self.router.choose(need, now_s)
 
-    def began(self, call: Call, attempt: Attempt, now_s: float) -> list[Output]:
-        """Tell the parts that follow work in progress of a new attempt."""
+    def track_attempt(
+        self, call: Call, attempt: Attempt, now_s: float
+    ) -> list[Output]:
+        """Register a new attempt with the router and the quarantine."""
         target_id = attempt.target.target_id
         self.router.dispatched(attempt.work_id, target_id, call.need, now_s)
         outputs: list[Output] = [
@@ -66,33 +68,33 @@
             )
         return outputs
 
-    def leave(
+    def untrack_attempt(
         self,
         call: Call,
         now_s: float,
         *,
         failed: bool = False,
-        whole: bool = False,
+        completed: bool = False,
     ) -> list[Output]:
-        """Stop following the present attempt, without a word to the target."""
+        """Unregister the current attempt without cancelling it at its target."""
         attempt = call.attempt
         call.attempt = None
         if attempt is None:
             return []
         self.router.ended(attempt.work_id, now_s, failed)
-        return self.quarantine.ended(attempt.work_id, whole)
+        return self.quarantine.ended(attempt.work_id, completed)
 
-    def cancel(self, call: Call, now_s: float) -> list[Output]:
-        """Stop the present attempt at its target.
+    def cancel_attempt(self, call: Call, now_s: float) -> list[Output]:
+        """Cancel the current attempt at its target.
 
-        Work that nobody reads would go on being billed.
+        Abandoned work that kept running would still be billed.
         """
         attempt = call.attempt
         if attempt is None:
             return []
         target = attempt.target
-        outputs = self.leave(call, now_s)
-        if attempt.resumes:
+        outputs = self.untrack_attempt(call, now_s)
+        if attempt.is_resumption:
             outputs.append(DropAttempt(call.request_id, attempt.attempt_id))
         outputs.append(
             CancelAttempt(
@@ -107,75 +109,77 @@
     def refuse(
         self, call: Call, refusal: Refusal, now_s: float
     ) -> list[Output]:
-        """End a call with a refusal that tells the truth about its run."""
+        """End a call with a refusal that states whether it may have run."""
         outputs = self.close(call, now_s)
         if call.caller_gone:
             return outputs
         return [
             *outputs,
-            *refusal_outputs(call.request_id, call.truthful(refusal)),
+            *refusal_outputs(call.request_id, call.with_run_state(refusal)),
         ]
 
     def close(self, call: Call, now_s: float) -> list[Output]:
-        """Forget a call, give its place back and stop what still runs."""
-        outputs = self.cancel(call, now_s)
+        """Remove a call, release its slot and cancel its current attempt."""
+        outputs = self.cancel_attempt(call, now_s)
         if self.calls.pop(call.request_id, None) is None:
             return outputs
-        served = len(call.tokens)
-        if call.unproven or served:
+        output_tokens = len(call.tokens)
+        if call.possibly_run or output_tokens:
             self.admitter.finish(
-                call.request_id, call.need.prompt_tokens, served, now_s
+                call.request_id, call.need.prompt_tokens, output_tokens, now_s
             )
         else:
             self.admitter.withdraw(call.request_id, now_s)
-        if served:
-            outputs.append(delivered_call(call, call.need.prompt_tokens))
+        if output_tokens:
+            outputs.append(delivery_notice(call, call.need.prompt_tokens))
         return outputs
 
     def finish(
         self, call: Call, prompt_tokens: int, now_s: float
     ) -> list[Output]:
-        """Forget a call that has its whole answer."""
-        outputs = self.leave(call, now_s, whole=True)
+        """Remove a call that has received its complete answer."""
+        outputs = self.untrack_attempt(call, now_s, completed=True)
         self.calls.pop(call.request_id, None)
-        served = len(call.tokens)
-        self.admitter.finish(call.request_id, prompt_tokens, served, now_s)
+        output_tokens = len(call.tokens)
+        self.admitter.finish(
+            call.request_id, prompt_tokens, output_tokens, now_s
+        )
         return [
             *outputs,
-            delivered_call(call, prompt_tokens),
+            delivery_notice(call, prompt_tokens),
             CountMetric('request.finished', label=call.need.service),
             ObserveLatency('request.total', now_s - call.arrived_s),
             WriteLog(
                 'request.finished',
                 call.request_id,
-                f'{served} tokens in {call.placements} placements',
+                f'{output_tokens} tokens in {call.placements} placements',
             ),
         ]
 
     def stall(
         self, call: Call, pause_s: float, cause: str, now_s: float
     ) -> list[Output]:
-        """Let a begun answer wait for a target."""
+        """Pause a call with a partial answer until a target is available."""
         log = WriteLog('request.waiting', call.request_id, cause=cause)
         outputs: list[Output] = [] if call.phase is Phase.STALLED else [log]
         call.phase = Phase.STALLED
-        if call.stalled_s is None:
-            call.stalled_s = now_s
-        pause_s = max(pause_s, self.settings.stall_pause_s)
+        if call.stalled_since_s is None:
+            call.stalled_since_s = now_s
+        pause_s = max(pause_s, self.settings.stall_retry_interval_s)
         call.retry_at_s = min(
-            now_s + pause_s, call.stalled_s + self.settings.stall_limit_s
+            now_s + pause_s, call.stalled_since_s + self.settings.max_stall_s
         )
         return outputs
 
-    def stalled_for_good(self, call: Call, now_s: float) -> bool:
-        """Whether a waiting answer has waited for as long as it may."""
-        if call.stalled_s is None:
+    def has_stall_expired(self, call: Call, now_s: float) -> bool:
+        """Whether a stalled call has waited for `max_stall_s`."""
+        if call.stalled_since_s is None:
             return False
-        return now_s >= call.stalled_s + self.settings.stall_limit_s
+        return now_s >= call.stalled_since_s + self.settings.max_stall_s
 
 
-def delivered_call(call: Call, prompt_tokens: int) -> CallDelivered:
-    """Tell usage of a call's end, once for each call."""
+def delivery_notice(call: Call, prompt_tokens: int) -> CallDelivered:
+    """Create the usage notice for the end of a call, sent once per call."""
     if not isinstance(call.event, ModelCalled):
         prompt_tokens = 0
     return CallDelivered(
@@ -188,7 +192,7 @@
 
 
 def refusal_outputs(request_id: RequestId, refusal: Refusal) -> list[Output]:
-    """Refuse a call, and say why."""
+    """Return the outputs that refuse a call and log the reason."""
     kind = refusal.kind.value
     detail = f'{refusal.detail} (run: {refusal.run.value})'
     return [
@@ -198,6 +202,6 @@
     ]
 
 
-def stray(cause: str) -> CountMetric:
-    """Count an answer that belongs to no attempt in progress."""
+def stray_answer_metric(cause: str) -> CountMetric:
+    """Return the metric for an answer that matches no current attempt."""
     return CountMetric('request.stray_answers', label=cause)
--- a/packages/core/dandelionyoke_core/_intake.py
+++ b/packages/core/dandelionyoke_core/_intake.py
@@ -1,4 +1,4 @@
-"""What a call needs before it is offered to admission."""
+"""Validation of new calls before they are offered to admission."""
 
 import hashlib
 
@@ -6,8 +6,8 @@
 
 from dandelionyoke_core._call import Call
 from dandelionyoke_core._call_refusals import (
-    key_required,
-    too_long,
+    context_exceeded,
+    idempotency_key_required,
     unknown_model,
     unknown_service,
 )
@@ -27,11 +27,11 @@
 from dandelionyoke_core._tokens import prefix_blocks, split_tokens
 from dandelionyoke_core._unrepeatable import is_unrepeatable
 
-Intent = tuple[Call, Ticket]
+PreparedCall = tuple[Call, Ticket]
 
 
 class Intake:
-    """Checks a new call and says what it needs."""
+    """Authenticate and validate new calls and derive their requirements."""
 
     def __init__(
         self,
@@ -45,33 +45,35 @@
         self._authenticator = authenticator
         self._quarantine = quarantine
 
-    def take(
+    def prepare(
         self, event: ModelCalled | ServiceCalled, now_s: float
-    ) -> Intent | Refusal:
-        """Turn an arriving call into one to be offered, or refuse it."""
+    ) -> PreparedCall | Refusal:
+        """Prepare a new call for admission, or refuse it."""
         identity = self._authenticator.authenticate(event.bearer_key, now_s)
         if isinstance(identity, Refusal):
             return identity
-        # Targets and logs must never see the key, so it ends here.
+        # The key must not reach targets or logs, so it is removed here.
         event = attrs.evolve(event, bearer_key='')
         if isinstance(event, ModelCalled):
-            return self._model_call(event, identity, now_s)
-        return self._service_call(event, identity, now_s)
+            return self._prepare_model_call(event, identity, now_s)
+        return self._prepare_service_call(event, identity, now_s)
 
-    def _model_call(
+    def _prepare_model_call(
         self, event: ModelCalled, identity: Identity, now_s: float
-    ) -> Intent | Refusal:
+    ) -> PreparedCall | Refusal:
         model = self._directory.snapshot.models.get(event.model_name)
         if model is None:
             return unknown_model(event.model_name)
         organisation_id = identity.organisation.organisation_id
-        print_of = fingerprint(organisation_id, event.model_name, event.prompt)
-        refusal = self._quarantine.refusal(print_of, now_s)
+        request_fingerprint = fingerprint(
+            organisation_id, event.model_name, event.prompt
+        )
+        refusal = self._quarantine.refusal(request_fingerprint, now_s)
         if refusal is not None and refusal.retry_after_s is None:
             return refusal
         tokens = split_tokens(event.prompt)
         if len(tokens) + event.max_output_tokens > model.context_tokens:
-            return too_long(len(tokens), event.max_output_tokens, model)
+            return context_exceeded(len(tokens), event.max_output_tokens, model)
         deadline_s = self._deadline_s(event, now_s)
         need = RouteNeed(
             organisation_id,
@@ -83,18 +85,20 @@
             steady=len(tokens) >= self._settings.steady_prompt_tokens,
             deadline_s=deadline_s,
         )
-        call = Call(event, identity, need, now_s, deadline_s, print_of)
+        call = Call(
+            event, identity, need, now_s, deadline_s, request_fingerprint
+        )
         return call, _ticket(call)
 
-    def _service_call(
+    def _prepare_service_call(
         self, event: ServiceCalled, identity: Identity, now_s: float
-    ) -> Intent | Refusal:
+    ) -> PreparedCall | Refusal:
         service = self._directory.snapshot.services.get(event.service_name)
         if service is None or service.kind is not ServiceKind.PLAIN:
             return unknown_service(event.service_name)
         unrepeatable = is_unrepeatable(service, event.method, event.path)
         if unrepeatable and not event.idempotency_key:
-            return key_required(event)
+            return idempotency_key_required(event)
         deadline_s = self._deadline_s(event, now_s)
         need = RouteNeed(
             identity.organisation.organisation_id,
@@ -124,10 +128,10 @@
 def fingerprint(
     organisation_id: OrganisationId, model_name: ModelName, prompt: str
 ) -> str:
-    """Name a request by what an engine would be given."""
+    """Hash the input of a model call, to recognise repeated requests."""
     digest = hashlib.sha256()
-    for piece in (organisation_id, model_name, prompt):
-        encoded = piece.encode()
+    for part in (organisation_id, model_name, prompt):
+        encoded = part.encode()
         digest.update(len(encoded).to_bytes(8) + encoded)
     return digest.hexdigest()
 
--- a/packages/core/dandelionyoke_core/_model_calls.py
+++ b/packages/core/dandelionyoke_core/_model_calls.py
@@ -1,4 +1,4 @@
-"""How a model call gets its whole answer, whatever its attempts meet."""
+"""Model calls: streaming, resumption and failover to other engines."""
 
 from dandelionyoke_core._actions import (
     CountMetric,
@@ -10,7 +10,10 @@
     WriteLog,
 )
 from dandelionyoke_core._call import Attempt, Call, Phase
-from dandelionyoke_core._call_desk import CallDesk, stray
+from dandelionyoke_core._call_operations import (
+    CallOperations,
+    stray_answer_metric,
+)
 from dandelionyoke_core._events import (
     AttemptAccepted,
     AttemptEnded,
@@ -26,118 +29,126 @@
 
 
 class ModelCalls:
-    """Follows the streams of model calls."""
+    """Handle the events of model calls and their streams."""
 
-    def __init__(self, desk: CallDesk) -> None:
-        self._desk = desk
-        self._settings = desk.settings
-        self._placement = ModelPlacement(desk)
+    def __init__(self, operations: CallOperations) -> None:
+        self._operations = operations
+        self._settings = operations.settings
+        self._placement = ModelPlacement(operations)
 
-    def begin(self, call: Call, now_s: float) -> list[Output]:
-        """Send an admitted call to its first engine."""
+    def start(self, call: Call, now_s: float) -> list[Output]:
+        """Place an admitted call on its first engine."""
         return self._placement.place(call, now_s)
 
-    def accepted(
+    def on_accepted(
         self, call: Call, event: AttemptAccepted, now_s: float
     ) -> list[Output]:
-        """Note that the engine took the work."""
-        call.heard(now_s)
+        """Record that the engine accepted the work."""
+        call.record_activity(now_s)
         return []
 
-    def answered(self, call: Call, event: Event, now_s: float) -> list[Output]:
-        """Take output, or its end."""
+    def on_answered(
+        self, call: Call, event: Event, now_s: float
+    ) -> list[Output]:
+        """Handle output tokens or the end of the output."""
         match event:
             case TokensArrived():
-                return self._arrived(call, event, now_s)
+                return self._on_tokens(call, event, now_s)
             case AttemptEnded():
-                return self._ended(call, event, now_s)
-        return [stray('kind')]
+                return self._on_end(call, event, now_s)
+        return [stray_answer_metric('kind')]
 
-    def refused(
+    def on_refused(
         self, call: Call, event: AttemptRefused, now_s: float
     ) -> list[Output]:
-        """Go elsewhere; the engine did not run the work."""
+        """Place the call on another engine; this one did not run it."""
         attempt = call.attempt
         if attempt is None:
             return []
         call.avoid.add(attempt.target.target_id)
-        if not attempt.resumes:
-            call.unproven.discard(attempt.work_id)
+        if not attempt.is_resumption:
+            call.possibly_run.discard(attempt.work_id)
         return [
-            *self._desk.leave(call, now_s),
+            *self._operations.untrack_attempt(call, now_s),
             _refused_log(call, attempt, event.cause),
             *self._placement.place(call, now_s),
         ]
 
-    def failed(
+    def on_failed(
         self, call: Call, event: AttemptFailed, now_s: float
     ) -> list[Output]:
-        """Read the work on, or go elsewhere when it is lost."""
+        """Resume the stream, or place the call elsewhere if work is lost."""
         attempt = call.attempt
         if attempt is None:
             return []
-        if attempt.resumes and not (event.sent and attempt.progressed):
-            return self._broke(call, event.cause, now_s)
+        if attempt.is_resumption and not (event.sent and attempt.has_output):
+            return self._on_broken(call, event.cause, now_s)
         if event.sent:
             return self._resume(call, attempt, event.cause, now_s)
-        call.unproven.discard(attempt.work_id)
+        call.possibly_run.discard(attempt.work_id)
         call.avoid.add(attempt.target.target_id)
         return [
-            *self._desk.leave(call, now_s, failed=True),
+            *self._operations.untrack_attempt(call, now_s, failed=True),
             _refused_log(call, attempt, event.cause),
             *self._placement.place(call, now_s),
         ]
 
-    def crashed(self, call: Call, now_s: float) -> list[Output]:
-        """Go elsewhere; the engine lost the work."""
-        return self._broke(call, 'the engine crashed', now_s)
+    def on_crashed(self, call: Call, now_s: float) -> list[Output]:
+        """Place the call on another engine; the work is lost."""
+        return self._on_broken(call, 'the engine crashed', now_s)
 
-    def reclaimed(self, call: Call, now_s: float) -> list[Output]:
-        """Leave an engine that the platform takes away in seconds.
+    def on_reclaimed(self, call: Call, now_s: float) -> list[Output]:
+        """Move the call off an engine that the platform is reclaiming.
 
-        This is no retry of the caller's traffic, and the engine's work ends
-        with it, so it is not paid from the retry budget.
+        The platform removes the engine within seconds and its work ends with
+        it. The move is not a retry, so it does not use the retry budget.
         """
         if call.attempt is None:
             return []
         call.avoid.add(call.attempt.target.target_id)
         return [
-            *self._desk.cancel(call, now_s),
+            *self._operations.cancel_attempt(call, now_s),
             *self._placement.place(call, now_s),
         ]
 
     def give_up(
         self, call: Call, refusal: Refusal, now_s: float
     ) -> list[Output]:
-        """End a call and stop its work."""
-        return self._desk.refuse(call, refusal, now_s)
+        """Refuse a call and cancel its work."""
+        return self._operations.refuse(call, refusal, now_s)
 
     def due_s(self, call: Call) -> float:
-        """Tell when this call has to be looked at."""
+        """Return when the call must be checked next."""
         if call.phase is Phase.STALLED:
             return min(call.deadline_s, call.retry_at_s)
         if call.attempt is None:
             return call.deadline_s
-        quiet_s = call.attempt.heard_s + self._limit_s(call, call.attempt)
-        return min(call.deadline_s, quiet_s)
+        timeout_at_s = call.attempt.last_activity_s + self._silence_timeout_s(
+            call, call.attempt
+        )
+        return min(call.deadline_s, timeout_at_s)
 
-    def woken(self, call: Call, now_s: float) -> list[Output]:
-        """Resume a stream that is silent, or place a waiting answer."""
+    def on_due(self, call: Call, now_s: float) -> list[Output]:
+        """Resume a silent stream, or place a stalled call again."""
         if call.phase is Phase.STALLED:
-            # One that failed may be back, and may be the only one.
+            # A target that failed may be available again, and may be the
+            # only one.
             call.avoid.clear()
-            call.row = 0
+            call.unanswered_placements = 0
             return self._placement.place(call, now_s)
         attempt = call.attempt
         if attempt is None:
             return []
-        if attempt.resumes and not attempt.progressed:
-            outputs = self._desk.quarantine.lost(attempt.work_id, now_s)
+        if attempt.is_resumption and not attempt.has_output:
+            outputs = self._operations.quarantine.lost(attempt.work_id, now_s)
             cause = 'silent after a resume'
-            return [*outputs, *self._placement.elsewhere(call, cause, now_s)]
+            return [
+                *outputs,
+                *self._placement.place_elsewhere(call, cause, now_s),
+            ]
         return self._resume(call, attempt, 'silent', now_s)
 
-    def _arrived(
+    def _on_tokens(
         self, call: Call, event: TokensArrived, now_s: float
     ) -> list[Output]:
         attempt = call.attempt
@@ -146,25 +157,27 @@
         position = len(call.tokens)
         if event.offset > position:
             return self._resume(call, attempt, 'gap', now_s)
-        call.heard(now_s)
-        fresh = event.tokens[position - event.offset :]
-        if not fresh:
+        call.record_activity(now_s)
+        new_tokens = event.tokens[position - event.offset :]
+        if not new_tokens:
             return []
-        attempt.progressed = True
-        call.tokens.extend(fresh)
-        self._desk.router.progressed(attempt.work_id, len(call.tokens), now_s)
+        attempt.has_output = True
+        call.tokens.extend(new_tokens)
+        self._operations.router.progressed(
+            attempt.work_id, len(call.tokens), now_s
+        )
         return [
             *_first_token(call, position, now_s),
-            SendTokens(call.request_id, fresh),
+            SendTokens(call.request_id, new_tokens),
             CallDelivered(
                 call.request_id,
                 call.identity.organisation.organisation_id,
                 call.need.service,
-                output_tokens=len(fresh),
+                output_tokens=len(new_tokens),
             ),
         ]
 
-    def _ended(
+    def _on_end(
         self, call: Call, event: AttemptEnded, now_s: float
     ) -> list[Output]:
         attempt = call.attempt
@@ -174,11 +187,13 @@
         if event.offset > position:
             return self._resume(call, attempt, 'gap at the end', now_s)
         if event.offset < position:
-            # The engine ends before what the caller holds already: this is
-            # another answer, and no end of this one.
+            # The end lies before the tokens that the caller already has, so
+            # it belongs to a different answer.
             return [
-                stray('end'),
-                *self._placement.elsewhere(call, 'crossed end', now_s),
+                stray_answer_metric('end'),
+                *self._placement.place_elsewhere(
+                    call, 'end of another answer', now_s
+                ),
             ]
         return [
             FinishCall(
@@ -187,34 +202,34 @@
                 event.prompt_tokens,
                 event.offset,
             ),
-            *self._desk.finish(call, event.prompt_tokens, now_s),
+            *self._operations.finish(call, event.prompt_tokens, now_s),
         ]
 
-    def _limit_s(self, call: Call, attempt: Attempt) -> float:
-        """Tell how long the present stream may be silent.
+    def _silence_timeout_s(self, call: Call, attempt: Attempt) -> float:
+        """Return how long the current stream may be silent.
 
-        A resume costs an engine nothing, so the first silence is judged
-        early. To go elsewhere costs the work that was done, and an engine
-        with a full queue is silent too; so a resumed stream is only given
-        up early where the engine would have answered.
+        A resume costs an engine nothing, so the first timeout is short.
+        Moving to another engine loses the work done so far, and an engine
+        with a full queue is silent as well. A resumed stream therefore has a
+        short timeout only if the engine would have responded by then.
         """
-        if not attempt.resumes:
-            return self._settings.silence_limit_s
-        if attempt.answers_at_once and not attempt.accepted:
-            return self._settings.accept_limit_s
+        if not attempt.is_resumption:
+            return self._settings.silence_timeout_s
+        if attempt.accepts_early and not attempt.accepted:
+            return self._settings.accept_timeout_s
         if call.tokens:
-            return self._settings.silence_limit_s
-        return self._settings.first_token_limit_s
+            return self._settings.silence_timeout_s
+        return self._settings.first_token_timeout_s
 
     def _resume(
         self, call: Call, attempt: Attempt, cause: str, now_s: float
     ) -> list[Output]:
-        # Something between the two ends may have lost track of the
-        # connection while the engine still works: a new connection gets
-        # the rest at once, and nothing runs twice.
+        # A network device may have dropped the connection while the engine
+        # still works. A new connection gets the rest of the output at once,
+        # and nothing runs twice.
         if call.attempts >= self._settings.max_resumes:
-            return self._placement.elsewhere(call, cause, now_s)
-        stream = call.reread(attempt, now_s)
+            return self._placement.place_elsewhere(call, cause, now_s)
+        stream = call.resume_attempt(attempt, now_s)
         target = attempt.target
         return [
             CountMetric('request.resumed'),
@@ -236,12 +251,12 @@
             ),
         ]
 
-    def _broke(self, call: Call, cause: str, now_s: float) -> list[Output]:
+    def _on_broken(self, call: Call, cause: str, now_s: float) -> list[Output]:
         attempt = call.attempt
         if attempt is None:
             return []
-        outputs = self._desk.quarantine.broke(attempt.work_id, now_s)
-        return [*outputs, *self._placement.elsewhere(call, cause, now_s)]
+        outputs = self._operations.quarantine.broke(attempt.work_id, now_s)
+        return [*outputs, *self._placement.place_elsewhere(call, cause, now_s)]
 
 
 def _first_token(call: Call, position: int, now_s: float) -> list[Output]:
@@ -251,10 +266,10 @@
 
 
 def _refused_log(call: Call, attempt: Attempt, cause: str) -> WriteLog:
-    did = 'does not resume' if attempt.resumes else 'did not run'
+    outcome = 'does not resume' if attempt.is_resumption else 'did not run'
     return WriteLog(
         'request.routed',
         call.request_id,
-        f'{attempt.target.target_id} {did} {attempt.attempt_id}',
+        f'{attempt.target.target_id} {outcome} {attempt.attempt_id}',
         cause,
     )
--- a/packages/core/dandelionyoke_core/_model_placement.py
+++ b/packages/core/dandelionyoke_core/_model_placement.py
@@ -1,12 +1,12 @@
-"""Where a model call goes, and what happens when it can go nowhere."""
+"""Placement of model calls on engines, with retries and waiting."""
 
 from dandelionyoke_core._actions import CountMetric, StartAttempt, WriteLog
 from dandelionyoke_core._call import Call
-from dandelionyoke_core._call_desk import CallDesk
+from dandelionyoke_core._call_operations import CallOperations
 from dandelionyoke_core._call_refusals import (
+    attempts_exhausted,
     no_target,
-    over_budget,
-    worn_out,
+    retry_budget_exhausted,
 )
 from dandelionyoke_core._events import ModelCalled
 from dandelionyoke_core._ports import NoRoute, Output
@@ -15,53 +15,57 @@
 
 
 class ModelPlacement:
-    """Places model calls on engines, again and again if need be."""
+    """Place model calls on engines, repeatedly if necessary."""
 
-    def __init__(self, desk: CallDesk) -> None:
-        self._desk = desk
-        self._settings = desk.settings
+    def __init__(self, operations: CallOperations) -> None:
+        self._operations = operations
+        self._settings = operations.settings
 
-    def elsewhere(self, call: Call, cause: str, now_s: float) -> list[Output]:
-        """Leave the present engine and place the call on another."""
+    def place_elsewhere(
+        self, call: Call, cause: str, now_s: float
+    ) -> list[Output]:
+        """Cancel the current attempt and place the call on another engine."""
         outputs: list[Output] = []
         if call.attempt is not None:
             call.avoid.add(call.attempt.target.target_id)
-            outputs += self._desk.cancel(call, now_s)
-        call.owes_retry = True
+            outputs += self._operations.cancel_attempt(call, now_s)
+        call.needs_retry_budget = True
         log = WriteLog('request.routed', call.request_id, 'elsewhere', cause)
         return [*outputs, log, *self.place(call, now_s)]
 
     def place(self, call: Call, now_s: float) -> list[Output]:
-        """Place the call, or let it wait, or give it up."""
-        refusal = self._desk.quarantine.refusal(call.fingerprint, now_s)
+        """Place the call, stall it, or refuse it."""
+        refusal = self._operations.quarantine.refusal(call.fingerprint, now_s)
         if refusal is not None and refusal.retry_after_s is None:
-            return self._desk.refuse(call, refusal, now_s)
+            return self._operations.refuse(call, refusal, now_s)
         if refusal is not None:
-            return self._hold(call, now_s)
-        if len(call.unproven) >= self._settings.max_attempts:
-            return self._desk.refuse(call, self._worn_out(call, now_s), now_s)
-        if call.row >= self._settings.max_attempts:
-            refusal = self._worn_out(call, now_s)
+            return self._wait_for_suspects(call, now_s)
+        if len(call.possibly_run) >= self._settings.max_attempts:
+            return self._operations.refuse(
+                call, self._attempts_exhausted(call, now_s), now_s
+            )
+        if call.unanswered_placements >= self._settings.max_attempts:
+            refusal = self._attempts_exhausted(call, now_s)
             return self._wait_or_refuse(call, refusal, now_s)
-        choice = self._desk.choose(call, now_s)
-        if isinstance(choice, NoRoute):
-            if self._desk.quarantine.crowded(call.fingerprint, now_s):
-                return self._hold(call, now_s)
-            return self._wait_or_refuse(call, no_target(choice), now_s)
-        if call.owes_retry and not self._desk.budget.spend(now_s):
-            refusal = over_budget(self._come_back_s(call, now_s))
+        route = self._operations.choose_target(call, now_s)
+        if isinstance(route, NoRoute):
+            if self._operations.quarantine.crowded(call.fingerprint, now_s):
+                return self._wait_for_suspects(call, now_s)
+            return self._wait_or_refuse(call, no_target(route), now_s)
+        if call.needs_retry_budget and not self._operations.budget.spend(now_s):
+            refusal = retry_budget_exhausted(self._retry_after_s(call, now_s))
             return self._wait_or_refuse(call, refusal, now_s)
         outputs: list[Output] = []
-        if call.owes_retry:
+        if call.needs_retry_budget:
             outputs.append(CountMetric('request.retried'))
-        call.owes_retry = False
-        return [*outputs, *self._start(call, choice, now_s)]
+        call.needs_retry_budget = False
+        return [*outputs, *self._start(call, route, now_s)]
 
     def _start(self, call: Call, target: Target, now_s: float) -> list[Output]:
         event = call.event
         if not isinstance(event, ModelCalled):
             return []
-        attempt = call.place(target, now_s)
+        attempt = call.start_attempt(target, now_s)
         return [
             StartAttempt(
                 call.request_id,
@@ -74,33 +78,40 @@
                 event.max_output_tokens,
                 call.identity.organisation.priority,
             ),
-            *self._desk.began(call, attempt, now_s),
+            *self._operations.track_attempt(call, attempt, now_s),
         ]
 
     def _wait_or_refuse(
         self, call: Call, refusal: Refusal, now_s: float
     ) -> list[Output]:
-        # A caller whose answer was begun is better off waiting for the rest
-        # than being told to start over, and of a call that nothing was done
-        # for it is better off knowing at once.
-        if not call.tokens and not call.unproven:
-            return self._desk.refuse(call, refusal, now_s)
-        return self._wait(call, refusal, now_s)
+        # A caller with a partial answer is better served by waiting for the
+        # rest than by starting over. If no work was done yet, an immediate
+        # refusal is better.
+        if not call.tokens and not call.possibly_run:
+            return self._operations.refuse(call, refusal, now_s)
+        return self._wait_for_target(call, refusal, now_s)
 
-    def _hold(self, call: Call, now_s: float) -> list[Output]:
-        # It waits for other suspects of a crash, one of which caused it.
-        # It may well be innocent, so nothing but its deadline ends this.
-        call.stalled_s = None
-        return self._desk.stall(call, 0, 'other suspects of a crash', now_s)
+    def _wait_for_suspects(self, call: Call, now_s: float) -> list[Output]:
+        # The call waits for the trials of other suspects of the same crash,
+        # one of which caused it. This call may not be the cause, so only its
+        # deadline ends the wait.
+        call.stalled_since_s = None
+        return self._operations.stall(
+            call, 0, 'other suspects of a crash', now_s
+        )
 
-    def _wait(self, call: Call, refusal: Refusal, now_s: float) -> list[Output]:
-        if self._desk.stalled_for_good(call, now_s):
-            return self._desk.refuse(call, refusal, now_s)
+    def _wait_for_target(
+        self, call: Call, refusal: Refusal, now_s: float
+    ) -> list[Output]:
+        if self._operations.has_stall_expired(call, now_s):
+            return self._operations.refuse(call, refusal, now_s)
         pause_s = refusal.retry_after_s or 0
-        return self._desk.stall(call, pause_s, refusal.detail, now_s)
+        return self._operations.stall(call, pause_s, refusal.detail, now_s)
 
-    def _come_back_s(self, call: Call, now_s: float) -> float:
-        return self._desk.admitter.come_back_s(call.need.service, now_s)
+    def _retry_after_s(self, call: Call, now_s: float) -> float:
+        return self._operations.admitter.come_back_s(call.need.service, now_s)
 
-    def _worn_out(self, call: Call, now_s: float) -> Refusal:
-        return worn_out(call.placements, self._come_back_s(call, now_s))
+    def _attempts_exhausted(self, call: Call, now_s: float) -> Refusal:
+        return attempts_exhausted(
+            call.placements, self._retry_after_s(call, now_s)
+        )
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -1,4 +1,4 @@
-"""Every call from its arrival to its whole answer or truthful refusal."""
+"""Life cycle of calls, from arrival to a complete answer or a refusal."""
 
 from collections.abc import Callable
 from random import Random
@@ -6,12 +6,17 @@
 
 from dandelionyoke_core._actions import WriteLog
 from dandelionyoke_core._call import Call, Phase
-from dandelionyoke_core._call_desk import CallDesk, refusal_outputs, stray
+from dandelionyoke_core._call_handlers import CallHandlers
+from dandelionyoke_core._call_operations import (
+    CallOperations,
+    refusal_outputs,
+    stray_answer_metric,
+)
 from dandelionyoke_core._call_refusals import (
-    caller_left,
-    cut_short,
-    key_withdrawn,
-    too_many_calls,
+    call_table_full,
+    caller_disconnected,
+    forced_shutdown,
+    key_revoked,
 )
 from dandelionyoke_core._events import (
     AttemptAccepted,
@@ -27,7 +32,6 @@
     TokensArrived,
     Woken,
 )
-from dandelionyoke_core._flows import Flows
 from dandelionyoke_core._intake import Intake
 from dandelionyoke_core._notices import (
     CallAdmitted,
@@ -66,7 +70,7 @@
 
 
 class RequestPart:
-    """Decides on every call that a caller makes at this node."""
+    """Handle all calls that callers send to this node."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         ModelCalled,
@@ -99,7 +103,7 @@
         self._settings = settings
         self._intake = Intake(settings, directory, authenticator, quarantine)
         self._random = random
-        self._desk = CallDesk(
+        self._operations = CallOperations(
             settings,
             admitter,
             router,
@@ -111,27 +115,27 @@
                 settings.retry_refill_per_s,
             ),
         )
-        self._flows = Flows(self._desk)
-        self._handlers = self._table()
+        self._call_handlers = CallHandlers(self._operations)
+        self._event_handlers = self._build_event_handlers()
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
-        outputs: list[Output] = self._handlers[type(event)](event, now_s)
+        """Handle an event and return the resulting outputs."""
+        outputs: list[Output] = self._event_handlers[type(event)](event, now_s)
         request_id = getattr(event, 'request_id', None)
         if request_id is not None:
-            self._flows.watch(request_id)
+            self._call_handlers.schedule(request_id)
         return outputs
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when a silent stream or a deadline has to be looked at."""
-        return self._flows.next_wakeup_s()
+        """Return when the next silent stream or deadline is due."""
+        return self._call_handlers.next_wakeup_s()
 
     @property
     def in_progress(self) -> int:
-        """How many calls are not finished."""
-        return len(self._desk.calls)
+        """Number of calls that are not finished."""
+        return len(self._operations.calls)
 
-    def _table(
+    def _build_event_handlers(
         self,
     ) -> dict[type[Event], Callable[[Any, float], list[Output]]]:
         return {
@@ -151,28 +155,28 @@
             **dict.fromkeys(_ATTEMPT_EVENTS, self._attempt_event),
         }
 
-    # Callers.
+    # Events from callers and admission.
 
     def _called(
         self, event: ModelCalled | ServiceCalled, now_s: float
     ) -> list[Output]:
         request_id = event.request_id
-        if len(self._desk.calls) >= self._settings.max_calls:
-            return refusal_outputs(request_id, too_many_calls())
-        taken = self._intake.take(event, now_s)
-        if isinstance(taken, Refusal):
-            return refusal_outputs(request_id, taken)
-        call, ticket = taken
-        place = self._desk.admitter.offer(ticket, now_s)
-        if isinstance(place, Refusal):
-            return refusal_outputs(request_id, place)
-        self._desk.calls[request_id] = call
-        self._desk.budget.earn(now_s)
-        if isinstance(place, Queued):
+        if len(self._operations.calls) >= self._settings.max_calls:
+            return refusal_outputs(request_id, call_table_full())
+        prepared = self._intake.prepare(event, now_s)
+        if isinstance(prepared, Refusal):
+            return refusal_outputs(request_id, prepared)
+        call, ticket = prepared
+        decision = self._operations.admitter.offer(ticket, now_s)
+        if isinstance(decision, Refusal):
+            return refusal_outputs(request_id, decision)
+        self._operations.calls[request_id] = call
+        self._operations.budget.earn(now_s)
+        if isinstance(decision, Queued):
             return [WriteLog('request.queued', request_id)]
-        return self._begin(call, now_s)
+        return self._start(call, now_s)
 
-    def _begin(self, call: Call, now_s: float) -> list[Output]:
+    def _start(self, call: Call, now_s: float) -> list[Output]:
         organisation = call.identity.organisation
         log = WriteLog(
             'request.admitted',
@@ -181,83 +185,90 @@
             f'{call.need.prompt_tokens} prompt tokens, '
             f'waited {now_s - call.arrived_s:.3f} s',
         )
-        return [log, *self._flows.of(call).begin(call, now_s)]
+        return [log, *self._call_handlers.handler_for(call).start(call, now_s)]
 
     def _caller_gone(self, event: CallerGone, now_s: float) -> list[Output]:
-        call = self._desk.calls.get(event.request_id)
+        call = self._operations.calls.get(event.request_id)
         if call is None:
             return []
         log = WriteLog(
             'request.finished',
             call.request_id,
-            f'the caller left after {len(call.tokens)} tokens',
+            f'the caller disconnected after {len(call.tokens)} tokens',
             'caller_gone',
         )
         call.caller_gone = True
-        return [log, *self._flows.of(call).give_up(call, caller_left(), now_s)]
+        return [
+            log,
+            *self._call_handlers.handler_for(call).give_up(
+                call, caller_disconnected(), now_s
+            ),
+        ]
 
     def _admitted(self, event: CallAdmitted, now_s: float) -> list[Output]:
-        call = self._desk.calls.get(event.request_id)
+        call = self._operations.calls.get(event.request_id)
         if call is None or call.phase is not Phase.QUEUED:
             return []
-        return self._begin(call, now_s)
+        return self._start(call, now_s)
 
     def _rejected(self, event: CallRejected, now_s: float) -> list[Output]:
-        call = self._desk.calls.get(event.request_id)
+        call = self._operations.calls.get(event.request_id)
         if call is None or call.phase is not Phase.QUEUED:
             return []
-        return self._desk.refuse(call, event.refusal, now_s)
+        return self._operations.refuse(call, event.refusal, now_s)
 
-    # Claims.
+    # Events of claims.
 
     def _claim_granted(self, event: ClaimGranted, now_s: float) -> list[Output]:
-        call = self._desk.calls.get(event.request_id)
+        call = self._operations.calls.get(event.request_id)
         if call is None or call.phase is not Phase.CLAIMING:
-            # The call ended while its claim was on the way; nothing was
-            # sent. A claim left behind would answer every repeat with "in
-            # progress" and then with doubt, though nothing ever ran.
-            return self._desk.claimer.reopen(event.request_id, now_s)
-        return self._flows.services.granted(call, now_s)
+            # The call ended before its claim was granted, so nothing was
+            # sent. If the claim stayed, every repeat would be refused as "in
+            # progress" and later as in doubt, although nothing ever ran.
+            return self._operations.claimer.reopen(event.request_id, now_s)
+        return self._call_handlers.services.on_claim_granted(call, now_s)
 
     def _claim_ended(
         self, event: ClaimAnswered | ClaimRefused, now_s: float
     ) -> list[Output]:
-        call = self._desk.calls.get(event.request_id)
+        call = self._operations.calls.get(event.request_id)
         if call is None or call.phase is not Phase.CLAIMING:
             return []
         if isinstance(event, ClaimAnswered):
-            return self._flows.services.answered_before(call, event, now_s)
-        return self._flows.services.claim_refused(call, event, now_s)
+            return self._call_handlers.services.on_claim_answered(
+                call, event, now_s
+            )
+        return self._call_handlers.services.on_claim_refused(call, event, now_s)
 
-    # Attempts.
+    # Events of attempts.
 
     def _attempt_event(self, event: Any, now_s: float) -> list[Output]:
-        call = self._desk.calls.get(event.request_id)
+        call = self._operations.calls.get(event.request_id)
         if call is None:
-            return [stray('request')]
+            return [stray_answer_metric('request')]
         if call.attempt is None or call.attempt.attempt_id != event.attempt_id:
-            return [stray('attempt')]
-        flow = self._flows.of(call)
+            return [stray_answer_metric('attempt')]
+        handler = self._call_handlers.handler_for(call)
         match event:
             case AttemptAccepted():
-                return flow.accepted(call, event, now_s)
+                return handler.on_accepted(call, event, now_s)
             case AttemptRefused():
-                return flow.refused(call, event, now_s)
+                return handler.on_refused(call, event, now_s)
             case AttemptFailed():
-                return flow.failed(call, event, now_s)
-        return flow.answered(call, event, now_s)
+                return handler.on_failed(call, event, now_s)
+        return handler.on_answered(call, event, now_s)
 
     def _woken(self, event: Woken, now_s: float) -> list[Output]:
-        return self._flows.woken(now_s)
+        return self._call_handlers.handle_due(now_s)
 
-    # What ends or moves many calls at once.
+    # Events that end or move several calls at once.
 
     def _key_withdrawn(self, event: KeyWithdrawn, now_s: float) -> list[Output]:
         outputs: list[Output] = []
-        for call in tuple(self._desk.calls.values()):
+        for call in tuple(self._operations.calls.values()):
             if call.identity.key_hash == event.key_hash:
-                outputs += self._flows.of(call).give_up(
-                    call, key_withdrawn(), now_s
+                outputs += self._call_handlers.handler_for(call).give_up(
+                    call, key_revoked(), now_s
                 )
         return outputs
 
@@ -266,20 +277,24 @@
     ) -> list[Output]:
         return [
             output
-            for call in tuple(self._desk.calls.values())
-            for output in self._flows.of(call).give_up(call, cut_short(), now_s)
+            for call in tuple(self._operations.calls.values())
+            for output in self._call_handlers.handler_for(call).give_up(
+                call, forced_shutdown(), now_s
+            )
         ]
 
     def _target_crashed(
         self, event: TargetCrashed, now_s: float
     ) -> list[Output]:
-        lost = frozenset(event.attempt_ids)
+        lost_ids = frozenset(event.attempt_ids)
         outputs: list[Output] = []
-        for call in tuple(self._desk.calls.values()):
+        for call in tuple(self._operations.calls.values()):
             attempt = call.attempt
-            if attempt is not None and attempt.work_id in lost:
-                outputs += self._flows.of(call).crashed(call, now_s)
-                self._flows.watch(call.request_id)
+            if attempt is not None and attempt.work_id in lost_ids:
+                outputs += self._call_handlers.handler_for(call).on_crashed(
+                    call, now_s
+                )
+                self._call_handlers.schedule(call.request_id)
         return outputs
 
     def _target_leaving(
@@ -288,9 +303,11 @@
         if event.cause != RECLAIMED:
             return []
         outputs: list[Output] = []
-        for call in tuple(self._desk.calls.values()):
+        for call in tuple(self._operations.calls.values()):
             attempt = call.attempt
             if attempt and attempt.target.target_id == event.target_id:
-                outputs += self._flows.of(call).reclaimed(call, now_s)
-                self._flows.watch(call.request_id)
+                outputs += self._call_handlers.handler_for(call).on_reclaimed(
+                    call, now_s
+                )
+                self._call_handlers.schedule(call.request_id)
         return outputs
--- a/packages/core/dandelionyoke_core/_request_settings.py
+++ b/packages/core/dandelionyoke_core/_request_settings.py
@@ -1,26 +1,26 @@
-"""Limits of the requests of one node."""
+"""Timeouts and limits for the calls of one node."""
 
 import attrs
 
 
 @attrs.frozen
 class RequestSettings:
-    """How long, how often and how much a call may be tried.
+    """Timeouts, attempt limits and the retry budget.
 
-    A stream that is silent for `silence_limit_s` is resumed, at any point of
-    its answer. One that was resumed may stay silent for `accept_limit_s`
-    until the engine answers, if it had answered before, and then for
-    `first_token_limit_s` before its first token. A begun answer waits for a
-    target for `stall_limit_s`. Retries draw on a budget that earns
-    `retry_share` for each call and `retry_refill_per_s` for each second, and
-    holds `retry_reserve` at most.
+    A stream is resumed after `silence_timeout_s` without data, at any point
+    of its answer. After a resume the engine has `accept_timeout_s` to accept
+    the stream, if it accepted the call before, and then
+    `first_token_timeout_s` until the first token. A call with a partial
+    answer waits for a target for at most `max_stall_s`. The retry budget
+    grows by `retry_share` per call and `retry_refill_per_s` per second, up to
+    `retry_reserve`.
     """
 
-    first_token_limit_s: float = 30.0
-    silence_limit_s: float = 5.0
-    accept_limit_s: float = 2.0
-    stall_limit_s: float = 30.0
-    stall_pause_s: float = 0.5
+    first_token_timeout_s: float = 30.0
+    silence_timeout_s: float = 5.0
+    accept_timeout_s: float = 2.0
+    max_stall_s: float = 30.0
+    stall_retry_interval_s: float = 0.5
     default_deadline_s: float = 900.0
     service_timeout_s: float = 30.0
     service_grace_s: float = 2.0
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -1,4 +1,4 @@
-"""How a call of a plain service gets its answer, at most once if it must."""
+"""Calls of plain services, run at most once if they are unrepeatable."""
 
 from dandelionyoke_core._actions import (
     AnswerService,
@@ -7,11 +7,15 @@
     WriteLog,
 )
 from dandelionyoke_core._call import Call, Phase
-from dandelionyoke_core._call_desk import CallDesk, refusal_outputs, stray
+from dandelionyoke_core._call_operations import (
+    CallOperations,
+    refusal_outputs,
+    stray_answer_metric,
+)
 from dandelionyoke_core._call_refusals import (
-    end_unknown,
+    attempts_exhausted,
     no_target,
-    worn_out,
+    outcome_unknown,
 )
 from dandelionyoke_core._events import (
     AttemptAccepted,
@@ -31,33 +35,33 @@
 
 
 class ServiceCalls:
-    """Sends calls to plain services."""
+    """Handle the events of calls of plain services."""
 
-    def __init__(self, desk: CallDesk) -> None:
-        self._desk = desk
-        self._settings = desk.settings
+    def __init__(self, operations: CallOperations) -> None:
+        self._operations = operations
+        self._settings = operations.settings
 
-    def begin(self, call: Call, now_s: float) -> list[Output]:
-        """Send an admitted call, or claim it first."""
+    def start(self, call: Call, now_s: float) -> list[Output]:
+        """Send an admitted call; an unrepeatable call is claimed first."""
         event = call.event
         if not call.unrepeatable or not isinstance(event, ServiceCalled):
             return self._place(call, now_s)
         call.phase = Phase.CLAIMING
         organisation_id = call.identity.organisation.organisation_id
-        return self._desk.claimer.claim(event, organisation_id, now_s)
+        return self._operations.claimer.claim(event, organisation_id, now_s)
 
-    def granted(self, call: Call, now_s: float) -> list[Output]:
-        """Send a call that this node alone may send."""
+    def on_claim_granted(self, call: Call, now_s: float) -> list[Output]:
+        """Send a call after its claim was granted to this node."""
         call.claimed = True
         if call.caller_gone:
             return self.abandon(call, now_s)
         return self._place(call, now_s)
 
-    def answered_before(
+    def on_claim_answered(
         self, call: Call, event: ClaimAnswered, now_s: float
     ) -> list[Output]:
-        """Give the recorded answer; nothing runs."""
-        outputs = self._desk.close(call, now_s)
+        """Return the recorded answer without sending the call."""
+        outputs = self._operations.close(call, now_s)
         if call.caller_gone:
             return outputs
         return [
@@ -72,15 +76,16 @@
             ),
         ]
 
-    def claim_refused(
+    def on_claim_refused(
         self, call: Call, event: ClaimRefused, now_s: float
     ) -> list[Output]:
-        """Pass the claimer's refusal on as it is.
+        """Return the refusal of the claimer unchanged.
 
-        It speaks of the run under the key, which may be another request's,
-        so that this request's own record must not overwrite it.
+        Its run state describes the run under the idempotency key, possibly by
+        another request. It must not be replaced by the run state of this
+        request.
         """
-        outputs = self._desk.close(call, now_s)
+        outputs = self._operations.close(call, now_s)
         if call.caller_gone:
             return outputs
         return [
@@ -88,16 +93,18 @@
             *refusal_outputs(call.request_id, event.refusal),
         ]
 
-    def accepted(
+    def on_accepted(
         self, call: Call, event: AttemptAccepted, now_s: float
     ) -> list[Output]:
-        """Note that the service took the call."""
+        """Ignore the acceptance; it changes nothing for a plain service."""
         return []
 
-    def answered(self, call: Call, event: Event, now_s: float) -> list[Output]:
-        """Give the caller its answer at once, and record it."""
+    def on_answered(
+        self, call: Call, event: Event, now_s: float
+    ) -> list[Output]:
+        """Send the answer to the caller and settle the claim."""
         if not isinstance(event, ServiceAnswered):
-            return [stray('kind')]
+            return [stray_answer_metric('kind')]
         outputs: list[Output] = []
         if not call.caller_gone:
             outputs.append(
@@ -110,99 +117,102 @@
             )
         if call.claimed:
             call.claimed = False
-            outputs += self._desk.claimer.settle(
+            outputs += self._operations.claimer.settle(
                 call.request_id,
                 event.status,
                 event.content_type,
                 event.body,
                 now_s,
             )
-        outputs += self._desk.finish(call, call.need.prompt_tokens, now_s)
+        outputs += self._operations.finish(call, call.need.prompt_tokens, now_s)
         return outputs
 
-    def refused(
+    def on_refused(
         self, call: Call, event: AttemptRefused, now_s: float
     ) -> list[Output]:
-        """Go elsewhere; the target did not run the call."""
-        return self._not_run(call, event.cause, now_s)
+        """Send the call to another target; this one did not run it."""
+        return self._on_not_run(call, event.cause, now_s)
 
-    def failed(
+    def on_failed(
         self, call: Call, event: AttemptFailed, now_s: float
     ) -> list[Output]:
-        """Go elsewhere if the call surely did not run or may run again."""
+        """Retry if the call certainly did not run or may be repeated."""
         if not event.sent:
-            return self._not_run(call, event.cause, now_s)
-        return self._broke(call, event.cause, now_s)
+            return self._on_not_run(call, event.cause, now_s)
+        return self._on_broken(call, event.cause, now_s)
 
-    def crashed(self, call: Call, now_s: float) -> list[Output]:
-        """The target is gone with the call in progress."""
-        return self._broke(call, 'the target crashed', now_s)
+    def on_crashed(self, call: Call, now_s: float) -> list[Output]:
+        """Handle the crash of the target with the call in progress."""
+        return self._on_broken(call, 'the target crashed', now_s)
 
-    def reclaimed(self, call: Call, now_s: float) -> list[Output]:
-        """Leave a target that the platform takes away, if that is safe."""
+    def on_reclaimed(self, call: Call, now_s: float) -> list[Output]:
+        """Move a repeatable call off a target that is being reclaimed."""
         attempt = call.attempt
-        if attempt is None or not _repeatable(call):
+        if attempt is None or not _is_repeatable(call):
             return []
         call.avoid.add(attempt.target.target_id)
-        return [*self._drop(call, now_s), *self._place(call, now_s)]
+        return [*self._drop_attempt(call, now_s), *self._place(call, now_s)]
 
     def abandon(self, call: Call, now_s: float) -> list[Output]:
-        """Forget a call that nobody waits for and that was not sent."""
-        outputs = self._reopen(call, now_s)
-        return [*outputs, *self._desk.close(call, now_s)]
+        """Release the claim of an unsent call and remove the call."""
+        outputs = self._reopen_claim(call, now_s)
+        return [*outputs, *self._operations.close(call, now_s)]
 
     def due_s(self, call: Call) -> float:
-        """Tell when this call has to be looked at."""
+        """Return when the call must be checked next."""
         if call.attempt is None:
             return call.deadline_s
         limit_s = self._settings.service_timeout_s
         limit_s += self._settings.service_grace_s
-        silent_s = call.attempt.heard_s + limit_s
+        timeout_at_s = call.attempt.last_activity_s + limit_s
         if call.caller_gone:
-            return silent_s
-        return min(silent_s, call.deadline_s)
+            return timeout_at_s
+        return min(timeout_at_s, call.deadline_s)
 
-    def woken(self, call: Call, now_s: float) -> list[Output]:
-        """Give up on a target that never answered."""
-        return self._broke(call, 'no answer in time', now_s)
+    def on_due(self, call: Call, now_s: float) -> list[Output]:
+        """Handle a target that did not answer in time."""
+        return self._on_broken(call, 'no answer in time', now_s)
 
     def give_up(
         self, call: Call, refusal: Refusal, now_s: float
     ) -> list[Output]:
         """End a call for its caller.
 
-        One that may not be repeated and is at its target goes on without
-        the caller: its end is still worth recording, since a repeat will
-        ask for it.
+        An unrepeatable call that was sent continues without the caller. Its
+        outcome is still recorded, since a repeat will ask for it.
         """
         if call.claimed and call.attempt is not None:
-            return self._go_on_alone(call, refusal)
-        outputs = self._reopen(call, now_s)
-        return [*outputs, *self._end(call, refusal, now_s)]
+            return self._continue_without_caller(call, refusal)
+        outputs = self._reopen_claim(call, now_s)
+        return [*outputs, *self._end_call(call, refusal, now_s)]
 
-    def _go_on_alone(self, call: Call, refusal: Refusal) -> list[Output]:
+    def _continue_without_caller(
+        self, call: Call, refusal: Refusal
+    ) -> list[Output]:
         if call.caller_gone:
             return []
         call.caller_gone = True
-        return refusal_outputs(call.request_id, call.truthful(refusal))
+        return refusal_outputs(call.request_id, call.with_run_state(refusal))
 
     def _place(self, call: Call, now_s: float) -> list[Output]:
         if call.placements >= self._settings.max_attempts:
-            refusal = worn_out(call.placements, self._come_back_s(call, now_s))
+            refusal = attempts_exhausted(
+                call.placements, self._retry_after_s(call, now_s)
+            )
             return self.give_up(call, refusal, now_s)
-        choice = self._desk.choose(call, now_s)
-        if isinstance(choice, NoRoute):
-            return self.give_up(call, no_target(choice), now_s)
+        route = self._operations.choose_target(call, now_s)
+        if isinstance(route, NoRoute):
+            return self.give_up(call, no_target(route), now_s)
         event = call.event
         if not isinstance(event, ServiceCalled):
             return []
-        attempt = call.place(choice, now_s)
+        attempt = call.start_attempt(route, now_s)
         return [
             CallService(
                 call.request_id,
                 attempt.attempt_id,
-                choice.target_id,
-                choice.address,
+                route.target_id,
+                route.address,
                 event.method,
                 event.path,
                 event.content_type,
@@ -210,15 +220,15 @@
                 event.idempotency_key,
                 self._settings.service_timeout_s,
             ),
-            *self._desk.began(call, attempt, now_s),
+            *self._operations.track_attempt(call, attempt, now_s),
         ]
 
-    def _not_run(self, call: Call, cause: str, now_s: float) -> list[Output]:
+    def _on_not_run(self, call: Call, cause: str, now_s: float) -> list[Output]:
         attempt = call.attempt
         if attempt is None:
             return []
-        left = self._desk.leave(call, now_s)
-        call.unproven.discard(attempt.work_id)
+        outputs = self._operations.untrack_attempt(call, now_s)
+        call.possibly_run.discard(attempt.work_id)
         call.avoid.add(attempt.target.target_id)
         log = WriteLog(
             'request.routed',
@@ -227,48 +237,51 @@
             cause,
         )
         if call.caller_gone:
-            return [*left, log, *self.abandon(call, now_s)]
-        return [*left, log, *self._place(call, now_s)]
+            return [*outputs, log, *self.abandon(call, now_s)]
+        return [*outputs, log, *self._place(call, now_s)]
 
-    def _broke(self, call: Call, cause: str, now_s: float) -> list[Output]:
+    def _on_broken(self, call: Call, cause: str, now_s: float) -> list[Output]:
         attempt = call.attempt
         if attempt is None:
             return []
         call.avoid.add(attempt.target.target_id)
-        outputs = self._drop(call, now_s)
-        if _repeatable(call) and self._desk.budget.spend(now_s):
+        outputs = self._drop_attempt(call, now_s)
+        if _is_repeatable(call) and self._operations.budget.spend(now_s):
             return [*outputs, *self._place(call, now_s)]
         if call.claimed:
             call.claimed = False
-            outputs += self._desk.claimer.doubt(call.request_id, now_s)
-        refusal = end_unknown(cause, unrepeatable=call.unrepeatable)
-        return [*outputs, *self._end(call, refusal, now_s)]
+            outputs += self._operations.claimer.doubt(call.request_id, now_s)
+        refusal = outcome_unknown(cause, unrepeatable=call.unrepeatable)
+        return [*outputs, *self._end_call(call, refusal, now_s)]
 
-    def _drop(self, call: Call, now_s: float) -> list[Output]:
-        # A plain service knows no cancel; closing the connection is all.
+    def _drop_attempt(self, call: Call, now_s: float) -> list[Output]:
+        # Plain services have no cancel operation, so only the connection is
+        # closed.
         attempt = call.attempt
         if attempt is None:
             return []
         return [
-            *self._desk.leave(call, now_s, failed=True),
+            *self._operations.untrack_attempt(call, now_s, failed=True),
             DropAttempt(call.request_id, attempt.attempt_id),
         ]
 
-    def _reopen(self, call: Call, now_s: float) -> list[Output]:
+    def _reopen_claim(self, call: Call, now_s: float) -> list[Output]:
         if not call.claimed:
             return []
         call.claimed = False
-        return self._desk.claimer.reopen(call.request_id, now_s)
+        return self._operations.claimer.reopen(call.request_id, now_s)
 
-    def _end(self, call: Call, refusal: Refusal, now_s: float) -> list[Output]:
-        outputs = self._drop(call, now_s)
-        return [*outputs, *self._desk.refuse(call, refusal, now_s)]
+    def _end_call(
+        self, call: Call, refusal: Refusal, now_s: float
+    ) -> list[Output]:
+        outputs = self._drop_attempt(call, now_s)
+        return [*outputs, *self._operations.refuse(call, refusal, now_s)]
 
-    def _come_back_s(self, call: Call, now_s: float) -> float:
-        return self._desk.admitter.come_back_s(call.need.service, now_s)
+    def _retry_after_s(self, call: Call, now_s: float) -> float:
+        return self._operations.admitter.come_back_s(call.need.service, now_s)
 
 
-def _repeatable(call: Call) -> bool:
+def _is_repeatable(call: Call) -> bool:
     event = call.event
     if call.unrepeatable or not isinstance(event, ServiceCalled):
         return False
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the parts that answer calls."""
+"""Fakes of the collaborators of the request handling of an entry."""
 
 from collections import Counter, deque
 from collections.abc import Iterator
@@ -27,7 +27,7 @@
 
 
 class Store:
-    """The platform's store: one dictionary with revisions."""
+    """The key-value store of the platform, in memory and with revisions."""
 
     def __init__(self) -> None:
         self.items: dict[str, core.StoreItem] = {}
@@ -35,11 +35,11 @@
 
     def perform(self, action: core.Action) -> core.StoreResult:
         if isinstance(action, core.StoreGet):
-            return self._present(action.key)
+            return self._current_item(action.key)
         assert isinstance(action, core.StorePut | core.StoreDelete)
-        present = self._present(action.key)
-        if present.revision != action.expected_revision:
-            return core.StoreConflict(present)
+        current = self._current_item(action.key)
+        if current.revision != action.expected_revision:
+            return core.StoreConflict(current)
         self.revision += 1
         value = action.value if isinstance(action, core.StorePut) else None
         if value is None:
@@ -50,7 +50,7 @@
             )
         return core.StoreWritten(action.key, self.revision)
 
-    def _present(self, key: str) -> core.StoreItem:
+    def _current_item(self, key: str) -> core.StoreItem:
         return self.items.get(key, core.StoreItem(key, 0, None))
 
 
@@ -73,17 +73,17 @@
 
 
 class Admitter:
-    """Admits all (or what `place` says) and counts what it holds."""
+    """Return `decision` for each call and record the calls it holds."""
 
     def __init__(self) -> None:
-        self.place: Any = core.Admitted()
+        self.decision: Any = core.Admitted()
         self.held: set[str] = set()
         self.served: Counter[str] = Counter()
 
     def offer(self, ticket: core.Ticket, now_s: float) -> Any:
-        if not isinstance(self.place, core.Refusal):
+        if not isinstance(self.decision, core.Refusal):
             self.held.add(ticket.request_id)
-        return self.place
+        return self.decision
 
     def withdraw(self, request_id: str, now_s: float) -> None:
         self.held.remove(request_id)
@@ -103,7 +103,7 @@
 
 
 class Router:
-    """Takes the first target that is not to be avoided."""
+    """Choose the first target of the service that is not avoided."""
 
     def __init__(self, targets: tuple[core.Target, ...]) -> None:
         self.targets = targets
@@ -115,13 +115,20 @@
     ) -> core.Target | core.NoRoute:
         self.needs.append(need)
         for target in self.targets:
-            free = target.target_id not in need.avoid
-            if free and target.service == need.service:
+            allowed = target.target_id not in need.avoid
+            if allowed and target.service == need.service:
                 return target
-        return core.NoRoute('all are avoided', 2)
+        return core.NoRoute('all targets are avoided', 2)
 
     def find(self, target_id: core.TargetId) -> core.Target | None:
-        return next((t for t in self.targets if t.target_id == target_id), None)
+        return next(
+            (
+                target
+                for target in self.targets
+                if target.target_id == target_id
+            ),
+            None,
+        )
 
     def dispatched(
         self,
@@ -161,7 +168,7 @@
 
 
 class Gossip:
-    """Stands for membership: keeps what an entry shares."""
+    """Replace membership and keep the records that an entry shares."""
 
     handles = (core.ShareRecord,)
 
@@ -178,7 +185,7 @@
 
 
 class Usage:
-    """Stands for usage: adds up what was told to have been delivered."""
+    """Replace usage and sum the delivered requests and tokens."""
 
     handles = (core.CallDelivered,)
 
@@ -199,7 +206,7 @@
 
 
 class Entry:
-    """The parts of one entry that answer calls, in virtual time."""
+    """The parts of one entry that handle calls, with a simulated clock."""
 
     def __init__(
         self,
@@ -241,7 +248,7 @@
         return actions
 
     def wait(self, duration_s: float) -> list[core.Action]:
-        """Let time pass, with every wake-up on the way."""
+        """Advance the clock and deliver every wake-up that becomes due."""
         until_s = self.now_s + duration_s
         actions: list[core.Action] = []
         while (wakeup_s := self.node.next_wakeup_s()) is not None:
@@ -259,13 +266,13 @@
         return self.all(kind)[-1]
 
     def refusal(self, request_id: str) -> core.Refusal | None:
-        found = [
+        refusals = [
             action.refusal
             for action in self.all(core.RefuseCall)
             if action.request_id == request_id
         ]
-        assert len(found) < 2, found
-        return found[0] if found else None
+        assert len(refusals) < 2, refusals
+        return refusals[0] if refusals else None
 
 
 def ask(
@@ -275,20 +282,20 @@
 
 
 def confirm(name: str = 'r1', **more: Any) -> core.Event:
-    given = {
+    fields = {
         'method': 'POST',
         'path': '/returns/7',
         'idempotency_key': 'k1',
         'body': b'4 crates',
         **more,
     }
-    return core.ServiceCalled(name, 'key-1', 'ledger-desk', **given)
+    return core.ServiceCalled(name, 'key-1', 'ledger-desk', **fields)
 
 
 def serve(
     entry: Entry, store: Store, actions: list[core.Action]
 ) -> list[core.Action]:
-    """Answer each store operation at once, until none is left."""
+    """Perform each store operation at once, until none is left."""
     waiting = deque(actions)
     done: list[core.Action] = []
     while waiting:
@@ -303,9 +310,10 @@
 
 
 def schedules(deviations: int, limit: int) -> Iterator['Schedule']:
-    """Go through every run that leaves the default order a few times.
+    """Generate all schedules with at most `deviations` non-default choices.
 
-    Each run asks its schedule what comes next; option 0 is the default.
+    Each run asks its schedule which option comes next; option 0 is the
+    default. At most `limit` schedules are generated.
     """
     waiting: deque[tuple[int, ...]] = deque(((),))
     for _ in range(limit):
@@ -318,7 +326,7 @@
 
 
 class Schedule:
-    """The choices of one run, which can be replayed."""
+    """The recorded choices of one run, which can be replayed."""
 
     def __init__(self, prefix: tuple[int, ...]) -> None:
         self.prefix = prefix
--- a/tests/core/test_request.py
+++ b/tests/core/test_request.py
@@ -1,4 +1,4 @@
-"""Callers get their whole answer, or a refusal that is true."""
+"""Tests that callers get a complete answer or a correct refusal."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 import dandelionyoke_core as core
 from tests.core.fakes import Entry, Store, ask, confirm, engine, serve
 
-ANSWER = tuple(f'crate{place} ' for place in range(8))
+ANSWER = tuple(f'crate{index} ' for index in range(8))
 NO, UNKNOWN = core.RunState.NO, core.RunState.UNKNOWN
 WITHDRAWN = core.KeyWithdrawn('hash of key-1')
 
@@ -38,19 +38,21 @@
 
 
 def stream(entry: Entry) -> str:
-    """Name the stream that the entry opened last."""
+    """Return the attempt id of the stream that the entry opened last."""
     opened = core.StartAttempt | core.ResumeAttempt
-    return [a.attempt_id for a in entry.said if isinstance(a, opened)][-1]
+    return [
+        action.attempt_id for action in entry.said if isinstance(action, opened)
+    ][-1]
 
 
-def asked(entry: Entry) -> Entry:
+def entry_with_call(entry: Entry) -> Entry:
     entry.tell(ask())
     return entry
 
 
 class WholeAnswerTest(testtools.TestCase):
-    def whole(self, entry: Entry) -> None:
-        """The caller has all, once; nothing is held; usage counts it once."""
+    def check_whole_answer(self, entry: Entry) -> None:
+        """Check for one complete answer, released slots and correct usage."""
         self.assertEqual(ANSWER, tokens_of(entry))
         self.assertEqual(
             [core.FinishCall('r1', 'stop', 3, 8)], entry.all(core.FinishCall)
@@ -68,12 +70,13 @@
             (usage.requests, usage.prompt_tokens, usage.output_tokens),
         )
 
-    def test_an_engine_crashes_halfway(self) -> None:
-        """The engine dies while the answer is being written. The salesman
-        sees a short pause; the rest comes from another engine, which is
-        told what he has got already.
+    def test_an_engine_crashes_in_the_middle_of_an_answer(self) -> None:
+        """The engine crashes in the middle of an answer.
+
+        Another engine generates the rest, starting from the tokens that the
+        caller already has.
         """
-        entry = asked(Entry())
+        entry = entry_with_call(Entry())
         entry.tell(output('r1.1', 0, 3))
         entry.tell(broken('r1.1'))
         self.assertEqual(3, entry.last(core.ResumeAttempt).offset)
@@ -85,16 +88,17 @@
         )
         entry.tell(output('r1.3', 3, 8))
         entry.tell(end_of('r1.3'))
-        self.whole(entry)
+        self.check_whole_answer(entry)
 
     def test_a_connection_goes_silent_while_the_engine_works(self) -> None:
-        """Something between the ends forgets the connection: nothing comes
-        and nothing fails. The rest is read on over a new connection from
-        where the caller stands, and the engine does no work twice.
+        """A network device drops the connection without an error.
+
+        The rest is read over a new connection from the position of the
+        caller, and the engine repeats no work.
         """
-        entry = asked(Entry())
+        entry = entry_with_call(Entry())
         entry.tell(output('r1.1', 0, 3))
-        entry.wait(core.RequestSettings().silence_limit_s)
+        entry.wait(core.RequestSettings().silence_timeout_s)
         self.assertEqual(
             (core.DropAttempt('r1', 'r1.1'), 3, 'r1.1'),
             (
@@ -106,18 +110,19 @@
         entry.tell(core.AttemptAccepted('r1', 'r1.2'))
         entry.tell(output('r1.2', 3, 8))
         entry.tell(end_of('r1.2'))
-        self.whole(entry)
+        self.check_whole_answer(entry)
         self.assertEqual(1, len(entry.all(core.StartAttempt)))
 
-    def test_an_engine_goes_silent_for_good(self) -> None:
-        """The engine is paused or cut off: a new connection is silent too.
-        The work moves to another engine, the first is told to stop for when
-        it hears again, and what it still says late is not passed on.
+    def test_an_engine_becomes_permanently_silent(self) -> None:
+        """The engine is paused or cut off, and a new connection is silent too.
+
+        The work moves to another engine. The first engine is told to cancel
+        it, and its late output is not passed on.
         """
-        entry = asked(Entry())
+        entry = entry_with_call(Entry())
         entry.tell(output('r1.1', 0, 3))
-        entry.wait(core.RequestSettings().silence_limit_s)
-        entry.wait(core.RequestSettings().accept_limit_s)
+        entry.wait(core.RequestSettings().silence_timeout_s)
+        entry.wait(core.RequestSettings().accept_timeout_s)
         self.assertEqual('r1.1', entry.last(core.CancelAttempt).attempt_id)
         self.assertEqual(
             core.TargetId('b'), entry.last(core.StartAttempt).target_id
@@ -131,33 +136,34 @@
             self.assertIsInstance(counted, core.CountMetric)
         entry.tell(output('r1.3', 3, 8))
         entry.tell(end_of('r1.3'))
-        self.whole(entry)
+        self.check_whole_answer(entry)
 
-    def test_a_full_engine_is_not_taken_for_a_silent_one(self) -> None:
-        """A long prompt waits in the engine's queue and no token comes. To
-        start it elsewhere would only make the wait longer; reading on over
-        a new connection does no harm, and tells whether the engine lives.
+    def test_a_full_engine_is_not_treated_as_silent(self) -> None:
+        """A long prompt waits in the queue of an engine without any token.
+
+        A restart on another engine would only take longer. A resume over a
+        new connection is harmless and shows whether the engine is alive.
         """
-        for answers in (False, True):
-            entry = asked(Entry())
-            if answers:
+        for accepts in (False, True):
+            entry = entry_with_call(Entry())
+            if accepts:
                 entry.tell(core.AttemptAccepted('r1', 'r1.1'))
             entry.wait(5)
             self.assertEqual(1, len(entry.all(core.ResumeAttempt)))
-            if answers:
+            if accepts:
                 entry.tell(core.AttemptAccepted('r1', 'r1.2'))
             entry.wait(25)
             self.assertEqual(1, len(entry.all(core.StartAttempt)))
             entry.tell(output('r1.2', 0, 8))
             entry.tell(end_of('r1.2'))
-            self.whole(entry)
+            self.check_whole_answer(entry)
 
     def test_overlaps_are_trimmed_and_gaps_resumed(self) -> None:
-        """A resumed stream starts a little early, or a piece of it is lost
-        on the way. The caller must see neither a doubled nor a missing
-        word.
+        """A resumed stream overlaps, or a part of it is lost in transit.
+
+        The caller must get neither a duplicated nor a missing token.
         """
-        entry = asked(Entry())
+        entry = entry_with_call(Entry())
         entry.tell(output('r1.1', 0, 3))
         entry.tell(output('r1.1', 1, 4))
         entry.tell(output('r1.1', 0, 2))
@@ -168,32 +174,34 @@
         self.assertEqual(6, entry.last(core.ResumeAttempt).offset)
         entry.tell(output('r1.3', 6, 8))
         entry.tell(end_of('r1.3'))
-        self.whole(entry)
+        self.check_whole_answer(entry)
 
-    def test_answers_that_crossed(self) -> None:
-        """Two callers ask at once and a proxy mixes up the streams. Neither
-        may see a word of the other's answer, nor its end.
+    def test_output_of_another_call_is_ignored(self) -> None:
+        """A proxy mixes up the streams of two concurrent calls.
+
+        Neither caller may get tokens or the end of the other's answer.
         """
-        entry = asked(Entry())
+        entry = entry_with_call(Entry())
         entry.tell(ask('r2', 'another prompt'))
-        for crossed in (
+        for foreign in (
             core.TokensArrived('r1', 'r2.1', 0, ('secret',)),
             core.TokensArrived('r9', 'r9.1', 0, ('secret',)),
             end_of('r2.1'),
             core.ServiceAnswered('r1', 'r1.1', 200, 't', b'secret'),
         ):
-            (counted,) = entry.tell(crossed)
+            (counted,) = entry.tell(foreign)
             self.assertIsInstance(counted, core.CountMetric)
         entry.tell(output('r2.1', 0, 2, 'r2'))
         entry.tell(end_of('r2.1', 1, 'r2'))
         self.assertEqual([], entry.all(core.FinishCall))
 
     def test_a_reclaimed_engine_is_left_at_once(self) -> None:
-        """The platform takes a cheap engine away on a few seconds' notice.
-        Its answers go on elsewhere before it is gone; an engine that merely
-        leaves finishes what it has.
+        """The platform reclaims a spot engine with a few seconds' notice.
+
+        Its answers continue on another engine before it is removed. An engine
+        that is only leaving finishes its calls.
         """
-        entry = asked(Entry())
+        entry = entry_with_call(Entry())
         entry.tell(output('r1.1', 0, 3))
         entry.tell(core.TargetLeaving(core.TargetId('a'), 'leaving'))
         self.assertEqual(1, len(entry.all(core.StartAttempt)))
@@ -203,13 +211,14 @@
         )
         self.assertEqual('r1.1', entry.last(core.CancelAttempt).attempt_id)
 
-    def test_a_begun_answer_waits_for_an_engine(self) -> None:
-        """The only engine restarts in the middle of an answer. The caller
-        holds half of it; the other half comes when the engine is back.
+    def test_a_partial_answer_waits_for_an_engine(self) -> None:
+        """The only engine restarts in the middle of an answer.
+
+        The caller has half of it and gets the rest when the engine is back.
         """
         entry = Entry()
         entry.router.targets = (engine('a'),)
-        asked(entry).tell(output('r1.1', 0, 3))
+        entry_with_call(entry).tell(output('r1.1', 0, 3))
         entry.tell(core.TargetCrashed(core.TargetId('a'), ('r1.1',)))
         self.assertEqual(1, len(entry.all(core.StartAttempt)))
         entry.wait(3)
@@ -218,7 +227,7 @@
         )
         entry.tell(output('r1.2', 3, 8))
         entry.tell(end_of('r1.2'))
-        self.whole(entry)
+        self.check_whole_answer(entry)
 
     @given(
         strategies.lists(
@@ -226,25 +235,26 @@
             max_size=25,
         )
     )
-    def test_any_faults_leave_the_answer_of_a_naive_reader(
+    def test_any_faults_leave_the_output_unchanged(
         self, faults: list[tuple[int, int]]
     ) -> None:
-        """Streams break, repeat, skip, refuse, go silent and speak late in
-        any order. Who reads the engine's output in one go sees the same
-        words; a refusal cuts them short, and never changes them.
+        """Streams break, repeat, skip, refuse, stall and send late output.
+
+        In any order of these faults the caller gets the output of an
+        undisturbed engine. A refusal may cut it short but never changes it.
         """
-        entry = asked(Entry())
-        for fault, place in faults:
-            self.disturb(entry, fault, place)
+        entry = entry_with_call(Entry())
+        for fault, index in faults:
+            self.inject_fault(entry, fault, index)
         while entry.request.in_progress:
             entry.tell(output(stream(entry), len(tokens_of(entry)), 8))
             entry.tell(end_of(stream(entry)))
             entry.wait(0.5)
         if entry.refusal('r1') is None:
-            self.whole(entry)
-        got = tokens_of(entry)
-        self.assertEqual(ANSWER[: len(got)], got)
-        self.assertEqual(len(got), entry.usage.output_tokens)
+            self.check_whole_answer(entry)
+        received = tokens_of(entry)
+        self.assertEqual(ANSWER[: len(received)], received)
+        self.assertEqual(len(received), entry.usage.output_tokens)
         self.assertEqual(
             (set(), {}), (entry.admitter.held, entry.router.running)
         )
@@ -252,18 +262,18 @@
         not_run = sum('did not run' in detail for detail in logs)
         self.assertLessEqual(len(entry.all(core.StartAttempt)) - not_run, 6)
 
-    def disturb(self, entry: Entry, fault: int, place: int) -> None:
-        present, got = stream(entry), len(tokens_of(entry))
-        start = place % 8
+    def inject_fault(self, entry: Entry, fault: int, index: int) -> None:
+        current, received = stream(entry), len(tokens_of(entry))
+        start = index % 8
         events = (
-            output(present, got, 1 + start),
-            output(present, start, 8),
-            end_of(present, 8 if start % 2 else got - 1),
-            broken(present),
-            unreached(present),
-            draining(present),
-            output(f'r1.{1 + place % 3}', start, 8),
-            core.AttemptAccepted('r1', present),
+            output(current, received, 1 + start),
+            output(current, start, 8),
+            end_of(current, 8 if start % 2 else received - 1),
+            broken(current),
+            unreached(current),
+            draining(current),
+            output(f'r1.{1 + index % 3}', start, 8),
+            core.AttemptAccepted('r1', current),
         )
         if fault < len(events):
             entry.tell(events[fault])
@@ -273,9 +283,11 @@
 
 class RefusalTest(testtools.TestCase):
     def test_each_refusal_tells_the_truth_about_the_run(self) -> None:
-        """A call is given up on at each stage of its life. "Not run" is a
-        promise that sending it again is safe, so it is said only when no
-        byte left, or each target that got it said that it did not run.
+        """A call is refused in each phase.
+
+        "Not run" promises that a repeat is safe. It is stated only if nothing
+        was sent, or if each target that received the call reported that it
+        did not run it.
         """
         cases: list[tuple[list[core.Event], str, core.RunState]] = [
             ([draining(f'r1.{n}') for n in (1, 2, 3, 4)], 'TARGET_FAILED', NO),
@@ -298,7 +310,7 @@
         ]
         for events, kind, run in cases:
             entry = Entry(settings=core.RequestSettings(max_attempts=4))
-            asked(entry)
+            entry_with_call(entry)
             for event in events:
                 entry.tell(event)
             for _ in range(40):
@@ -316,10 +328,11 @@
             self.assertEqual(set(), entry.admitter.held)
             self.assertEqual({}, entry.router.running)
 
-    def test_a_queued_call_that_ends_was_not_run(self) -> None:
-        """A call waits in the queue when its key is withdrawn, its deadline
-        passes or the queue gives it up. It never left, so the refusal says
-        "not run", and its place is given back.
+    def test_a_refused_queued_call_was_not_run(self) -> None:
+        """A queued call loses its key, passes its deadline or is rejected.
+
+        It was never sent, so the refusal states "not run" and its slot is
+        released.
         """
         overloaded = core.Refusal(core.RefusalKind.OVERLOADED, 'full', 'wait')
         for event in (
@@ -329,7 +342,7 @@
             None,
         ):
             entry = Entry()
-            entry.admitter.place = core.Queued()
+            entry.admitter.decision = core.Queued()
             entry.tell(ask(deadline_in_s=5))
             if event is None:
                 entry.wait(5)
@@ -342,14 +355,15 @@
             self.assertEqual([], entry.tell(core.CallAdmitted('r1')))
 
     def test_refusals_on_arrival_name_a_remedy(self) -> None:
-        """A caller makes a mistake or comes at a bad time. It must learn at
-        once what is wrong and what to do, and nothing may leave for a
-        target.
+        """An invalid call or an overloaded entry leads to a refusal.
+
+        The refusal is immediate and names the cause and a remedy, and nothing
+        is sent to a target.
         """
         full = core.Refusal(
             core.RefusalKind.OVERLOADED, 'full', 'wait', retry_after_s=4
         )
-        for event, kind, place in (
+        for event, kind, decision in (
             (ask(prompt='a ' * 40_000), core.RefusalKind.TOO_LARGE, None),
             (ask(), core.RefusalKind.OVERLOADED, full),
             (
@@ -359,7 +373,7 @@
             ),
         ):
             entry = Entry()
-            entry.admitter.place = place or entry.admitter.place
+            entry.admitter.decision = decision or entry.admitter.decision
             entry.tell(event)
             refusal = entry.refusal('r1')
             assert refusal is not None
@@ -367,12 +381,14 @@
             self.assertTrue(refusal.remedy)
             self.assertEqual([], entry.router.needs)
             self.assertIn(
-                'request.refused', [w.kind for w in entry.all(core.WriteLog)]
+                'request.refused',
+                [log.kind for log in entry.all(core.WriteLog)],
             )
 
-    def test_a_deadline_ends_a_call_and_its_work(self) -> None:
-        """The vessel sails before the reconciliation is done. The caller is
-        told in time, and the engine stops work that nobody waits for.
+    def test_a_deadline_cancels_a_call_and_its_work(self) -> None:
+        """The deadline passes before the answer is complete.
+
+        The caller is told in time, and the engine cancels the unneeded work.
         """
         entry = Entry()
         entry.tell(ask(deadline_in_s=4))
@@ -385,11 +401,12 @@
         )
         self.assertEqual('r1.1', entry.last(core.CancelAttempt).attempt_id)
 
-    def test_a_caller_that_left_costs_no_more(self) -> None:
-        """The driver closes the app in the middle of an answer. Work that
-        nobody reads stops, and what he got is counted once.
+    def test_a_disconnected_caller_causes_no_more_work(self) -> None:
+        """The caller disconnects in the middle of an answer.
+
+        The work is cancelled, and the output so far is counted once.
         """
-        entry = asked(Entry())
+        entry = entry_with_call(Entry())
         entry.tell(output('r1.1', 0, 3))
         entry.tell(core.CallerGone('r1'))
         self.assertEqual('r1.1', entry.last(core.CancelAttempt).attempt_id)
@@ -401,19 +418,20 @@
             (set(), {}), (entry.admitter.held, entry.router.running)
         )
 
-    def test_a_key_is_never_seen_past_the_door(self) -> None:
-        """A key in a log or in a call to a target could be used by whoever
-        reads it there. So nothing that an entry says holds it.
+    def test_actions_never_contain_an_api_key(self) -> None:
+        """No action of an entry contains an API key.
+
+        Anyone who reads a key in a log or in a call to a target could use it.
         """
-        entry, store = asked(Entry()), Store()
+        entry, store = entry_with_call(Entry()), Store()
         serve(entry, store, entry.tell(confirm('r2')))
         serve(entry, store, entry.tell(broken('r2.1', 'r2')))
         entry.tell(WITHDRAWN)
-        said = [repr(vars_of(action)) for action in entry.said]
+        said = [repr(slots_of(action)) for action in entry.said]
         self.assertEqual([], [text for text in said if 'key-1' in text])
 
 
-def vars_of(action: Any) -> dict[str, Any]:
+def slots_of(action: Any) -> dict[str, Any]:
     return {
         name: getattr(action, name)
         for name in action.__slots__
@@ -422,10 +440,11 @@
 
 
 class RetryTest(testtools.TestCase):
-    def test_retries_are_a_share_of_the_traffic(self) -> None:
-        """Every engine breaks every call. Without a bound each caller's
-        retries would multiply the load on what is left; refusals for a
-        drain cost no engine anything and are not counted.
+    def test_retries_are_limited_to_a_share_of_the_traffic(self) -> None:
+        """Every engine fails every call.
+
+        Without a maximum the retries would multiply the load on the remaining
+        engines. Refusals by draining engines cost nothing and do not count.
         """
         settings = core.RequestSettings(retry_refill_per_s=0)
         for fault, expected in ((broken, (31, 46)), (draining, (120, 120))):
@@ -438,12 +457,13 @@
             starts = len(entry.all(core.StartAttempt))
             self.assertTrue(expected[0] <= starts <= expected[1], starts)
 
-    def test_plain_calls_are_retried_only_if_repeating_is_harmless(
+    def test_only_repeatable_plain_calls_are_retried(
         self,
     ) -> None:
-        """A plain service breaks off in the middle of a call. Reading a
-        ledger line again harms nobody; a POST may have had its effect, so
-        the caller is told that its end is not known.
+        """A plain service fails in the middle of a call.
+
+        A repeated GET or PUT is harmless. A POST may have taken effect, so the
+        caller is told that its outcome is unknown.
         """
         for method, calls in (('GET', 2), ('PUT', 2), ('POST', 1)):
             entry = Entry()
@@ -457,10 +477,11 @@
                 assert refusal is not None
                 self.assertEqual(UNKNOWN, refusal.run)
 
-    def test_an_unrepeatable_path_is_known_in_every_spelling(self) -> None:
-        """A client writes the path with doubled slashes, dots, escapes or a
-        query. The service takes it for the same call, so it must be claimed
-        all the same, or a repeat would charge twice.
+    def test_an_unrepeatable_path_matches_in_every_spelling(self) -> None:
+        """A path has doubled slashes, dot segments, escapes or a query.
+
+        The service treats it as the same call, so it must be claimed as well.
+        Otherwise a repeat would charge twice.
         """
         for path in (
             '/returns/7',
@@ -480,18 +501,21 @@
             self.assertEqual(1, len(entry.all(core.CallService)), path)
 
     def test_steady_work_stays_off_reclaimable_targets(self) -> None:
-        """A long reconciliation or an invoice on a cheap target would be
-        lost with it. The router is told of both.
+        """Long and unrepeatable calls are marked for the router.
+
+        On a spot target their work would be lost when it is reclaimed.
         """
-        entry, store = asked(Entry()), Store()
+        entry, store = entry_with_call(Entry()), Store()
         entry.tell(ask('r2', 'a ' * 9_000))
         serve(entry, store, entry.tell(confirm('r3')))
         steady = [need.steady for need in entry.router.needs]
         self.assertEqual([False, True, True], steady)
 
     def test_a_call_without_a_route_is_refused_at_once(self) -> None:
-        """Every target is gone. The claim is given back, so that the repeat
-        that the refusal asks for can run.
+        """No target is available.
+
+        The claim is released, so that the repeat requested by the refusal can
+        run.
         """
         entry, store = Entry(), Store()
         entry.router.targets = ()
