--- a/packages/core/dandelionyoke_core/_admission_settings.py
+++ b/packages/core/dandelionyoke_core/_admission_settings.py
@@ -11,7 +11,8 @@
     priority level multiplies the weight of an organisation by
     `priority_factor`, so a lower priority waits longer but never starves. A
     call is refused when `deadline_margin` times its expected duration would
-    already miss its deadline.
+    already miss its deadline. An organisation may have at most
+    `max_queued_share` of the `max_queued` calls in a queue.
 
     An entry starts at most `slot_margin` times its equal part of the slots of
     a service. `reserved_share` of each limit is split equally among the
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -139,25 +139,25 @@
         self,
     ) -> dict[type[Event], Callable[[Any, float], list[Output]]]:
         return {
-            ModelCalled: self._called,
-            ServiceCalled: self._called,
-            CallerGone: self._caller_gone,
-            CallAdmitted: self._admitted,
-            CallRejected: self._rejected,
-            ClaimGranted: self._claim_granted,
-            ClaimAnswered: self._claim_ended,
-            ClaimRefused: self._claim_ended,
-            KeyWithdrawn: self._key_withdrawn,
-            TargetCrashed: self._target_crashed,
-            TargetLeaving: self._target_leaving,
-            ShutdownForced: self._shutdown_forced,
-            Woken: self._woken,
-            **dict.fromkeys(_ATTEMPT_EVENTS, self._attempt_event),
+            ModelCalled: self._on_called,
+            ServiceCalled: self._on_called,
+            CallerGone: self._on_caller_gone,
+            CallAdmitted: self._on_admitted,
+            CallRejected: self._on_rejected,
+            ClaimGranted: self._on_claim_granted,
+            ClaimAnswered: self._on_claim_ended,
+            ClaimRefused: self._on_claim_ended,
+            KeyWithdrawn: self._on_key_withdrawn,
+            TargetCrashed: self._on_target_crashed,
+            TargetLeaving: self._on_target_leaving,
+            ShutdownForced: self._on_shutdown_forced,
+            Woken: self._on_woken,
+            **dict.fromkeys(_ATTEMPT_EVENTS, self._on_attempt_event),
         }
 
     # Events from callers and admission.
 
-    def _called(
+    def _on_called(
         self, event: ModelCalled | ServiceCalled, now_s: float
     ) -> list[Output]:
         request_id = event.request_id
@@ -187,7 +187,7 @@
         )
         return [log, *self._call_handlers.handler_for(call).start(call, now_s)]
 
-    def _caller_gone(self, event: CallerGone, now_s: float) -> list[Output]:
+    def _on_caller_gone(self, event: CallerGone, now_s: float) -> list[Output]:
         call = self._operations.calls.get(event.request_id)
         if call is None:
             return []
@@ -205,13 +205,13 @@
             ),
         ]
 
-    def _admitted(self, event: CallAdmitted, now_s: float) -> list[Output]:
+    def _on_admitted(self, event: CallAdmitted, now_s: float) -> list[Output]:
         call = self._operations.calls.get(event.request_id)
         if call is None or call.phase is not Phase.QUEUED:
             return []
         return self._start(call, now_s)
 
-    def _rejected(self, event: CallRejected, now_s: float) -> list[Output]:
+    def _on_rejected(self, event: CallRejected, now_s: float) -> list[Output]:
         call = self._operations.calls.get(event.request_id)
         if call is None or call.phase is not Phase.QUEUED:
             return []
@@ -219,7 +219,9 @@
 
     # Events of claims.
 
-    def _claim_granted(self, event: ClaimGranted, now_s: float) -> list[Output]:
+    def _on_claim_granted(
+        self, event: ClaimGranted, now_s: float
+    ) -> list[Output]:
         call = self._operations.calls.get(event.request_id)
         if call is None or call.phase is not Phase.CLAIMING:
             # The call ended before its claim was granted, so nothing was
@@ -228,7 +230,7 @@
             return self._operations.claimer.reopen(event.request_id, now_s)
         return self._call_handlers.services.on_claim_granted(call, now_s)
 
-    def _claim_ended(
+    def _on_claim_ended(
         self, event: ClaimAnswered | ClaimRefused, now_s: float
     ) -> list[Output]:
         call = self._operations.calls.get(event.request_id)
@@ -242,7 +244,7 @@
 
     # Events of attempts.
 
-    def _attempt_event(self, event: Any, now_s: float) -> list[Output]:
+    def _on_attempt_event(self, event: Any, now_s: float) -> list[Output]:
         call = self._operations.calls.get(event.request_id)
         if call is None:
             return [stray_answer_metric('request')]
@@ -258,12 +260,14 @@
                 return handler.on_failed(call, event, now_s)
         return handler.on_answered(call, event, now_s)
 
-    def _woken(self, event: Woken, now_s: float) -> list[Output]:
+    def _on_woken(self, event: Woken, now_s: float) -> list[Output]:
         return self._call_handlers.handle_due(now_s)
 
     # Events that end or move several calls at once.
 
-    def _key_withdrawn(self, event: KeyWithdrawn, now_s: float) -> list[Output]:
+    def _on_key_withdrawn(
+        self, event: KeyWithdrawn, now_s: float
+    ) -> list[Output]:
         outputs: list[Output] = []
         for call in tuple(self._operations.calls.values()):
             if call.identity.key_hash == event.key_hash:
@@ -272,7 +276,7 @@
                 )
         return outputs
 
-    def _shutdown_forced(
+    def _on_shutdown_forced(
         self, event: ShutdownForced, now_s: float
     ) -> list[Output]:
         return [
@@ -283,7 +287,7 @@
             )
         ]
 
-    def _target_crashed(
+    def _on_target_crashed(
         self, event: TargetCrashed, now_s: float
     ) -> list[Output]:
         lost_ids = frozenset(event.attempt_ids)
@@ -297,7 +301,7 @@
                 self._call_handlers.schedule(call.request_id)
         return outputs
 
-    def _target_leaving(
+    def _on_target_leaving(
         self, event: TargetLeaving, now_s: float
     ) -> list[Output]:
         if event.cause != RECLAIMED:
