--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -154,7 +154,7 @@
     )
 
 
-def desk(name: str) -> core.Target:
+def plain_target(name: str) -> core.Target:
     return core.Target(
         core.TargetId(name),
         'ledger-desk',
@@ -164,7 +164,7 @@
     )
 
 
-TARGETS = (*map(engine, 'abcd'), *map(desk, 'xyz'))
+TARGETS = (*map(engine, 'abcd'), *map(plain_target, 'xyz'))
 
 
 class Gossip:
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -115,7 +115,7 @@
         capacity = FixedCapacity(slots=1)
         part = make_admission(capacity, max_queue_wait_s=1e9)
         costs: dict[str, int] = {}
-        part.offer(make_ticket('plug'), 0)
+        part.offer(make_ticket('occupier'), 0)
         for name, prompts in (('a', first), ('b', second)):
             for number, prompt in enumerate(prompts):
                 limits = {'weight': weight if name == 'b' else 1}
@@ -130,7 +130,7 @@
                 self.assertEqual(Queued(), part.offer(ticket, 0))
         served: Counter[str] = Counter()
         left = Counter(name[0] for name in costs)
-        running = RequestId('plug')
+        running = RequestId('occupier')
         for step in range(1, len(costs) + 1):
             part.finish(running, costs.get(running, 100), 0, step)
             (running,) = admitted_by(drain(part, step))
@@ -278,7 +278,7 @@
         waits = []
         for interval_s in (0.1, 1.0):
             part = make_admission(FixedCapacity(slots=1), max_queue_wait_s=1e9)
-            running = f'plug-{interval_s}'
+            running = f'occupier-{interval_s}'
             part.offer(make_ticket(running), 0)
             for number in range(60):
                 name = f'{interval_s}-{number}'
@@ -299,7 +299,7 @@
         deadline.
         """
         part = make_admission(FixedCapacity(slots=1, run_s=4))
-        part.offer(make_ticket('plug'), 0)
+        part.offer(make_ticket('occupier'), 0)
         self.assertEqual(
             Queued(), part.offer(make_ticket('a', deadline_s=6), 0)
         )
@@ -333,24 +333,24 @@
         for count, everywhere in ((8, {True}), (68, {True, False})):
             names = tuple(entry(number) for number in range(count))
             peers = FixedPeers(names, names)
-            found = []
+            shared = []
             for name in names:
                 part = make_admission(FixedCapacity(), peers=peers, here=name)
                 limits = {'requests_per_s': 10}
                 part.offer(make_ticket('pressing', 'a', limits=limits), 0)
                 part.offer(make_ticket('other', 'b'), 0)
-                found += [
+                shared += [
                     out
                     for out in drain(part, 1)
                     if isinstance(out, ShareRecord)
                 ]
-            sums = [out for out in found if out.record.is_sum]
-            self.assertEqual(everywhere, {out.everywhere for out in found})
+            sums = [out for out in shared if out.record.is_sum]
+            self.assertEqual(everywhere, {out.everywhere for out in shared})
             self.assertEqual(int(count > 16), len(sums))
             organisation_counts = {
-                len(out.record.organisations) for out in found
+                len(out.record.organisations) for out in shared
             }
             self.assertEqual({1} if count > 16 else {2}, organisation_counts)
             self.assertTrue(
-                all(isinstance(out.record, DemandShared) for out in found)
+                all(isinstance(out.record, DemandShared) for out in shared)
             )
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -15,9 +15,9 @@
     hash_key,
 )
 
-UNLIMITED_AGE = Organisation(OrganisationId('patient'))
-LIMITED_AGE = Organisation(OrganisationId('strict'), knowledge_age_limit_s=60)
-OWNERS = {'patient key': UNLIMITED_AGE, 'strict key': LIMITED_AGE}
+UNLIMITED_AGE = Organisation(OrganisationId('unlimited'))
+LIMITED_AGE = Organisation(OrganisationId('limited'), knowledge_age_limit_s=60)
+OWNERS = {'unlimited key': UNLIMITED_AGE, 'limited key': LIMITED_AGE}
 SNAPSHOT = Snapshot(
     revision=3,
     organisations={owner.organisation_id: owner for owner in OWNERS.values()},
@@ -63,16 +63,16 @@
         unauthenticated = RefusalKind.UNAUTHENTICATED
         no_knowledge = RefusalKind.NO_KNOWLEDGE
         for key, snapshot, age_s, kind in (
-            ('patient key', empty, None, no_knowledge),
-            ('patient key', empty, 1.0, unauthenticated),
+            ('unlimited key', empty, None, no_knowledge),
+            ('unlimited key', empty, 1.0, unauthenticated),
             ('other key', SNAPSHOT, 1.0, unauthenticated),
             ('other key', SNAPSHOT, None, unauthenticated),
-            ('patient key', orphaned, 1.0, unauthenticated),
-            ('patient key', SNAPSHOT, 1e6, None),
-            ('patient key', SNAPSHOT, None, None),
-            ('strict key', SNAPSHOT, 60.0, None),
-            ('strict key', SNAPSHOT, 60.1, no_knowledge),
-            ('strict key', SNAPSHOT, None, no_knowledge),
+            ('unlimited key', orphaned, 1.0, unauthenticated),
+            ('unlimited key', SNAPSHOT, 1e6, None),
+            ('unlimited key', SNAPSHOT, None, None),
+            ('limited key', SNAPSHOT, 60.0, None),
+            ('limited key', SNAPSHOT, 60.1, no_knowledge),
+            ('limited key', SNAPSHOT, None, no_knowledge),
         ):
             answer = authenticate(key, snapshot, age_s)
             if kind is None:
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -99,15 +99,15 @@
     """Send the part the state of the reference model."""
     reference = fleet[row]
     target_id = reference.target.target_id
-    listed = tuple(one.target for one in fleet if one.listed)
+    listed = tuple(candidate.target for candidate in fleet if candidate.listed)
     part.handle(TargetsListed(listed), 0)
     if reference.left:
         part.handle(TargetLeaving(target_id, 'test'), 0)
     if reference.missing:
         part.handle(TargetUnreachable(target_id, 'test'), 0)
     else:
-        told = report(target_id, draining=reference.draining)
-        part.handle(LoadReported(target_id, told), 0)
+        load_report = report(target_id, draining=reference.draining)
+        part.handle(LoadReported(target_id, load_report), 0)
 
 
 class RoutingTest(testtools.TestCase):
@@ -137,22 +137,22 @@
             sync_part(part, fleet, row)
             for steady in (True, False):
                 allowed = {
-                    one.target.target_id
-                    for one in fleet
-                    if one.accepts(steady=steady)
+                    candidate.target.target_id
+                    for candidate in fleet
+                    if candidate.accepts(steady=steady)
                 }
-                found = part.choose(make_need(steady=steady), 0)
-                if isinstance(found, NoRoute):
+                chosen = part.choose(make_need(steady=steady), 0)
+                if isinstance(chosen, NoRoute):
                     self.assertEqual(set(), allowed)
                 else:
-                    self.assertIn(found.target_id, allowed)
+                    self.assertIn(chosen.target_id, allowed)
 
     def test_the_prefix_table_has_one_maximum_for_all_targets(self) -> None:
-        memory = PrefixBlockTable(100)
-        indices = [PrefixIndex(memory) for _ in range(20)]
+        table = PrefixBlockTable(100)
+        indices = [PrefixIndex(table) for _ in range(20)]
         for index in indices:
             index.add([f'b{number}' for number in range(40)])
-        self.assertEqual(100, len(memory))
+        self.assertEqual(100, len(table))
         self.assertEqual(40, indices[-1].overlap([f'b{n}' for n in range(40)]))
 
     @given(
@@ -168,12 +168,12 @@
         part = make_routing(make_targets(count, kind=kind), seed=seed)
         sent: Counter[TargetId] = Counter()
         for number in range(calls):
-            found = part.choose(make_need(), 0)
-            self.assertIsInstance(found, Target)
-            part.dispatched(f'a{number}', found.target_id, make_need(), 0)
-            sent[found.target_id] += 1
-        even = -(-calls // count)
-        self.assertLessEqual(max(sent.values()), even + 2)
+            chosen = part.choose(make_need(), 0)
+            self.assertIsInstance(chosen, Target)
+            part.dispatched(f'a{number}', chosen.target_id, make_need(), 0)
+            sent[chosen.target_id] += 1
+        even_share = -(-calls // count)
+        self.assertLessEqual(max(sent.values()), even_share + 2)
 
     @given(
         st.lists(
@@ -209,9 +209,9 @@
                 in_flight[f'a{step:03}'] = SentAttempt(need, now_s, 0, 100)
                 state.add_attempt(f'a{step:03}', in_flight[f'a{step:03}'])
             elif change == 'report':
-                taken_s, told = reports[max(0, len(reports) - 1 - lag)]
+                taken_s, late_report = reports[max(0, len(reports) - 1 - lag)]
                 if taken_s >= state.report_taken_s:
-                    state.update_report(told, taken_s)
+                    state.update_report(late_report, taken_s)
             elif live and change == 'progress':
                 state.record_output(live[argument % len(live)], 5, now_s)
             elif live:
@@ -219,9 +219,11 @@
                 in_flight.pop(name)
                 state.end_attempt(name, now_s)
             pending = [
-                one for one in in_flight.values() if one.first_output_s is None
+                attempt
+                for attempt in in_flight.values()
+                if attempt.first_output_s is None
             ]
-            tokens = sum(one.need.prompt_tokens for one in pending)
+            tokens = sum(attempt.need.prompt_tokens for attempt in pending)
             reports.append(
                 (
                     now_s + 0.5,
@@ -271,7 +273,10 @@
         steady, *reclaimable = make_targets(4)
         fleet = (
             steady,
-            *(attrs.evolve(one, reclaimable=True) for one in reclaimable),
+            *(
+                attrs.evolve(candidate, reclaimable=True)
+                for candidate in reclaimable
+            ),
         )
         part = make_routing(fleet, share=share, seed=seed)
         reclaimable_count = 0
@@ -289,11 +294,11 @@
         (target,) = make_targets(1)
         for restarts in (True, False):
             part = make_routing((target,))
-            told = report(target.target_id)
-            part.handle(LoadReported(target.target_id, told), 0)
+            first_report = report(target.target_id)
+            part.handle(LoadReported(target.target_id, first_report), 0)
             part.dispatched('a1', target.target_id, make_need(), 1)
-            again = attrs.evolve(told, incarnation='second')
-            event = LoadReported(target.target_id, again)
+            second_report = attrs.evolve(first_report, incarnation='second')
+            event = LoadReported(target.target_id, second_report)
             if not restarts:
                 event = TargetUnreachable(target.target_id, 'refused')
             outputs = [out for n in range(3) for out in part.handle(event, 2)]
@@ -336,12 +341,14 @@
                     part.handle(event, 6)
             shares = part.handle(Woken(), 6.5)
             records += [out for out in shares if isinstance(out, ShareRecord)]
-        told = Counter(
+        report_counts = Counter(
             target_id
             for share in records
             for target_id in share.record.target_ids
         )
-        self.assertEqual(({1}, 148), (set(told.values()), len(told)))
+        self.assertEqual(
+            ({1}, 148), (set(report_counts.values()), len(report_counts))
+        )
         self.assertEqual({2}, set(polls.values()))
         self.assertEqual(148, len(polls))
         for share in records:
@@ -361,8 +368,8 @@
         leaving = attrs.evolve(live, state=Presence.LEAVING)
         part = make_routing((live,))
         for listed, expected in ((leaving, NoRoute), (live, Target)):
-            told = part.handle(TargetsListed((listed,)), 1)
-            for notice in told:
+            notices = part.handle(TargetsListed((listed,)), 1)
+            for notice in notices:
                 if isinstance(notice, TargetLeaving):
                     part.handle(notice, 1)
             self.assertIsInstance(part.choose(make_need(), 1), expected)
@@ -422,11 +429,15 @@
             event = CacheEvent(sequence, stored, f'b{block}')
             if lost:
                 continue
-            told = CacheEventsReported('t0', sequence, sequence + 1, (event,))
+            reported = CacheEventsReported(
+                't0', sequence, sequence + 1, (event,)
+            )
             if sequence > index.sequence + 1:
                 known.clear()
             known = known | {event.block} if stored else known - {event.block}
-            index.learn(told.first_sequence, told.next_sequence, told.events)
+            index.learn(
+                reported.first_sequence, reported.next_sequence, reported.events
+            )
             held = {f'b{n}' for n in range(10) if index.holds(f'b{n}')}
             self.assertEqual(known, held)
 
