--- a/packages/core/dandelionyoke_core/_changes.py
+++ b/packages/core/dandelionyoke_core/_changes.py
@@ -24,7 +24,7 @@
 MAX_PRIORITY = 9
 KEY_HASH_LENGTH = 64
 
-_SECTIONS: Mapping[type[Any], Section] = MappingProxyType(
+_SECTION_BY_TYPE: Mapping[type[Any], Section] = MappingProxyType(
     {
         Organisation: Section.ORGANISATION,
         ApiKey: Section.KEY,
@@ -32,7 +32,7 @@
         Model: Section.MODEL,
     }
 )
-_FIELDS: Mapping[Section, str] = MappingProxyType(
+_SNAPSHOT_FIELDS: Mapping[Section, str] = MappingProxyType(
     {
         Section.ORGANISATION: 'organisations',
         Section.KEY: 'keys',
@@ -40,7 +40,7 @@
         Section.MODEL: 'models',
     }
 )
-_NAMES: Mapping[Section, str] = MappingProxyType(
+_NAME_FIELDS: Mapping[Section, str] = MappingProxyType(
     {
         Section.ORGANISATION: 'organisation_id',
         Section.KEY: 'key_hash',
@@ -73,12 +73,13 @@
         )
     content = {
         section: dict(getattr(snapshot, field))
-        for section, field in _FIELDS.items()
+        for section, field in _SNAPSHOT_FIELDS.items()
     }
     for operation in change.operations:
         _apply_operation(content, operation)
     fields: dict[str, Any] = {
-        _FIELDS[section]: entities for section, entities in content.items()
+        _SNAPSHOT_FIELDS[section]: entities
+        for section, entities in content.items()
     }
     return Snapshot(revision=change.revision, **fields)
 
@@ -97,7 +98,7 @@
 def difference(old: Snapshot, new: Snapshot) -> tuple[Operation, ...]:
     """Find the operations that lead from one configuration to another."""
     operations: list[Operation] = []
-    for section, field in _FIELDS.items():
+    for section, field in _SNAPSHOT_FIELDS.items():
         before = getattr(old, field)
         after = getattr(new, field)
         operations.extend(
@@ -116,11 +117,11 @@
     return tuple(
         key_hash
         for key_hash, key in sorted(old.keys.items())
-        if not _stands(key, new)
+        if not _is_key_valid(key, new)
     )
 
 
-def _stands(key: ApiKey, snapshot: Snapshot) -> bool:
+def _is_key_valid(key: ApiKey, snapshot: Snapshot) -> bool:
     present = snapshot.keys.get(key.key_hash)
     return (
         present is not None
@@ -133,8 +134,8 @@
     content: dict[Section, dict[str, Entity]], operation: Operation
 ) -> None:
     if isinstance(operation, Put):
-        section = _SECTIONS[type(operation.entity)]
-        name = getattr(operation.entity, _NAMES[section])
+        section = _SECTION_BY_TYPE[type(operation.entity)]
+        name = getattr(operation.entity, _NAME_FIELDS[section])
         content[section][name] = operation.entity
         return
     if operation.name not in content[operation.section]:
@@ -180,7 +181,7 @@
                 f'there is no organisation {key.organisation_id}',
                 'Declare it, or remove its keys with it',
             )
-        if not _is_hash(key.key_hash):
+        if not _is_sha256_hex(key.key_hash):
             yield Problem(
                 subject,
                 'key_hash is no SHA-256 in lower-case hex',
@@ -188,7 +189,7 @@
             )
 
 
-def _is_hash(text: str) -> bool:
+def _is_sha256_hex(text: str) -> bool:
     return len(text) == KEY_HASH_LENGTH and set(text) <= set('0123456789abcdef')
 
 
@@ -206,7 +207,7 @@
                 'Choose 0 <= min_targets <= max_targets',
             )
         for call in service.unrepeatable:
-            if not _is_call(call):
+            if not _is_method_and_path(call):
                 yield Problem(
                     subject,
                     f'unrepeatable call {call!r} is malformed',
@@ -214,7 +215,7 @@
                 )
 
 
-def _is_call(text: str) -> bool:
+def _is_method_and_path(text: str) -> bool:
     method, _, path = text.partition(' ')
     return method.isupper() and path.startswith('/')
 
