--- a/packages/core/dandelionyoke_core/_claim_sweep.py
+++ b/packages/core/dandelionyoke_core/_claim_sweep.py
@@ -16,7 +16,7 @@
 from dandelionyoke_core._records import StoreItem, StoreListing, StoreResult
 
 MAX_ORGANISATIONS = 256
-BUCKETS = 256
+BUCKET_COUNT = 256
 
 
 class ClaimSweep:
@@ -33,31 +33,33 @@
             maxlen=MAX_ORGANISATIONS
         )
         self._listing_id: OperationId | None = None
-        self._next_s: float | None = None
+        self._next_sweep_s: float | None = None
 
-    def saw(self, organisation_id: OrganisationId, now_s: float) -> None:
+    def add_organisation(
+        self, organisation_id: OrganisationId, now_s: float
+    ) -> None:
         """Note an organisation that has claims."""
         if organisation_id not in self._organisations:
             self._organisations.append(organisation_id)
-        if self._next_s is None:
-            self._plan(now_s)
+        if self._next_sweep_s is None:
+            self._schedule_next(now_s)
 
     def next_wakeup_s(self) -> float | None:
         """Tell when the next bucket is due."""
-        return self._next_s
+        return self._next_sweep_s
 
-    def due(self, name: str, now_s: float) -> list[Output]:
+    def list_next_bucket(self, name: str, now_s: float) -> list[Output]:
         """List the next bucket if it is time."""
-        if self._next_s is None or now_s < self._next_s:
+        if self._next_sweep_s is None or now_s < self._next_sweep_s:
             return []
-        self._plan(now_s)
+        self._schedule_next(now_s)
         organisation_id = self._random.choice(self._organisations)
-        bucket = self._random.randrange(BUCKETS)
+        bucket = self._random.randrange(BUCKET_COUNT)
         self._listing_id = OperationId(name)
         prefix = f'{CLAIM_PREFIX}/{organisation_id}/{bucket:02x}'
         return [StoreList(self._listing_id, prefix)]
 
-    def answered(
+    def delete_expired(
         self,
         operation_id: OperationId,
         result: StoreResult,
@@ -69,15 +71,17 @@
         self._listing_id = None
         if not isinstance(result, StoreListing):
             return []
-        expired = [item for item in result.items if self._is_past(item, wall_s)]
+        expired = [
+            item for item in result.items if self._is_expired(item, wall_s)
+        ]
         return [
             StoreDelete(
-                OperationId(f'{operation_id}.{place}'), item.key, item.revision
+                OperationId(f'{operation_id}.{index}'), item.key, item.revision
             )
-            for place, item in enumerate(expired[: self._settings.sweep_batch])
+            for index, item in enumerate(expired[: self._settings.sweep_batch])
         ]
 
-    def _is_past(self, item: StoreItem, wall_s: float) -> bool:
+    def _is_expired(self, item: StoreItem, wall_s: float) -> bool:
         if item.value is None:
             return False
         try:
@@ -86,6 +90,6 @@
             return False
         return record.is_expired(wall_s, self._settings.clock_margin_s)
 
-    def _plan(self, now_s: float) -> None:
+    def _schedule_next(self, now_s: float) -> None:
         interval_s = self._settings.sweep_interval_s
-        self._next_s = now_s + interval_s * self._random.uniform(0.5, 1.5)
+        self._next_sweep_s = now_s + interval_s * self._random.uniform(0.5, 1.5)
--- a/packages/core/dandelionyoke_core/_claim_table.py
+++ b/packages/core/dandelionyoke_core/_claim_table.py
@@ -12,11 +12,11 @@
 from dandelionyoke_core._names import OperationId, RequestId
 from dandelionyoke_core._timers import Timers
 
-MAX_DOUBLINGS = 16
+MAX_RETRY_DOUBLINGS = 16
 
 
 @enum.unique
-class Step(enum.Enum):
+class ClaimStep(enum.Enum):
     """What a claim's owner is doing with it."""
 
     CREATING = 'creating'
@@ -38,21 +38,24 @@
     request_id: RequestId
     key: str
     record: ClaimRecord
-    patience_until_s: float
-    repeat_until_s: float
+    claim_deadline_s: float
+    repeat_deadline_s: float
     expected_revision: int = 0
-    step: Step = Step.CREATING
+    step: ClaimStep = ClaimStep.CREATING
     operation_id: OperationId | None = None
-    asked_s: float = 0.0
+    sent_s: float = 0.0
     retry_at_s: float | None = None
     failures: int = 0
     may_exist: bool = False
-    refused: bool = False
+    is_refused: bool = False
 
     @property
-    def is_impatient(self) -> bool:
+    def is_caller_waiting(self) -> bool:
         """Whether a caller still waits to hear if its call may be sent."""
-        return not self.refused and self.step in {Step.CREATING, Step.READING}
+        return not self.is_refused and self.step in {
+            ClaimStep.CREATING,
+            ClaimStep.READING,
+        }
 
 
 class ClaimTable:
@@ -64,7 +67,7 @@
         self._settings = settings
         self._incarnation = incarnation
         self._random = random
-        self._numbers = 0
+        self._name_count = 0
         self._claims: dict[RequestId, Claim] = {}
         self._operations: dict[OperationId, RequestId] = {}
         self._timers: Timers[RequestId] = Timers()
@@ -72,10 +75,10 @@
     def __len__(self) -> int:
         return len(self._claims)
 
-    def name(self) -> str:
+    def next_name(self) -> str:
         """Make a name that no other incarnation of any instance makes."""
-        self._numbers += 1
-        return f'{self._incarnation}.{self._numbers}'
+        self._name_count += 1
+        return f'{self._incarnation}.{self._name_count}'
 
     def add(self, claim: Claim) -> None:
         """Take up a new claim."""
@@ -85,14 +88,14 @@
         """Look a claim up."""
         return self._claims.get(request_id)
 
-    def forget(self, claim: Claim) -> None:
+    def remove(self, claim: Claim) -> None:
         """Drop a claim whose end is in the store, or that never was."""
         self._claims.pop(claim.request_id, None)
 
     def write(self, claim: Claim, now_s: float) -> Action:
         """Write the claim's record where it is expected to stand."""
         return StorePut(
-            self._ask(claim, now_s),
+            self._begin_operation(claim, now_s),
             claim.key,
             record_to_json(claim.record),
             claim.expected_revision,
@@ -100,9 +103,9 @@
 
     def read(self, claim: Claim, now_s: float) -> Action:
         """Read what stands under the claim's key."""
-        return StoreGet(self._ask(claim, now_s), claim.key)
+        return StoreGet(self._begin_operation(claim, now_s), claim.key)
 
-    def answered(self, operation_id: OperationId) -> Claim | None:
+    def match_answer(self, operation_id: OperationId) -> Claim | None:
         """Find the claim that an answer is for; None for a late answer."""
         request_id = self._operations.pop(operation_id, None)
         if request_id is None:
@@ -111,7 +114,7 @@
         claim.operation_id = None
         return claim
 
-    def give_up_waiting(self, claim: Claim) -> None:
+    def abandon_operation(self, claim: Claim) -> None:
         """Pass over the answer to the present operation, if it comes."""
         if claim.operation_id is not None:
             self._operations.pop(claim.operation_id, None)
@@ -120,15 +123,16 @@
     def retry_later(self, claim: Claim, now_s: float) -> None:
         """Ask again after a pause that grows with each failure."""
         claim.failures += 1
-        doublings = min(claim.failures, MAX_DOUBLINGS)
+        doublings = min(claim.failures, MAX_RETRY_DOUBLINGS)
         pause_s = min(
-            self._settings.pause_s * 2**doublings, self._settings.pause_limit_s
+            self._settings.retry_min_s * 2**doublings,
+            self._settings.retry_max_s,
         )
         # Spread, so that the entries do not all come back in one moment.
         claim.retry_at_s = now_s + pause_s * self._random.uniform(0.5, 1)
-        self.watch(claim)
+        self.schedule(claim)
 
-    def watch(self, claim: Claim) -> None:
+    def schedule(self, claim: Claim) -> None:
         """Have the claim looked at when it is due."""
         due_s = self._due_s(claim.request_id)
         if due_s is not None:
@@ -145,13 +149,13 @@
             if claim is not None:
                 yield claim
 
-    def _ask(self, claim: Claim, now_s: float) -> OperationId:
-        operation_id = OperationId(f'once.{self.name()}')
+    def _begin_operation(self, claim: Claim, now_s: float) -> OperationId:
+        operation_id = OperationId(f'once.{self.next_name()}')
         self._operations[operation_id] = claim.request_id
         claim.operation_id = operation_id
-        claim.asked_s = now_s
+        claim.sent_s = now_s
         claim.retry_at_s = None
-        self.watch(claim)
+        self.schedule(claim)
         return operation_id
 
     def _due_s(self, request_id: RequestId) -> float | None:
@@ -160,7 +164,7 @@
             return None
         times = [claim.retry_at_s]
         if claim.operation_id is not None:
-            times.append(claim.asked_s + self._settings.answer_limit_s)
-        if claim.is_impatient:
-            times.append(claim.patience_until_s)
+            times.append(claim.sent_s + self._settings.store_call_timeout_s)
+        if claim.is_caller_waiting:
+            times.append(claim.claim_deadline_s)
         return min((due for due in times if due is not None), default=None)
--- a/packages/core/dandelionyoke_core/_claims.py
+++ b/packages/core/dandelionyoke_core/_claims.py
@@ -13,7 +13,7 @@
 
 CLAIM_PREFIX = 'once'
 _SEND_AGAIN = 'Send the request again after retry_after_s'
-_LOOK_UP = (
+_CHECK_OUTCOME = (
     'Find out at the service whether it ran; a repeat with the same '
     'Idempotency-Key is not sent again'
 )
@@ -43,14 +43,14 @@
 
     retention_s: float = 172_800.0
     clock_margin_s: float = 600.0
-    run_limit_s: float = 120.0
-    patience_s: float = 2.0
-    answer_limit_s: float = 5.0
-    pause_s: float = 0.1
-    pause_limit_s: float = 5.0
+    max_run_s: float = 120.0
+    claim_timeout_s: float = 2.0
+    store_call_timeout_s: float = 5.0
+    retry_min_s: float = 0.1
+    retry_max_s: float = 5.0
     repeat_wait_s: float = 0.5
-    repeat_after_s: float = 1.0
-    kept_answer_bytes: int = 65_536
+    repeat_retry_after_s: float = 1.0
+    max_kept_answer_bytes: int = 65_536
     max_claims: int = 2_000
     sweep_interval_s: float = 60.0
     sweep_batch: int = 20
@@ -85,11 +85,11 @@
         """Whether its retention is over by every clock within the margin."""
         return wall_s > self.expires_wall_s + clock_margin_s
 
-    def ended(
-        self, status: int, content_type: str, body: bytes, limit_bytes: int
+    def with_end(
+        self, status: int, content_type: str, body: bytes, max_bytes: int
     ) -> 'ClaimRecord':
         """Record an end, with the answer if it is small enough to keep."""
-        kept = len(body) + len(content_type) <= limit_bytes
+        kept = len(body) + len(content_type) <= max_bytes
         return attrs.evolve(
             self,
             state=ClaimState.ENDED,
@@ -99,16 +99,16 @@
             kept=kept,
         )
 
-    def told(
+    def response_to_repeat(
         self,
         request_id: RequestId,
         request_hash: str,
         wall_s: float,
-        repeat_after_s: float,
+        retry_after_s: float,
     ) -> ClaimAnswered | ClaimRefused:
         """Say what a repeat gets to hear of this claim."""
         if request_hash != self.request_hash:
-            return ClaimRefused(request_id, _key_reused())
+            return ClaimRefused(request_id, _key_reused_refusal())
         if self.state is ClaimState.ENDED and self.kept:
             return ClaimAnswered(
                 request_id,
@@ -117,10 +117,12 @@
                 base64.b64decode(self.body_base64),
             )
         if self.state is ClaimState.ENDED:
-            return ClaimRefused(request_id, _not_kept(self.status))
+            return ClaimRefused(
+                request_id, _answer_not_kept_refusal(self.status)
+            )
         if self.is_running(wall_s):
-            return ClaimRefused(request_id, _in_progress(repeat_after_s))
-        return ClaimRefused(request_id, in_doubt())
+            return ClaimRefused(request_id, _in_progress_refusal(retry_after_s))
+        return ClaimRefused(request_id, in_doubt_refusal())
 
 
 def claim_key(organisation_id: OrganisationId, idempotency_key: str) -> str:
@@ -132,18 +134,18 @@
 def hash_request(call: ServiceCalled) -> str:
     """Name what is asked, so that a key stands for one request only."""
     digest = hashlib.sha256()
-    pieces = (
+    parts = (
         call.service_name.encode(),
         call.method.upper().encode(),
         call.path.encode(),
         call.body,
     )
-    for piece in pieces:
-        digest.update(len(piece).to_bytes(8) + piece)
+    for part in parts:
+        digest.update(len(part).to_bytes(8) + part)
     return digest.hexdigest()
 
 
-def store_down(retry_after_s: float) -> Refusal:
+def store_down_refusal(retry_after_s: float) -> Refusal:
     """Refuse a call whose claim could not be made; it was not sent."""
     return Refusal(
         RefusalKind.STORE_DOWN,
@@ -153,17 +155,17 @@
     )
 
 
-def in_doubt() -> Refusal:
+def in_doubt_refusal() -> Refusal:
     """Refuse a call whose first run has an unknown end."""
     return Refusal(
         RefusalKind.END_UNKNOWN,
         'A request with this Idempotency-Key was sent and its end is not known',
-        _LOOK_UP,
+        _CHECK_OUTCOME,
         RunState.UNKNOWN,
     )
 
 
-def too_many_claims(retry_after_s: float) -> Refusal:
+def too_many_claims_refusal(retry_after_s: float) -> Refusal:
     """Refuse a call because too many claims are in progress here."""
     return Refusal(
         RefusalKind.OVERLOADED,
@@ -173,7 +175,7 @@
     )
 
 
-def _key_reused() -> Refusal:
+def _key_reused_refusal() -> Refusal:
     return Refusal(
         RefusalKind.KEY_REUSED,
         'This Idempotency-Key came with another request before',
@@ -181,7 +183,7 @@
     )
 
 
-def _in_progress(retry_after_s: float) -> Refusal:
+def _in_progress_refusal(retry_after_s: float) -> Refusal:
     return Refusal(
         RefusalKind.IN_PROGRESS,
         'A request with this Idempotency-Key is in progress',
@@ -191,7 +193,7 @@
     )
 
 
-def _not_kept(status: int) -> Refusal:
+def _answer_not_kept_refusal(status: int) -> Refusal:
     return Refusal(
         RefusalKind.END_UNKNOWN,
         f'The request ran once and was answered with status {status}; the '
--- a/packages/core/dandelionyoke_core/_once.py
+++ b/packages/core/dandelionyoke_core/_once.py
@@ -8,7 +8,11 @@
 from random import Random
 from typing import ClassVar
 
-from dandelionyoke_core._claim_keeper import ClaimKeeper, doubted, opened
+from dandelionyoke_core._claim_state_machine import (
+    ClaimStateMachine,
+    mark_in_doubt,
+    release_claim,
+)
 from dandelionyoke_core._claim_sweep import ClaimSweep
 from dandelionyoke_core._claim_table import Claim, ClaimTable
 from dandelionyoke_core._claims import (
@@ -16,8 +20,8 @@
     OnceSettings,
     claim_key,
     hash_request,
-    store_down,
-    too_many_claims,
+    store_down_refusal,
+    too_many_claims_refusal,
 )
 from dandelionyoke_core._events import (
     Event,
@@ -52,7 +56,9 @@
         self._table = ClaimTable(settings, incarnation, random)
         self._sweep = ClaimSweep(settings, random)
         self._clock = WallClock()
-        self._keeper = ClaimKeeper(settings, self._table, self._clock)
+        self._state_machine = ClaimStateMachine(
+            settings, self._table, self._clock
+        )
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Take an event and say what follows from it."""
@@ -60,9 +66,9 @@
             case Started():
                 self._clock.start(event.wall_s, now_s)
             case StoreAnswered():
-                return self._answered(event, now_s)
+                return self._handle_store_answer(event, now_s)
             case Woken():
-                return self._woken(now_s)
+                return self._handle_wakeup(now_s)
         return []
 
     def next_wakeup_s(self) -> float | None:
@@ -85,27 +91,31 @@
     ) -> list[Output]:
         """Start a claim: ClaimGranted, ClaimAnswered or ClaimRefused follows."""
         request_id = call.request_id
-        pause_s = self._settings.pause_limit_s
+        retry_after_s = self._settings.retry_max_s
         if not self._clock.is_set or not call.idempotency_key:
-            return [ClaimRefused(request_id, store_down(pause_s))]
+            return [ClaimRefused(request_id, store_down_refusal(retry_after_s))]
         full = len(self._table) >= self._settings.max_claims
         if full or self._table.find(request_id) is not None:
-            return [ClaimRefused(request_id, too_many_claims(pause_s))]
+            return [
+                ClaimRefused(request_id, too_many_claims_refusal(retry_after_s))
+            ]
         wall_s = self._clock.wall_s(now_s)
         record = ClaimRecord(
             # The time tells incarnations apart that draw the same number.
-            f'{self._table.name()}.{wall_s}',
+            f'{self._table.next_name()}.{wall_s}',
             self._instance_id,
             hash_request(call),
-            wall_s + self._settings.run_limit_s,
+            wall_s + self._settings.max_run_s,
             wall_s + self._settings.retention_s,
         )
         key = claim_key(organisation, call.idempotency_key)
-        patience_until_s = now_s + self._settings.patience_s
-        repeat_until_s = now_s + self._settings.repeat_wait_s
-        claim = Claim(request_id, key, record, patience_until_s, repeat_until_s)
+        claim_deadline_s = now_s + self._settings.claim_timeout_s
+        repeat_deadline_s = now_s + self._settings.repeat_wait_s
+        claim = Claim(
+            request_id, key, record, claim_deadline_s, repeat_deadline_s
+        )
         self._table.add(claim)
-        self._sweep.saw(organisation, now_s)
+        self._sweep.add_organisation(organisation, now_s)
         return [self._table.write(claim, now_s)]
 
     def settle(
@@ -117,35 +127,43 @@
         now_s: float,
     ) -> list[Output]:
         """Record the end of a claimed call."""
-        limit_bytes = self._settings.kept_answer_bytes
-        return self._keeper.close(
+        max_bytes = self._settings.max_kept_answer_bytes
+        return self._state_machine.close(
             request_id,
-            lambda record: record.ended(
-                status, content_type, body, limit_bytes
+            lambda record: record.with_end(
+                status, content_type, body, max_bytes
             ),
             now_s,
         )
 
     def reopen(self, request_id: RequestId, now_s: float) -> list[Output]:
         """Give a claim back on proof that the call did not run."""
-        return self._keeper.close(request_id, opened, now_s)
+        return self._state_machine.close(request_id, release_claim, now_s)
 
     def doubt(self, request_id: RequestId, now_s: float) -> list[Output]:
         """Leave a claim in doubt for good: its end is not known."""
-        return self._keeper.close(request_id, doubted, now_s)
+        return self._state_machine.close(request_id, mark_in_doubt, now_s)
 
-    def _answered(self, event: StoreAnswered, now_s: float) -> list[Output]:
-        claim = self._table.answered(event.operation_id)
+    def _handle_store_answer(
+        self, event: StoreAnswered, now_s: float
+    ) -> list[Output]:
+        claim = self._table.match_answer(event.operation_id)
         if claim is not None:
-            return self._keeper.take(claim, event.result, now_s)
+            return self._state_machine.handle_store_result(
+                claim, event.result, now_s
+            )
         wall_s = self._clock.wall_s(now_s)
-        return self._sweep.answered(event.operation_id, event.result, wall_s)
+        return self._sweep.delete_expired(
+            event.operation_id, event.result, wall_s
+        )
 
-    def _woken(self, now_s: float) -> list[Output]:
+    def _handle_wakeup(self, now_s: float) -> list[Output]:
         outputs: list[Output] = []
         if self._sweep.next_wakeup_s() is not None:
-            outputs += self._sweep.due(self._table.name(), now_s)
+            outputs += self._sweep.list_next_bucket(
+                self._table.next_name(), now_s
+            )
         for claim in self._table.due(now_s):
-            outputs += self._keeper.look_at(claim, now_s)
-            self._table.watch(claim)
+            outputs += self._state_machine.handle_timeout(claim, now_s)
+            self._table.schedule(claim)
         return outputs
--- a/tests/core/test_once.py
+++ b/tests/core/test_once.py
@@ -334,7 +334,7 @@
         """
         call = self.send(self.first, 'r1')
         assert call is not None
-        body = bytes(core.OnceSettings().kept_answer_bytes + 1)
+        body = bytes(core.OnceSettings().max_kept_answer_bytes + 1)
         self.end(
             self.first,
             core.ServiceAnswered('r1', call.attempt_id, 200, 't', body),
