--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -101,8 +101,8 @@
     ConfigurationOffered as ConfigurationOffered,
     ConfigurationWanted as ConfigurationWanted,
 )
-from dandelionyoke_core._configuration_questions import (
-    QuestionSettings as QuestionSettings,
+from dandelionyoke_core._configuration_queries import (
+    PeerQuerySettings as PeerQuerySettings,
 )
 from dandelionyoke_core._configuration_reader import (
     ReaderSettings as ReaderSettings,
--- a/packages/core/dandelionyoke_core/_commit.py
+++ b/packages/core/dandelionyoke_core/_commit.py
@@ -17,17 +17,17 @@
     StoreFailed,
     StoreWritten,
 )
-from dandelionyoke_core._store_dialogue import Steps, StoreDialogue
 from dandelionyoke_core._store_layout import (
     HEAD_KEY,
+    ConfigurationStore,
     Head,
     Loaded,
     StoreLayoutSettings,
-    StoreSteps,
     Unsettled,
     change_key,
     snapshot_key,
 )
+from dandelionyoke_core._store_task import StoreGenerator, StoreTask
 
 # The head holds the whole of the newest change, whatever its size, and has
 # to fit into a value with it.
@@ -77,7 +77,7 @@
 CommitOutcome = Committed | Conflicted | Rejected | Unsettled
 
 
-class Committer(StoreDialogue[CommitOutcome]):
+class Committer(StoreTask[CommitOutcome]):
     """Brings one proposal to its outcome."""
 
     def __init__(
@@ -85,7 +85,7 @@
     ) -> None:
         self._settings = settings or StoreLayoutSettings()
         self._proposal = proposal
-        self._store = StoreSteps(
+        self._store = ConfigurationStore(
             f'config-commit/{proposal.change_id}', self._settings
         )
         base = proposal.base_revision
@@ -93,16 +93,16 @@
         self._in_doubt = False
         super().__init__(self._commit())
 
-    def _commit(self) -> Steps[CommitOutcome]:
+    def _commit(self) -> StoreGenerator[CommitOutcome]:
         cause = ''
         for _ in range(self._settings.max_tries):
             loaded = yield from self._store.load(self._history_from)
             if isinstance(loaded, Unsettled):
                 return Unsettled(loaded.cause, self._in_doubt)
-            settled = self._settle(loaded)
-            if settled is not None:
-                return settled
-            answer = yield from self._try(loaded)
+            outcome = self._check_head(loaded)
+            if outcome is not None:
+                return outcome
+            answer = yield from self._attempt(loaded)
             if isinstance(answer, StoreConflict):
                 cause = 'other operators were first each time'
             elif isinstance(answer, StoreFailed):
@@ -112,7 +112,7 @@
                 return answer
         return Unsettled(cause, self._in_doubt)
 
-    def _settle(self, loaded: Loaded) -> CommitOutcome | None:
+    def _check_head(self, loaded: Loaded) -> CommitOutcome | None:
         """Say what the present head makes of the proposal.
 
         A write whose answer was lost may have taken effect, so that writing
@@ -124,7 +124,7 @@
                 return Committed(change)
         if self._history_from is None:
             self._history_from = loaded.head.revision + 1
-        if _misses(loaded, self._history_from):
+        if _has_gap(loaded, self._history_from):
             return Unsettled('too many changes came between', self._in_doubt)
         base = self._proposal.base_revision
         if base is None or base == loaded.head.revision:
@@ -132,10 +132,10 @@
         since = [change for change in loaded.changes if change.revision > base]
         return Conflicted(loaded.head.revision, tuple(since))
 
-    def _try(
+    def _attempt(
         self, loaded: Loaded
-    ) -> Steps[CommitOutcome | StoreConflict | StoreFailed]:
-        change = self._change(loaded.head.revision + 1)
+    ) -> StoreGenerator[CommitOutcome | StoreConflict | StoreFailed]:
+        change = self._make_change(loaded.head.revision + 1)
         problems = _problems(loaded.snapshot, change)
         if problems:
             return Rejected(problems)
@@ -143,17 +143,17 @@
         if failed is not None:
             return StoreFailed(failed.cause, may_have_happened=False)
         head = self._next_head(loaded.head, change)
-        answer = yield from self._store.swap(
+        answer = yield from self._store.compare_and_swap(
             HEAD_KEY, record_to_json(head), loaded.head_store_revision
         )
         if not isinstance(answer, StoreWritten):
             return answer
-        unused = loaded.head.old_snapshot_revision
-        if self._cuts_snapshot(loaded.head) and unused:
-            yield from self._store.drop(snapshot_key(unused))
+        unused_revision = loaded.head.old_snapshot_revision
+        if self._needs_snapshot(loaded.head) and unused_revision:
+            yield from self._store.delete(snapshot_key(unused_revision))
         return Committed(change)
 
-    def _change(self, revision: int) -> Change:
+    def _make_change(self, revision: int) -> Change:
         return Change(
             change_id=self._proposal.change_id,
             revision=revision,
@@ -163,17 +163,17 @@
             operations=self._proposal.operations,
         )
 
-    def _archive(self, loaded: Loaded) -> Steps[Unsettled | None]:
+    def _archive(self, loaded: Loaded) -> StoreGenerator[Unsettled | None]:
         """Write under their own keys what the next head will not hold."""
         head = loaded.head
-        kept = self._kept(head)
-        for change in head.changes[: len(head.changes) - len(kept)]:
+        kept_changes = self._kept_changes(head)
+        for change in head.changes[: len(head.changes) - len(kept_changes)]:
             failed = yield from self._store.create(
                 change_key(change.revision), record_to_json(change)
             )
             if failed is not None:
                 return failed
-        if not self._cuts_snapshot(head):
+        if not self._needs_snapshot(head):
             return None
         return (
             yield from self._store.create(
@@ -182,8 +182,8 @@
         )
 
     def _next_head(self, head: Head, change: Change) -> Head:
-        changes = (*self._kept(head), change)
-        if not self._cuts_snapshot(head):
+        changes = (*self._kept_changes(head), change)
+        if not self._needs_snapshot(head):
             return attrs.evolve(head, revision=change.revision, changes=changes)
         return Head(
             revision=change.revision,
@@ -192,33 +192,36 @@
             changes=changes,
         )
 
-    def _cuts_snapshot(self, head: Head) -> bool:
+    def _needs_snapshot(self, head: Head) -> bool:
         since = head.revision - head.snapshot_revision
-        kept = len(self._kept(head))
-        return since >= self._settings.snapshot_every_changes or since > kept
+        kept_changes = len(self._kept_changes(head))
+        return (
+            since >= self._settings.snapshot_every_changes
+            or since > kept_changes
+        )
 
-    def _kept(self, head: Head) -> tuple[Change, ...]:
-        return _newest(
+    def _kept_changes(self, head: Head) -> tuple[Change, ...]:
+        return _newest_within(
             head.changes,
             self._settings.head_changes - 1,
             self._settings.head_bytes,
         )
 
 
-def _newest(
-    changes: Sequence[Change], most_changes: int, most_bytes: int
+def _newest_within(
+    changes: Sequence[Change], max_changes: int, max_bytes: int
 ) -> tuple[Change, ...]:
-    kept: list[Change] = []
+    kept_changes: list[Change] = []
     size_bytes = 0
     for change in reversed(changes):
         size_bytes += len(record_to_json(change))
-        if len(kept) >= most_changes or size_bytes > most_bytes:
+        if len(kept_changes) >= max_changes or size_bytes > max_bytes:
             break
-        kept.append(change)
-    return tuple(reversed(kept))
+        kept_changes.append(change)
+    return tuple(reversed(kept_changes))
 
 
-def _misses(loaded: Loaded, history_from: int) -> bool:
+def _has_gap(loaded: Loaded, history_from: int) -> bool:
     if history_from > loaded.head.revision:
         return False
     return not loaded.changes or loaded.changes[0].revision > history_from
@@ -226,20 +229,23 @@
 
 def _problems(snapshot: Snapshot, change: Change) -> tuple[Problem, ...]:
     if len(record_to_json(change)) > MAX_CHANGE_BYTES:
-        return (_too_large('the change', MAX_CHANGE_BYTES),)
+        return (_too_large_problem('the change', MAX_CHANGE_BYTES),)
     try:
-        changed = apply_change(snapshot, change)
-    except DandelionyokeError as wrong:
-        return (Problem('change', wrong.problem, wrong.remedy),)
-    problems = validate(changed)
-    if len(record_to_json(changed)) > MAX_SNAPSHOT_BYTES:
-        return (*problems, _too_large('the configuration', MAX_SNAPSHOT_BYTES))
+        new_snapshot = apply_change(snapshot, change)
+    except DandelionyokeError as error:
+        return (Problem('change', error.problem, error.remedy),)
+    problems = validate(new_snapshot)
+    if len(record_to_json(new_snapshot)) > MAX_SNAPSHOT_BYTES:
+        return (
+            *problems,
+            _too_large_problem('the configuration', MAX_SNAPSHOT_BYTES),
+        )
     return problems
 
 
-def _too_large(what: str, most_bytes: int) -> Problem:
+def _too_large_problem(subject: str, max_bytes: int) -> Problem:
     return Problem(
-        what,
-        f'{what} takes more than {most_bytes} bytes',
+        subject,
+        f'{subject} takes more than {max_bytes} bytes',
         'Split it, or remove what is no longer used',
     )
--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -19,14 +19,14 @@
     ConfigurationWanted,
     make_news,
 )
-from dandelionyoke_core._configuration_questions import (
-    PeerQuestions,
-    QuestionSettings,
+from dandelionyoke_core._configuration_queries import (
+    PeerQueries,
+    PeerQuerySettings,
 )
 from dandelionyoke_core._configuration_reader import (
+    ConfirmedRead,
     HeadReader,
     ReaderSettings,
-    Reading,
 )
 from dandelionyoke_core._entities import Change, Snapshot
 from dandelionyoke_core._errors import DandelionyokeError
@@ -48,15 +48,15 @@
 WATCH_TOPIC = 'config/watch'
 # A node that lacks a change gives its peer's answer this long before it
 # reads the store, so that a gap in many nodes is no load on the store.
-GAP_PATIENCE_S = 2.0
+GAP_READ_DELAY_S = 2.0
 
 
 @attrs.frozen
 class ConfigurationSettings:
     """How news of the configuration travels."""
 
-    watchers_in_domain: int = 3
-    questions: QuestionSettings = attrs.field(factory=QuestionSettings)
+    watchers_per_domain: int = 3
+    queries: PeerQuerySettings = attrs.field(factory=PeerQuerySettings)
     reader: ReaderSettings = attrs.field(factory=ReaderSettings)
     knowledge: KnowledgeSettings = attrs.field(factory=KnowledgeSettings)
 
@@ -88,16 +88,16 @@
         self._random = random
         self._instance_id = instance_id
         self._watch_topic = f'{WATCH_TOPIC}/{domain}'
-        self._watchers_of: tuple[InstanceId, ...] = ()
+        self._watcher_candidates: tuple[InstanceId, ...] = ()
         self._watchers: Sequence[InstanceId] = ()
         self._knowledge = Knowledge(settings.knowledge)
         self._reader = HeadReader(
             settings.reader, random, f'config/{instance_id}'
         )
         self._confirmed_s: float | None = None
-        self._heard_revision = 0
-        self._store_at = 0
-        self._questions = PeerQuestions(settings.questions, random)
+        self._announced_revision = 0
+        self._store_config_revision = 0
+        self._queries = PeerQueries(settings.queries, random)
 
     @property
     def snapshot(self) -> Snapshot:
@@ -114,13 +114,16 @@
         """Tell when this part has to be woken, or None."""
         wakeups = (
             self._reader.next_wakeup_s(),
-            self._questions.next_wakeup_s(),
+            self._queries.next_wakeup_s(),
+        )
+        return min(
+            (wakeup_s for wakeup_s in wakeups if wakeup_s is not None),
+            default=None,
         )
-        return min((at_s for at_s in wakeups if at_s is not None), default=None)
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Take an event and say what follows from it."""
-        outputs = self._take(event, now_s)
+        outputs = self._dispatch(event, now_s)
         outputs.extend(
             self._reader.advance(
                 self._knowledge.revision, self._is_watcher(), now_s
@@ -129,56 +132,62 @@
         outputs.extend(self._ask_when_due(now_s))
         return outputs
 
-    def _take(self, event: Event, now_s: float) -> list[Output]:
+    def _dispatch(self, event: Event, now_s: float) -> list[Output]:
         match event:
             case Started():
-                self._reader.hurry(now_s)
-                self._questions.start(now_s)
+                self._reader.schedule_read(now_s)
+                self._queries.start(now_s)
             case StoreAnswered():
-                return self._take_answer(event, now_s)
+                return self._handle_store_answer(event, now_s)
             case PeerConnected(peer_id=peer_id):
-                self._questions.linked(peer_id)
+                self._queries.add_link(peer_id)
                 return self._ask_new_peer(peer_id, now_s)
             case PeerDisconnected(peer_id=peer_id):
-                self._questions.unlinked(peer_id)
+                self._queries.remove_link(peer_id)
             case PeersKnown() if self._is_watcher():
-                self._reader.hurry(now_s)
+                self._reader.schedule_read(now_s)
             case PeerMessageArrived():
-                return self._take_message(event, now_s)
+                return self._handle_peer_message(event, now_s)
             case RecordLearned(
                 record=ConfigurationNews() as news, from_peer=peer_id
             ):
-                outputs = self._take_changes(news.changes)
-                return outputs + self._catch_up(news.version, peer_id, now_s)
+                outputs = self._apply_changes(news.changes)
+                return outputs + self._request_missing(
+                    news.version, peer_id, now_s
+                )
         return []
 
-    def _take_message(
+    def _handle_peer_message(
         self, arrived: PeerMessageArrived, now_s: float
     ) -> list[Output]:
         peer_id = arrived.peer_id
         if isinstance(arrived.message, ConfigurationWanted):
-            offer = self._offer(arrived.message, now_s)
+            offer = self._make_offer(arrived.message, now_s)
             return [SendPeer(peer_id, offer)]
         if isinstance(arrived.message, ConfigurationOffered):
-            return self._take_offer(peer_id, arrived.message, now_s)
+            return self._handle_offer(peer_id, arrived.message, now_s)
         return []
 
     def _is_watcher(self) -> bool:
         live = self._peers.live_in_domain
-        if live != self._watchers_of:
-            self._watchers_of = live
+        if live != self._watcher_candidates:
+            self._watcher_candidates = live
             self._watchers = rendezvous(
-                live, self._watch_topic, self._settings.watchers_in_domain
+                live, self._watch_topic, self._settings.watchers_per_domain
             )
         return self._instance_id in self._watchers
 
-    def _take_answer(self, event: StoreAnswered, now_s: float) -> list[Output]:
-        actions, reading = self._reader.take(event, self._is_watcher(), now_s)
-        news = [] if reading is None else self._take_reading(reading)
+    def _handle_store_answer(
+        self, event: StoreAnswered, now_s: float
+    ) -> list[Output]:
+        actions, reading = self._reader.handle_answer(
+            event, self._is_watcher(), now_s
+        )
+        news = [] if reading is None else self._apply_reading(reading)
         return [*actions, *news]
 
-    def _take_reading(self, reading: Reading) -> list[Output]:
-        found = reading.found
+    def _apply_reading(self, reading: ConfirmedRead) -> list[Output]:
+        found = reading.head_read
         if (
             found.revision is not None
             and found.revision < self.snapshot.revision
@@ -193,26 +202,26 @@
                 )
             ]
         if found.snapshot is None:
-            outputs = self._take_changes(found.changes)
+            outputs = self._apply_changes(found.changes)
         else:
             outputs = self._knowledge.take_snapshot(
                 found.snapshot, found.changes
             )
         if found.revision is not None:
-            self._store_at = found.revision
-        if self._store_at >= self.snapshot.revision:
+            self._store_config_revision = found.revision
+        if self._store_config_revision >= self.snapshot.revision:
             self._confirm(reading.confirmed_s)
-        return self._with_news(outputs)
+        return self._with_announcement(outputs)
 
-    def _take_changes(self, changes: tuple[Change, ...]) -> list[Output]:
+    def _apply_changes(self, changes: tuple[Change, ...]) -> list[Output]:
         try:
             return self._knowledge.take_changes(changes)
-        except DandelionyokeError as wrong:
+        except DandelionyokeError as error:
             # Only a peer of another version can cause this; the store's
             # snapshot, which the next read takes, is the way out.
-            return [WriteLog('configuration.unusable', '', str(wrong))]
+            return [WriteLog('configuration.unusable', '', str(error))]
 
-    def _with_news(self, outputs: list[Output]) -> list[Output]:
+    def _with_announcement(self, outputs: list[Output]) -> list[Output]:
         if not outputs:
             return []
         news = make_news(self.snapshot.revision, self._knowledge.last_changes())
@@ -224,41 +233,43 @@
 
     # Questions to peers.
 
-    def _catch_up(
-        self, heard_revision: int, peer_id: InstanceId, now_s: float
+    def _request_missing(
+        self, announced_revision: int, peer_id: InstanceId, now_s: float
     ) -> list[Output]:
-        self._heard_revision = max(self._heard_revision, heard_revision)
-        if self._heard_revision <= self.snapshot.revision:
+        self._announced_revision = max(
+            self._announced_revision, announced_revision
+        )
+        if self._announced_revision <= self.snapshot.revision:
             return []
-        patience_s = self._random.uniform(0.5, 1) * GAP_PATIENCE_S
-        self._reader.hurry(now_s + patience_s)
-        if self._questions.is_waiting:
+        delay_s = self._random.uniform(0.5, 1) * GAP_READ_DELAY_S
+        self._reader.schedule_read(now_s + delay_s)
+        if self._queries.is_waiting:
             return []
         return [self._ask(peer_id, now_s)]
 
     def _ask_new_peer(self, peer_id: InstanceId, now_s: float) -> list[Output]:
-        if self._questions.is_waiting or self._reader.reaches_store:
+        if self._queries.is_waiting or self._reader.is_store_reachable:
             return []
-        if self._questions.is_fresh(self.knowledge_age_s(now_s)):
+        if self._queries.is_fresh(self.knowledge_age_s(now_s)):
             return []
         return [self._ask(peer_id, now_s)]
 
     def _ask_when_due(self, now_s: float) -> list[Output]:
-        peer_id = self._questions.choose(now_s)
+        peer_id = self._queries.choose_due_peer(now_s)
         age_s = self.knowledge_age_s(now_s)
-        if peer_id is None or self._questions.is_fresh(age_s):
+        if peer_id is None or self._queries.is_fresh(age_s):
             return []
         return [self._ask(peer_id, now_s)]
 
     def _ask(self, peer_id: InstanceId, now_s: float) -> SendPeer:
-        return self._questions.ask(
+        return self._queries.ask(
             peer_id,
             revision=self.snapshot.revision,
-            whole=not self._reader.reaches_store,
+            whole=not self._reader.is_store_reachable,
             now_s=now_s,
         )
 
-    def _offer(
+    def _make_offer(
         self, wanted: ConfigurationWanted, now_s: float
     ) -> ConfigurationOffered:
         changes = self._knowledge.changes_after(wanted.revision)
@@ -271,20 +282,22 @@
             snapshot=snapshot,
         )
 
-    def _take_offer(
+    def _handle_offer(
         self, peer_id: InstanceId, offered: ConfigurationOffered, now_s: float
     ) -> list[Output]:
-        asked_s = self._questions.match(peer_id, offered, now_s)
+        asked_s = self._queries.match(peer_id, offered, now_s)
         if asked_s is None:
             return []
-        outputs = self._take_changes(offered.changes)
+        outputs = self._apply_changes(offered.changes)
         if offered.snapshot is not None:
             outputs.extend(self._knowledge.take_snapshot(offered.snapshot))
         is_same = offered.revision == self.snapshot.revision
         if is_same and offered.age_s is not None:
             self._confirm(asked_s - offered.age_s)
-        self._heard_revision = max(self._heard_revision, offered.revision)
-        if self._heard_revision > self.snapshot.revision:
-            patience_s = self._random.uniform(0, 1) * GAP_PATIENCE_S
-            self._reader.hurry(now_s + patience_s)
-        return self._with_news(outputs)
+        self._announced_revision = max(
+            self._announced_revision, offered.revision
+        )
+        if self._announced_revision > self.snapshot.revision:
+            delay_s = self._random.uniform(0, 1) * GAP_READ_DELAY_S
+            self._reader.schedule_read(now_s + delay_s)
+        return self._with_announcement(outputs)
--- a/packages/core/dandelionyoke_core/_configuration_reader.py
+++ b/packages/core/dandelionyoke_core/_configuration_reader.py
@@ -13,19 +13,19 @@
     StoreItem,
     StoreListing,
 )
-from dandelionyoke_core._store_dialogue import Steps, StoreDialogue
 from dandelionyoke_core._store_layout import (
     HEAD_KEY,
+    ConfigurationStore,
     Loaded,
     StoreLayoutSettings,
-    StoreSteps,
     Unsettled,
-    read_head,
+    decode_head,
 )
+from dandelionyoke_core._store_task import StoreGenerator, StoreTask
 
 # The store's clock may run a little slower than this node's.
-CLOCK_MARGIN = 0.98
-MAX_DOUBLINGS = 16
+CLOCK_RATE_MARGIN = 0.98
+MAX_RETRY_DOUBLINGS = 16
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
     """How often the head is read, by watchers and by all others."""
 
     watch_wait_s: float = 10.0
-    check_every_s: float = 60.0
+    poll_interval_s: float = 60.0
     call_timeout_s: float = 10.0
     retry_min_s: float = 0.5
     retry_max_s: float = 4.0
@@ -51,10 +51,10 @@
 
 
 @attrs.frozen
-class Reading:
+class ConfirmedRead:
     """The end of a read: what held in the store at `confirmed_s`."""
 
-    found: HeadRead
+    head_read: HeadRead
     confirmed_s: float
 
 
@@ -72,26 +72,26 @@
     ) -> None:
         self._settings = settings
         self._random = random
-        self._store = StoreSteps(prefix, settings.layout)
-        self._dialogue: StoreDialogue[ReadOutcome] | None = None
-        self._begun_s = 0.0
+        self._store = ConfigurationStore(prefix, settings.layout)
+        self._task: StoreTask[ReadOutcome] | None = None
+        self._started_s = 0.0
         self._deadline_s = 0.0
-        self._watches = False
+        self._is_watch = False
         self._due_s: float | None = None
         self._store_revision: int | None = None
         self._failures = 0
-        self._succeeded = False
+        self._has_succeeded = False
 
     @property
-    def reaches_store(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Whether the last read had an answer."""
-        return self._succeeded and self._failures == 0
+        return self._has_succeeded and self._failures == 0
 
     def next_wakeup_s(self) -> float | None:
         """Tell when `advance` has something to do."""
-        return self._due_s if self._dialogue is None else self._deadline_s
+        return self._due_s if self._task is None else self._deadline_s
 
-    def hurry(self, due_s: float) -> None:
+    def schedule_read(self, due_s: float) -> None:
         """Read again by then, if no read is under way."""
         self._due_s = due_s if self._due_s is None else min(self._due_s, due_s)
 
@@ -99,90 +99,90 @@
         self, known_revision: int, is_watcher: bool, now_s: float
     ) -> list[Action]:
         """Give up on a read without an answer, and begin one that is due."""
-        if self._dialogue is not None:
+        if self._task is not None:
             if now_s < self._deadline_s:
                 return []
-            self._fail(is_watcher, now_s)
+            self._handle_failure(is_watcher, now_s)
         if self._due_s is None or now_s < self._due_s:
             return []
         return self._begin(known_revision, is_watcher, now_s)
 
-    def take(
+    def handle_answer(
         self, event: StoreAnswered, is_watcher: bool, now_s: float
-    ) -> tuple[list[Action], Reading | None]:
+    ) -> tuple[list[Action], ConfirmedRead | None]:
         """Take the end of a store call, of a read that may go on."""
-        dialogue = self._dialogue
-        if dialogue is None or dialogue.awaited != event.operation_id:
+        task = self._task
+        if task is None or task.pending_operation_id != event.operation_id:
             return [], None
         self._deadline_s = now_s + self._settings.call_timeout_s
-        actions = dialogue.handle(event, now_s)
-        if dialogue.outcome is None:
+        actions = task.handle(event, now_s)
+        if task.outcome is None:
             return actions, None
-        if isinstance(dialogue.outcome, Unsettled):
-            self._fail(is_watcher, now_s)
+        if isinstance(task.outcome, Unsettled):
+            self._handle_failure(is_watcher, now_s)
             return [], None
-        return [], self._finish(dialogue.outcome, is_watcher, now_s)
+        return [], self._finish(task.outcome, is_watcher, now_s)
 
     def _begin(
         self, known_revision: int, is_watcher: bool, now_s: float
     ) -> list[Action]:
-        self._watches = is_watcher and self._store_revision is not None
-        after = self._store_revision if self._watches else None
-        self._dialogue = StoreDialogue(self._read(after, known_revision))
-        self._begun_s = now_s
+        self._is_watch = is_watcher and self._store_revision is not None
+        after = self._store_revision if self._is_watch else None
+        self._task = StoreTask(self._read(after, known_revision))
+        self._started_s = now_s
         self._due_s = None
         self._deadline_s = now_s + self._settings.call_timeout_s
-        if self._watches:
+        if self._is_watch:
             self._deadline_s += self._settings.watch_wait_s
-        return self._dialogue.begin()
+        return self._task.begin()
 
     def _finish(
         self, found: HeadRead, is_watcher: bool, now_s: float
-    ) -> Reading:
-        confirmed_s = self._begun_s
-        if self._watches and found.revision is None:
-            waited_s = self._settings.watch_wait_s * CLOCK_MARGIN
-            confirmed_s = min(now_s, self._begun_s + waited_s)
-        self._dialogue = None
+    ) -> ConfirmedRead:
+        confirmed_s = self._started_s
+        if self._is_watch and found.revision is None:
+            waited_s = self._settings.watch_wait_s * CLOCK_RATE_MARGIN
+            confirmed_s = min(now_s, self._started_s + waited_s)
+        self._task = None
         self._failures = 0
-        self._succeeded = True
+        self._has_succeeded = True
         self._store_revision = found.store_revision
         self._due_s = now_s
         if not is_watcher:
             jitter = self._random.uniform(0.5, 1.5)
-            self._due_s += self._settings.check_every_s * jitter
-        return Reading(found, confirmed_s)
+            self._due_s += self._settings.poll_interval_s * jitter
+        return ConfirmedRead(found, confirmed_s)
 
-    def _fail(self, is_watcher: bool, now_s: float) -> None:
-        self._dialogue = None
+    def _handle_failure(self, is_watcher: bool, now_s: float) -> None:
+        self._task = None
         # A watch that failed may have skipped what it was to tell.
         self._store_revision = None
-        self._failures = min(self._failures + 1, MAX_DOUBLINGS)
-        most_s = self._settings.retry_max_s
-        if not is_watcher and self._succeeded:
-            most_s = self._settings.check_every_s
+        self._failures = min(self._failures + 1, MAX_RETRY_DOUBLINGS)
+        max_pause_s = self._settings.retry_max_s
+        if not is_watcher and self._has_succeeded:
+            max_pause_s = self._settings.poll_interval_s
         pause_s = self._settings.retry_min_s * 2 ** (self._failures - 1)
         jitter = self._random.uniform(0.5, 1)
-        self._due_s = now_s + min(most_s, pause_s) * jitter
+        self._due_s = now_s + min(max_pause_s, pause_s) * jitter
 
     def _read(
         self, watch_after: int | None, known_revision: int
-    ) -> Steps[ReadOutcome]:
+    ) -> StoreGenerator[ReadOutcome]:
         found = yield from self._read_head(watch_after)
         if not isinstance(found, StoreItem):
             return found
         try:
-            return (yield from self._read_below(found, known_revision))
-        except DandelionyokeError as wrong:
-            return Unsettled(str(wrong))
+            return (yield from self._read_content(found, known_revision))
+        except DandelionyokeError as error:
+            return Unsettled(str(error))
 
     def _read_head(
         self, watch_after: int | None
-    ) -> Steps[StoreItem | ReadOutcome]:
+    ) -> StoreGenerator[StoreItem | ReadOutcome]:
         if watch_after is None:
-            return (yield from self._store.get_once(HEAD_KEY))
+            return (yield from self._store.read_once(HEAD_KEY))
         answer = yield StoreWatch(
-            operation_id=self._store.next_id(),
+            operation_id=self._store.next_operation_id(),
             prefix=HEAD_KEY,
             after_revision=watch_after,
             wait_s=self._settings.watch_wait_s,
@@ -195,14 +195,14 @@
             return max(items, key=lambda item: item.revision)
         return HeadRead(max(watch_after, answer.revision))
 
-    def _read_below(
+    def _read_content(
         self, item: StoreItem, known_revision: int
-    ) -> Steps[ReadOutcome]:
-        head = read_head(item)
+    ) -> StoreGenerator[ReadOutcome]:
+        head = decode_head(item)
         kept_after = head.revision - len(head.changes)
         if max(known_revision, kept_after) == known_revision:
             return HeadRead(item.revision, head.revision, head.changes)
-        loaded = yield from self._store.load_from(item)
+        loaded = yield from self._store.load_from_head(item)
         if not isinstance(loaded, Loaded):
             return loaded
         return HeadRead(
--- a/packages/core/dandelionyoke_core/_store_layout.py
+++ b/packages/core/dandelionyoke_core/_store_layout.py
@@ -22,7 +22,7 @@
     StoreItem,
     StoreWritten,
 )
-from dandelionyoke_core._store_dialogue import Steps, StoreDialogue
+from dandelionyoke_core._store_task import StoreGenerator, StoreTask
 
 HEAD_KEY = 'config/head'
 SNAPSHOT_PREFIX = 'config/snapshot/'
@@ -78,15 +78,17 @@
 LoadOutcome = Loaded | Unsettled
 
 
-class StoreSteps:
+class ConfigurationStore:
     """The store calls of reading and changing a configuration."""
 
     def __init__(self, prefix: str, settings: StoreLayoutSettings) -> None:
         self._prefix = prefix
         self._settings = settings
-        self._numbers = itertools.count(1)
+        self._operation_numbers = itertools.count(1)
 
-    def load(self, history_from: int | None = None) -> Steps[LoadOutcome]:
+    def load(
+        self, history_from: int | None = None
+    ) -> StoreGenerator[LoadOutcome]:
         """Read all of a configuration.
 
         The snapshot can be gone by the time that it is read, because newer
@@ -94,31 +96,31 @@
         """
         cause = ''
         for _ in range(self._settings.max_tries):
-            head_item = yield from self.get(HEAD_KEY)
+            head_item = yield from self.read(HEAD_KEY)
             if isinstance(head_item, Unsettled):
                 return head_item
             try:
-                loaded = yield from self.load_from(head_item, history_from)
-            except DandelionyokeError as wrong:
-                return Unsettled(str(wrong))
+                loaded = yield from self.load_from_head(head_item, history_from)
+            except DandelionyokeError as error:
+                return Unsettled(str(error))
             if isinstance(loaded, Loaded):
                 return loaded
             cause = loaded.cause
         return Unsettled(cause)
 
-    def load_from(
+    def load_from_head(
         self, head_item: StoreItem, history_from: int | None = None
-    ) -> Steps[LoadOutcome]:
+    ) -> StoreGenerator[LoadOutcome]:
         """Read what a head rests on."""
-        head = read_head(head_item)
-        base = yield from self._get_snapshot(head.snapshot_revision)
+        head = decode_head(head_item)
+        base = yield from self._read_snapshot(head.snapshot_revision)
         if isinstance(base, Unsettled):
             return base
         first = head.snapshot_revision + 1
         if history_from is not None:
             oldest = head.revision - self._settings.max_changes_since
             first = max(1, oldest, min(first, history_from))
-        changes = yield from self.get_changes(head, first)
+        changes = yield from self.read_changes(head, first)
         if isinstance(changes, Unsettled):
             return changes
         snapshot = base
@@ -127,14 +129,14 @@
                 snapshot = apply_change(snapshot, change)
         return Loaded(snapshot, changes, head, head_item.revision)
 
-    def get_changes(
+    def read_changes(
         self, head: Head, first: int
-    ) -> Steps[tuple[Change, ...] | Unsettled]:
+    ) -> StoreGenerator[tuple[Change, ...] | Unsettled]:
         """Read the changes from a revision up to the head's."""
-        kept_from = head.revision - len(head.changes) + 1
+        first_kept = head.revision - len(head.changes) + 1
         found: list[Change] = []
-        for revision in range(first, kept_from):
-            text = yield from self._get_text(change_key(revision))
+        for revision in range(first, first_kept):
+            text = yield from self._read_text(change_key(revision))
             if isinstance(text, Unsettled):
                 return text
             found.append(record_from_json(text, Change))
@@ -143,71 +145,75 @@
         )
         return tuple(found)
 
-    def get(self, key: str) -> Steps[StoreItem | Unsettled]:
+    def read(self, key: str) -> StoreGenerator[StoreItem | Unsettled]:
         """Read a key, with a bounded number of tries."""
         found: StoreItem | Unsettled = Unsettled('')
         for _ in range(self._settings.max_tries):
-            found = yield from self.get_once(key)
+            found = yield from self.read_once(key)
             if isinstance(found, StoreItem):
                 return found
         return found
 
-    def get_once(self, key: str) -> Steps[StoreItem | Unsettled]:
+    def read_once(self, key: str) -> StoreGenerator[StoreItem | Unsettled]:
         """Read a key, with one try."""
-        answer = yield StoreGet(self.next_id(), key)
+        answer = yield StoreGet(self.next_operation_id(), key)
         if isinstance(answer, StoreItem):
             return answer
-        return Unsettled(_cause_of(answer))
+        return Unsettled(_failure_cause(answer))
 
-    def create(self, key: str, text: str) -> Steps[Unsettled | None]:
+    def create(self, key: str, text: str) -> StoreGenerator[Unsettled | None]:
         """Write an immutable key; it is fine if it is there already."""
         cause = ''
         for _ in range(self._settings.max_tries):
-            answer = yield StorePut(self.next_id(), key, text, 0)
+            answer = yield StorePut(self.next_operation_id(), key, text, 0)
             if isinstance(answer, StoreWritten | StoreConflict):
                 return None
-            cause = _cause_of(answer)
+            cause = _failure_cause(answer)
         return Unsettled(cause)
 
-    def swap(
+    def compare_and_swap(
         self, key: str, text: str, expected_revision: int
-    ) -> Steps[StoreWritten | StoreConflict | StoreFailed]:
+    ) -> StoreGenerator[StoreWritten | StoreConflict | StoreFailed]:
         """Write a key by compare-and-swap, once."""
-        answer = yield StorePut(self.next_id(), key, text, expected_revision)
+        answer = yield StorePut(
+            self.next_operation_id(), key, text, expected_revision
+        )
         if isinstance(answer, StoreWritten | StoreConflict):
             return answer
         if isinstance(answer, StoreFailed):
             return answer
-        return StoreFailed(_cause_of(answer), may_have_happened=True)
+        return StoreFailed(_failure_cause(answer), may_have_happened=True)
 
-    def drop(self, key: str) -> Steps[None]:
+    def delete(self, key: str) -> StoreGenerator[None]:
         """Remove a key that nothing names any more, with one try."""
-        found = yield from self.get_once(key)
+        found = yield from self.read_once(key)
         if isinstance(found, StoreItem) and found.value is not None:
-            yield StoreDelete(self.next_id(), key, found.revision)
+            yield StoreDelete(self.next_operation_id(), key, found.revision)
 
-    def _get_snapshot(self, revision: int) -> Steps[Snapshot | Unsettled]:
+    def _read_snapshot(
+        self, revision: int
+    ) -> StoreGenerator[Snapshot | Unsettled]:
         if revision == 0:
             return Snapshot()
-        text = yield from self._get_text(snapshot_key(revision))
+        text = yield from self._read_text(snapshot_key(revision))
         if isinstance(text, Unsettled):
             return text
         return record_from_json(text, Snapshot)
 
-    def _get_text(self, key: str) -> Steps[str | Unsettled]:
-        found = yield from self.get(key)
+    def _read_text(self, key: str) -> StoreGenerator[str | Unsettled]:
+        found = yield from self.read(key)
         if isinstance(found, Unsettled):
             return found
         if found.value is None:
             return Unsettled(f'{key} is gone')
         return found.value
 
-    def next_id(self) -> OperationId:
+    def next_operation_id(self) -> OperationId:
         """Name the next call."""
-        return OperationId(f'{self._prefix}/{next(self._numbers)}')
+        return OperationId(f'{self._prefix}/{next(self._operation_numbers)}')
 
 
-class ConfigurationLoader(StoreDialogue[LoadOutcome]):
+class ConfigurationLoader(StoreTask[LoadOutcome]):
     """Reads a configuration, and its changes from a revision on."""
 
     def __init__(
@@ -216,8 +222,8 @@
         settings: StoreLayoutSettings | None = None,
         prefix: str = 'config-load',
     ) -> None:
-        steps = StoreSteps(prefix, settings or StoreLayoutSettings())
-        super().__init__(steps.load(history_from))
+        store = ConfigurationStore(prefix, settings or StoreLayoutSettings())
+        super().__init__(store.load(history_from))
 
     @property
     def snapshot(self) -> Snapshot:
@@ -244,14 +250,14 @@
     return f'{SNAPSHOT_PREFIX}{revision}'
 
 
-def read_head(item: StoreItem) -> Head:
+def decode_head(item: StoreItem) -> Head:
     """Read the head; a store without one holds the empty configuration."""
     if item.value is None:
         return Head()
     return record_from_json(item.value, Head)
 
 
-def _cause_of(answer: object) -> str:
+def _failure_cause(answer: object) -> str:
     if isinstance(answer, StoreFailed):
         return answer.cause
     return f'the store answered with {type(answer).__name__}'
