--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -30,11 +30,11 @@
 
 CONTROL_DUTY = 'control'
 # With more services than this the looks are further apart.
-SERVICES_PER_LOOK = 4
+SERVICES_PER_INTERVAL = 4
 
 
 @attrs.frozen
-class Duty:
+class ControlDuty:
     """The duty that this node holds."""
 
     fence: int
@@ -73,29 +73,31 @@
         self._targets = targets
         self._work = work
         self._domain = domain
-        self._duty: Duty | None = None
+        self._duty: ControlDuty | None = None
         self._deciders: dict[ServiceName, Deciders] = {}
-        self._next_s: float | None = None
+        self._next_decision_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Take an event and say what follows from it."""
         match event:
             case DutyGained() | DutyExtended() if event.duty == CONTROL_DUTY:
-                self._duty = Duty(event.fence, event.until_s)
-                if self._next_s is None:
-                    self._next_s = now_s + self._settings.look_interval_s
+                self._duty = ControlDuty(event.fence, event.until_s)
+                if self._next_decision_s is None:
+                    self._next_decision_s = (
+                        now_s + self._settings.decision_interval_s
+                    )
             case DutyLost() if event.duty == CONTROL_DUTY:
                 self._stop()
             case Woken():
-                return self._wake(now_s)
+                return self._handle_wakeup(now_s)
         return []
 
     def next_wakeup_s(self) -> float | None:
         """Tell when the next look is due."""
-        return self._next_s
+        return self._next_decision_s
 
-    def _wake(self, now_s: float) -> list[Output]:
-        if self._next_s is None or now_s < self._next_s:
+    def _handle_wakeup(self, now_s: float) -> list[Output]:
+        if self._next_decision_s is None or now_s < self._next_decision_s:
             return []
         duty = self._duty
         if duty is None or now_s >= duty.until_s:
@@ -107,8 +109,10 @@
             if service.kind is ServiceKind.ENGINE
         ]
         # A look costs about a millisecond for each service.
-        slower = max(1, len(services) / SERVICES_PER_LOOK)
-        self._next_s = now_s + self._settings.look_interval_s * slower
+        interval_factor = max(1, len(services) / SERVICES_PER_INTERVAL)
+        self._next_decision_s = (
+            now_s + self._settings.decision_interval_s * interval_factor
+        )
         return [
             output
             for service in services
@@ -117,11 +121,11 @@
 
     def _stop(self) -> None:
         self._duty = None
-        self._next_s = None
+        self._next_decision_s = None
         self._deciders.clear()
 
     def _decide(
-        self, service: Service, duty: Duty, now_s: float
+        self, service: Service, duty: ControlDuty, now_s: float
     ) -> list[Output]:
         name = service.service_name
         place = FleetPlace(self._domain, name, duty.fence)
@@ -129,19 +133,23 @@
         fresh_share = self._targets.fresh_share(name)
         deciders = self._deciders_of(name)
         sights = self._targets.sights(name, now_s)
-        here = [one for one in sights if one.target.domain == self._domain]
+        domain_sights = [
+            sight for sight in sights if sight.target.domain == self._domain
+        ]
         outputs: list[Output] = []
         outputs.extend(
             deciders.roles.decide(
                 place,
-                _fast_rows(mix, fresh_share, _part(here, sights)),
-                here,
+                _short_term_rows(
+                    mix, fresh_share, _domain_share(domain_sights, sights)
+                ),
+                domain_sights,
                 now_s,
             )
         )
         outputs.extend(
             deciders.size.decide(
-                place, service, _slow_rows(mix, fresh_share), sights, now_s
+                place, service, _long_term_rows(mix, fresh_share), sights, now_s
             )
         )
         return outputs
@@ -158,19 +166,23 @@
         return deciders
 
 
-def _part(here: Sequence[TargetSight], sights: Sequence[TargetSight]) -> float:
+def _domain_share(
+    domain_sights: Sequence[TargetSight], sights: Sequence[TargetSight]
+) -> float:
     """Tell a domain's part of the targets that answer.
 
     In a cut the far ones do not, and this side has all of its work to do.
     One that drains for a change still counts: its domain's part would else
     go to the others, who would change roles for it.
     """
-    reached = sum(sight.is_reached for sight in sights)
-    return sum(sight.is_reached for sight in here) / max(1, reached)
+    reached_count = sum(sight.is_reached for sight in sights)
+    return sum(sight.is_reached for sight in domain_sights) / max(
+        1, reached_count
+    )
 
 
-def _fast_rows(
-    mix: tuple[MixRow, ...], fresh_share: float, part: float
+def _short_term_rows(
+    mix: tuple[MixRow, ...], fresh_share: float, domain_share: float
 ) -> list[WorkRow]:
     """Give a domain its part of the work, by its part of the targets.
 
@@ -179,12 +191,17 @@
     all the work would change along with every other domain, and back.
     """
     return [
-        WorkRow(row.prompt_per_s * fresh_share * part, row.output_per_s * part)
+        WorkRow(
+            row.prompt_per_s * fresh_share * domain_share,
+            row.output_per_s * domain_share,
+        )
         for row in mix
     ]
 
 
-def _slow_rows(mix: tuple[MixRow, ...], fresh_share: float) -> list[WorkRow]:
+def _long_term_rows(
+    mix: tuple[MixRow, ...], fresh_share: float
+) -> list[WorkRow]:
     return [
         WorkRow(row.slow_prompt_per_s * fresh_share, row.slow_output_per_s)
         for row in mix
--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -10,14 +10,14 @@
 from dandelionyoke_core._fleet_view import FleetPlace, TargetSight
 from dandelionyoke_core._mix_history import MixHistory
 from dandelionyoke_core._records import Role
-from dandelionyoke_core._role_plan import WorkRow, changed, stress
+from dandelionyoke_core._role_plan import WorkRow, stress, with_role_changed
 
 
 @attrs.frozen
 class RoleChange:
     """A change that was decided on."""
 
-    wish: RoleWanted
+    request: RoleWanted
     decided_s: float
 
 
@@ -28,8 +28,8 @@
     settings: FleetSettings
     history: MixHistory
     _change: RoleChange | None = None
-    _told_s: float = 0.0
-    _quiet_until_s: float = 0.0
+    _sent_s: float = 0.0
+    _cooldown_until_s: float = 0.0
 
     def decide(
         self,
@@ -41,47 +41,50 @@
         """Follow the change that is open, or look for one that pays."""
         self.history.learn(rows, self.settings.speed, now_s)
         if self._change is not None:
-            return self._follow(self._change, place, sights, now_s)
-        if now_s < self._quiet_until_s:
+            return self._track(self._change, place, sights, now_s)
+        if now_s < self._cooldown_until_s:
             return []
         # The first calls after a start say little of the mix.
-        if self.history.known_s(now_s) < self.settings.known_after_s:
+        if self.history.known_s(now_s) < self.settings.min_observation_s:
             return []
-        wish = self._best(place, rows, sights, now_s)
-        if wish is None:
+        request = self._find_best(place, rows, sights, now_s)
+        if request is None:
             return []
-        self._change = RoleChange(wish, now_s)
-        self._told_s = now_s
-        return [wish]
+        self._change = RoleChange(request, now_s)
+        self._sent_s = now_s
+        return [request]
 
-    def forget(self) -> None:
+    def cancel(self) -> None:
         """Drop the open change, as when another one decides."""
         self._change = None
 
-    def _follow(
+    def _track(
         self,
         change: RoleChange,
         place: FleetPlace,
         sights: Sequence[TargetSight],
         now_s: float,
     ) -> list[RoleWanted]:
-        wish = change.wish
-        done = any(
-            sight.target.target_id == wish.target_id
-            and sight.role is wish.role
+        request = change.request
+        is_done = any(
+            sight.target.target_id == request.target_id
+            and sight.role is request.role
             and sight.is_usable
             for sight in sights
         )
-        if done or now_s - change.decided_s > self.settings.wish_limit_s:
+        if (
+            is_done
+            or now_s - change.decided_s > self.settings.role_change_timeout_s
+        ):
             self._change = None
-            self._quiet_until_s = now_s + self.settings.settle_s
+            self._cooldown_until_s = now_s + self.settings.role_cooldown_s
             return []
-        if now_s - self._told_s < self.settings.repeat_s:
+        if now_s - self._sent_s < self.settings.resend_interval_s:
             return []
-        self._told_s = now_s
-        return [attrs.evolve(wish, fence=place.fence)]
+        self._sent_s = now_s
+        return [attrs.evolve(request, fence=place.fence)]
 
-    def _best(
+    def _find_best(
         self,
         place: FleetPlace,
         rows: Sequence[WorkRow],
@@ -97,11 +100,11 @@
         before = stress(rows, counts, speed)
         if before <= self.settings.comfortable_stress:
             return None
-        found = [
-            (stress(rows, changed(counts, old, new), speed), old, new)
-            for old, new in _changes(counts)
+        candidates = [
+            (stress(rows, with_role_changed(counts, old, new), speed), old, new)
+            for old, new in _possible_changes(counts)
         ]
-        after, old, new = min(found, key=lambda one: one[0])
+        after, old, new = min(candidates, key=lambda candidate: candidate[0])
         gain_s = self._gain_s(before, after, len(usable), now_s)
         if gain_s < self.settings.change_cost_s * self.settings.gain_factor:
             return None
@@ -118,18 +121,18 @@
         )
 
     def _gain_s(
-        self, before: float, after: float, engines: int, now_s: float
+        self, before: float, after: float, engine_count: int, now_s: float
     ) -> float:
         """Engine seconds saved while the mix is expected to hold."""
         settings = self.settings
         held_s = self.history.held_s(now_s)
         hold_s = min(settings.max_hold_s, max(settings.min_hold_s, held_s))
         comfortable = settings.comfortable_stress
-        saved = max(before, comfortable) - max(after, comfortable)
-        return saved * engines * hold_s
+        saved_share = max(before, comfortable) - max(after, comfortable)
+        return saved_share * engine_count * hold_s
 
 
-def _changes(counts: Counter[Role]) -> Iterator[tuple[Role, Role]]:
+def _possible_changes(counts: Counter[Role]) -> Iterator[tuple[Role, Role]]:
     for old in Role:
         for new in Role:
             if old is not new and counts[old]:
--- a/packages/core/dandelionyoke_core/_fleet_settings.py
+++ b/packages/core/dandelionyoke_core/_fleet_settings.py
@@ -17,17 +17,17 @@
     that of the demand, which a change does not alter.
     """
 
-    look_interval_s: float = 2.0
+    decision_interval_s: float = 2.0
     change_cost_s: float = 8.0
     gain_factor: float = 1.5
     comfortable_stress: float = 0.7
     min_hold_s: float = 30.0
     max_hold_s: float = 300.0
     shift_threshold: float = 0.15
-    settle_s: float = 2.0
-    known_after_s: float = 15.0
-    wish_limit_s: float = 60.0
-    repeat_s: float = 5.0
+    role_cooldown_s: float = 2.0
+    min_observation_s: float = 15.0
+    role_change_timeout_s: float = 60.0
+    resend_interval_s: float = 5.0
     grow_stress: float = 0.85
     shrink_stress: float = 0.5
     grow_after_s: float = 20.0
--- a/packages/core/dandelionyoke_core/_reclaimable_budget.py
+++ b/packages/core/dandelionyoke_core/_reclaimable_budget.py
@@ -9,7 +9,7 @@
 BURST_ENGINE_S = 1.0
 
 
-def _rate() -> DecayingRate:
+def _make_rate() -> DecayingRate:
     return DecayingRate(WINDOW_S)
 
 
@@ -17,12 +17,12 @@
 class ReclaimableBudget:
     """Work that this entry sent lately, in seconds of an engine."""
 
-    _all: DecayingRate = attrs.field(factory=_rate)
-    _reclaimable: DecayingRate = attrs.field(factory=_rate)
+    _total: DecayingRate = attrs.field(factory=_make_rate)
+    _reclaimable: DecayingRate = attrs.field(factory=_make_rate)
 
     def add(self, engine_s: float, now_s: float, *, reclaimable: bool) -> None:
         """Count work that was sent."""
-        self._all.add(engine_s, now_s)
+        self._total.add(engine_s, now_s)
         if reclaimable:
             self._reclaimable.add(engine_s, now_s)
 
@@ -30,6 +30,6 @@
         """Tell whether more work may go to reclaimable targets."""
         if share <= 0:
             return False
-        whole = self._all.amount(now_s) + engine_s + BURST_ENGINE_S
-        there = self._reclaimable.amount(now_s) + engine_s
-        return there <= share * whole
+        total = self._total.amount(now_s) + engine_s + BURST_ENGINE_S
+        reclaimable = self._reclaimable.amount(now_s) + engine_s
+        return reclaimable <= share * total
--- a/packages/core/dandelionyoke_core/_role_plan.py
+++ b/packages/core/dandelionyoke_core/_role_plan.py
@@ -9,10 +9,10 @@
 
 Counts = Mapping[Role, int]
 
-STEPS = 12
-LEAST_STRESS = 0.01
-MOST_STRESS = 20.0
-TINY = 1e-6
+BISECTION_STEPS = 12
+MIN_STRESS = 0.01
+MAX_STRESS = 20.0
+EPSILON = 1e-6
 
 
 @attrs.frozen
@@ -25,26 +25,26 @@
     @property
     def ratio(self) -> float:
         """Prompt tokens for each output token."""
-        return self.prompt_per_s / max(self.output_per_s, TINY)
+        return self.prompt_per_s / max(self.output_per_s, EPSILON)
 
 
 @attrs.define
-class Room:
+class RoleTimeBudget:
     """What is left of the time of the engines in one role."""
 
     role: Role
-    time: float
-    prefill_time: float
+    time_left: float
+    prefill_time_left: float
 
-    def take(self, row: WorkRow, speed: EngineSpeed) -> float:
+    def allocate(self, row: WorkRow, speed: EngineSpeed) -> float:
         """Take as much of a row's work as there is room for; tell the part."""
         prefill = row.prompt_per_s / speed.prefill_rate(self.role)
-        whole = prefill + row.output_per_s / speed.decode_rate(self.role)
-        part = min(1.0, self.time / max(whole, TINY))
-        part = min(part, self.prefill_time / max(prefill, TINY))
-        self.time -= part * whole
-        self.prefill_time -= part * prefill
-        return part
+        total = prefill + row.output_per_s / speed.decode_rate(self.role)
+        fraction = min(1.0, self.time_left / max(total, EPSILON))
+        fraction = min(fraction, self.prefill_time_left / max(prefill, EPSILON))
+        self.time_left -= fraction * total
+        self.prefill_time_left -= fraction * prefill
+        return fraction
 
 
 def stress(
@@ -55,17 +55,17 @@
     It is the factor by which all engines' time would have to grow to hold
     just this work.
     """
-    low, high = LEAST_STRESS, MOST_STRESS
-    for _ in range(STEPS):
+    low, high = MIN_STRESS, MAX_STRESS
+    for _ in range(BISECTION_STEPS):
         middle = (low * high) ** 0.5
-        if _fits(rows, counts, speed, middle):
+        if _can_fit(rows, counts, speed, middle):
             high = middle
         else:
             low = middle
     return high
 
 
-def _fits(
+def _can_fit(
     rows: Sequence[WorkRow], counts: Counts, speed: EngineSpeed, factor: float
 ) -> bool:
     """Place long prompts on prefill engines, long outputs on decode ones.
@@ -73,40 +73,44 @@
     What finds no room there goes to the mixed ones, and then wherever room
     is left.
     """
-    rooms = {
-        role: Room(
+    budgets = {
+        role: RoleTimeBudget(
             role,
             count * factor,
             count * factor * ROLE_RATES[role].prefill_share,
         )
         for role, count in counts.items()
     }
-    ranked = sorted(rows, key=lambda row: row.ratio, reverse=True)
-    ranked = _place(ranked, rooms.get(Role.PREFILL), speed)
-    ranked = _place(list(reversed(ranked)), rooms.get(Role.DECODE), speed)
+    remaining = sorted(rows, key=lambda row: row.ratio, reverse=True)
+    remaining = _allocate_rows(remaining, budgets.get(Role.PREFILL), speed)
+    remaining = _allocate_rows(
+        list(reversed(remaining)), budgets.get(Role.DECODE), speed
+    )
     for role in (Role.MIXED, Role.DECODE, Role.PREFILL):
-        ranked = _place(ranked, rooms.get(role), speed)
-    return not ranked
+        remaining = _allocate_rows(remaining, budgets.get(role), speed)
+    return not remaining
 
 
-def _place(
-    rows: Sequence[WorkRow], room: Room | None, speed: EngineSpeed
+def _allocate_rows(
+    rows: Sequence[WorkRow], budget: RoleTimeBudget | None, speed: EngineSpeed
 ) -> list[WorkRow]:
     """Put rows into a room in order; give back what is left of them."""
-    if room is None:
+    if budget is None:
         return list(rows)
-    left: list[WorkRow] = []
+    unplaced: list[WorkRow] = []
     for row in rows:
-        part = room.take(row, speed)
-        if part < 1 - TINY:
-            rest = 1 - part
-            left.append(
+        fraction = budget.allocate(row, speed)
+        if fraction < 1 - EPSILON:
+            rest = 1 - fraction
+            unplaced.append(
                 WorkRow(row.prompt_per_s * rest, row.output_per_s * rest)
             )
-    return left
+    return unplaced
 
 
-def changed(counts: Counts, before: Role, after: Role) -> dict[Role, int]:
+def with_role_changed(
+    counts: Counts, before: Role, after: Role
+) -> dict[Role, int]:
     """Give the counts with one engine in another role."""
     found = dict(counts)
     found[before] = found.get(before, 0) - 1
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -170,7 +170,9 @@
             changes += changes_in(wanted)
         # A swing may come right after the roles were fitted to the last mix;
         # it may then cost what a change of each of the four engines takes.
-        each_s = CHANGE_S + SETTINGS.settle_s + SETTINGS.look_interval_s
+        each_s = (
+            CHANGE_S + SETTINGS.role_cooldown_s + SETTINGS.decision_interval_s
+        )
         swings_s = len(phases) * 4 * each_s
         self.assertLessEqual(lost_s, naive_lost_s + swings_s)
         self.assertLessEqual(changes, 6 * len(phases))
