--- a/packages/core/dandelionyoke_core/_order_journal.py
+++ b/packages/core/dandelionyoke_core/_order_journal.py
@@ -40,76 +40,76 @@
         self._fence = 0
         self._revision = 0
         self._saved = Journal(0)
-        self._sent: Journal | None = None
-        self._retry_s: float | None = None
+        self._in_flight: Journal | None = None
+        self._retry_at_s: float | None = None
         self._is_dirty = False
-        self.is_taken = False
+        self.is_taken_over = False
 
-    def begin(self, fence: int, now_s: float) -> list[Output]:
+    def take_over(self, fence: int, now_s: float) -> list[Output]:
         """Take the journal over from whoever had it."""
-        self.end()
+        self.reset()
         self._fence = fence
         return [StoreGet(self.slot.open(now_s), self._key)]
 
-    def end(self) -> None:
+    def reset(self) -> None:
         """Forget everything; what was sent stays sent."""
         self.slot.drop()
         self.plans = {}
         self._fence = 0
-        self._sent = None
-        self._retry_s = None
+        self._in_flight = None
+        self._retry_at_s = None
         self._is_dirty = False
-        self.is_taken = False
+        self.is_taken_over = False
 
     def next_wakeup_s(self) -> float | None:
         """Tell when the store has to be asked again."""
-        times = (self._retry_s, self.slot.next_wakeup_s())
+        times = (self._retry_at_s, self.slot.next_wakeup_s())
         return min((due for due in times if due is not None), default=None)
 
-    def has(self, plan: Plan) -> bool:
+    def is_saved(self, plan: Plan) -> bool:
         """Tell whether the store is known to have this very plan."""
-        return self.is_taken and plan in self._saved.plans
+        return self.is_taken_over and plan in self._saved.plans
 
     def put(self, plan: Plan) -> None:
         """Change a plan."""
         self.plans[plan.plan_id] = plan
         self._is_dirty = True
 
-    def drop(self, plan: Plan) -> None:
+    def remove(self, plan: Plan) -> None:
         """End a plan."""
         self.plans.pop(plan.plan_id, None)
         self._is_dirty = True
 
-    def due(self, now_s: float) -> list[Output]:
+    def write_if_due(self, now_s: float) -> list[Output]:
         """Write what has changed, or ask again after a failure."""
         if not self._fence or not self.slot.is_free:
             return []
-        if self._retry_s is not None:
-            if now_s < self._retry_s:
+        if self._retry_at_s is not None:
+            if now_s < self._retry_at_s:
                 return []
-            self._retry_s = None
-            if self._sent is None:
+            self._retry_at_s = None
+            if self._in_flight is None:
                 return [StoreGet(self.slot.open(now_s), self._key)]
-            return self._write(self._sent, now_s)
-        if self.is_taken and self._is_dirty:
-            return self._write(self._next(self._saved.version), now_s)
+            return self._write(self._in_flight, now_s)
+        if self.is_taken_over and self._is_dirty:
+            return self._write(self._next_journal(self._saved.version), now_s)
         return []
 
-    def ended(self, result: StoreResult, now_s: float) -> list[Output]:
+    def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
         """Take the end of a call.
 
         Raises:
             CodecError: the journal cannot be read.
         """
         match result:
-            case StoreWritten(revision=revision) if self._sent is not None:
-                self._written(self._sent, revision)
-                return self.due(now_s)
+            case StoreWritten(revision=revision) if self._in_flight is not None:
+                self._handle_written(self._in_flight, revision)
+                return self.write_if_due(now_s)
             case StoreConflict(present=present):
-                return self._found(present, now_s)
+                return self._handle_present(present, now_s)
             case StoreItem():
-                return self._found(result, now_s)
-        self._retry_s = now_s + self._back_off.next_s()
+                return self._handle_present(result, now_s)
+        self._retry_at_s = now_s + self._back_off.next_s()
         return []
 
     @property
@@ -117,29 +117,29 @@
         """Whether a holder with a higher number has written."""
         return bool(self._fence) and self._saved.fence > self._fence
 
-    def _found(self, present: StoreItem, now_s: float) -> list[Output]:
+    def _handle_present(self, present: StoreItem, now_s: float) -> list[Output]:
         found = Journal(0)
         if present.value is not None:
             found = record_from_json(present.value, Journal)
-        if found == self._sent:
+        if found == self._in_flight:
             # The write took effect and its answer was lost.
-            self._written(found, present.revision)
-            return self.due(now_s)
+            self._handle_written(found, present.revision)
+            return self.write_if_due(now_s)
         self._saved = found
         self._revision = present.revision
         if found.fence > self._fence:
             return []
         self.plans = {plan.plan_id: plan for plan in found.plans}
-        return self._write(self._next(found.version), now_s)
+        return self._write(self._next_journal(found.version), now_s)
 
-    def _written(self, journal: Journal, revision: int) -> None:
+    def _handle_written(self, journal: Journal, revision: int) -> None:
         self._back_off.reset()
         self._saved = journal
         self._revision = revision
-        self._sent = None
-        self.is_taken = True
+        self._in_flight = None
+        self.is_taken_over = True
 
-    def _next(self, version: int) -> Journal:
+    def _next_journal(self, version: int) -> Journal:
         self._is_dirty = False
         plans = tuple(self.plans[name] for name in sorted(self.plans))
         return Journal(self._fence, version + 1, plans)
@@ -148,7 +148,7 @@
         # A failed write is tried again as it was, whatever has changed
         # since: else a write whose answer was lost would look like another
         # holder's.
-        self._sent = journal
+        self._in_flight = journal
         return [
             StorePut(
                 self.slot.open(now_s),
@@ -159,6 +159,6 @@
         ]
 
 
-def unreadable(error: CodecError) -> str:
+def unreadable_cause(error: CodecError) -> str:
     """Say why the journal stands still."""
     return f'the journal cannot be read: {error}'
--- a/packages/core/dandelionyoke_core/_order_plans.py
+++ b/packages/core/dandelionyoke_core/_order_plans.py
@@ -77,33 +77,33 @@
 
 
 @attrs.define
-class OrderNumbers:
+class OrderIdGenerator:
     """Names orders; a fencing number is never given out twice."""
 
     domain: Domain
     fence: int
     _count: int = 0
 
-    def next_id(self) -> OrderId:
+    def next_order_id(self) -> OrderId:
         """Name the next order."""
         self._count += 1
         return OrderId(f'{self.domain}.{self.fence}.{self._count}')
 
 
-def role_plan(target: Target, role: Role, numbers: OrderNumbers) -> Plan:
+def role_plan(target: Target, role: Role, order_ids: OrderIdGenerator) -> Plan:
     """Plan to give an engine another role."""
     plan = _target_plan(target, Goal.ROLE)
-    return _ordered(attrs.evolve(plan, role=role), numbers)
+    return _with_order(attrs.evolve(plan, role=role), order_ids)
 
 
-def remove_plan(target: Target, numbers: OrderNumbers) -> Plan:
+def remove_plan(target: Target, order_ids: OrderIdGenerator) -> Plan:
     """Plan to give a target back to the platform."""
     plan = _target_plan(target, Goal.REMOVE)
     if target.kind is TargetKind.PLAIN:
         # It takes no orders. Once the platform lists it as leaving, it
         # gets no new work and finishes what it has.
         plan = attrs.evolve(plan, step=PlanStep.CHANGE)
-    return _ordered(plan, numbers)
+    return _with_order(plan, order_ids)
 
 
 def add_plan(
@@ -111,12 +111,12 @@
     service: ServiceName,
     count: int,
     reclaimable: bool,
-    numbers: OrderNumbers,
+    order_ids: OrderIdGenerator,
 ) -> Plan:
     """Plan to get more targets."""
     order = TargetOrder(
-        numbers.next_id(),
-        numbers.fence,
+        order_ids.next_order_id(),
+        order_ids.fence,
         domain,
         service,
         TargetAction.ADD,
@@ -134,7 +134,7 @@
     )
 
 
-def after_success(plan: Plan, numbers: OrderNumbers) -> Plan | None:
+def after_success(plan: Plan, order_ids: OrderIdGenerator) -> Plan | None:
     """Go on after the open order was carried out; None at the end."""
     if plan.step is PlanStep.DRAIN:
         order_id = plan.order_id or OrderId('')
@@ -145,33 +145,33 @@
             engine_order=None,
         )
     if plan.step is PlanStep.CHANGE and plan.goal is Goal.ROLE:
-        return undrain(plan, numbers)
+        return order_undrain(plan, order_ids)
     return None
 
 
-def after_refusal(plan: Plan, numbers: OrderNumbers) -> Plan | None:
+def after_refusal(plan: Plan, order_ids: OrderIdGenerator) -> Plan | None:
     """Go on after the open order was refused; None at the end."""
     if plan.step is PlanStep.CHANGE and plan.drain_order_id:
-        return undrain(plan, numbers)
+        return order_undrain(plan, order_ids)
     return None
 
 
-def change(plan: Plan, numbers: OrderNumbers) -> Plan:
+def order_change(plan: Plan, order_ids: OrderIdGenerator) -> Plan:
     """Order the change itself, when nothing is in progress any more."""
-    return _ordered(attrs.evolve(plan, step=PlanStep.CHANGE), numbers)
+    return _with_order(attrs.evolve(plan, step=PlanStep.CHANGE), order_ids)
 
 
-def undrain(plan: Plan, numbers: OrderNumbers) -> Plan:
+def order_undrain(plan: Plan, order_ids: OrderIdGenerator) -> Plan:
     """Let the engine take work again."""
-    return _ordered(attrs.evolve(plan, step=PlanStep.UNDRAIN), numbers)
+    return _with_order(attrs.evolve(plan, step=PlanStep.UNDRAIN), order_ids)
 
 
-def renumbered(plan: Plan, numbers: OrderNumbers) -> Plan:
+def reissue(plan: Plan, order_ids: OrderIdGenerator) -> Plan:
     """Give the same order under this holder's number.
 
     Only after the engine has said that it did not carry out the old one.
     """
-    return _ordered(plan, numbers)
+    return _with_order(plan, order_ids)
 
 
 def _target_plan(target: Target, goal: Goal) -> Plan:
@@ -186,11 +186,11 @@
     )
 
 
-def _ordered(plan: Plan, numbers: OrderNumbers) -> Plan:
+def _with_order(plan: Plan, order_ids: OrderIdGenerator) -> Plan:
     if plan.step is PlanStep.CHANGE and plan.goal is Goal.REMOVE:
         order = TargetOrder(
-            numbers.next_id(),
-            numbers.fence,
+            order_ids.next_order_id(),
+            order_ids.fence,
             plan.domain,
             plan.service,
             TargetAction.REMOVE,
@@ -205,8 +205,8 @@
     }
     is_change = plan.step is PlanStep.CHANGE
     engine_order = EngineOrder(
-        numbers.next_id(),
-        numbers.fence,
+        order_ids.next_order_id(),
+        order_ids.fence,
         kinds[plan.step],
         plan.role.value if is_change else '',
     )
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -32,19 +32,19 @@
 from dandelionyoke_core._fleet_notices import RoleWanted, TargetsWanted
 from dandelionyoke_core._names import TargetId
 from dandelionyoke_core._notices import DutyExtended, DutyGained, DutyLost
-from dandelionyoke_core._order_journal import OrderJournal, unreadable
+from dandelionyoke_core._order_journal import OrderJournal, unreadable_cause
 from dandelionyoke_core._order_plans import (
-    OrderNumbers,
+    OrderIdGenerator,
     Plan,
     PlanStep,
     add_plan,
     after_refusal,
     after_success,
-    change,
+    order_change,
+    order_undrain,
+    reissue,
     remove_plan,
-    renumbered,
     role_plan,
-    undrain,
 )
 from dandelionyoke_core._orders_settings import OrdersSettings
 from dandelionyoke_core._ports import Output
@@ -61,20 +61,20 @@
 
 
 @attrs.define
-class Pursuit:
+class PlanProgress:
     """What this holder knows of a plan beside the journal."""
 
     next_s: float
     back_off: BackOff
-    since_s: float
-    must_read: bool = False
+    started_s: float
+    must_read_first: bool = False
 
 
 @attrs.frozen
-class Term:
+class HeldDuty:
     """The duty of control, while this entry holds it."""
 
-    numbers: OrderNumbers
+    order_ids: OrderIdGenerator
     until_s: float
 
 
@@ -98,146 +98,156 @@
     def __init__(
         self,
         settings: OrdersSettings,
-        own: Instance,
-        find: Callable[[TargetId], Target | None],
+        instance: Instance,
+        find_target: Callable[[TargetId], Target | None],
         random: Random,
     ) -> None:
         self._settings = settings
-        self._own = own
-        self._find = find
+        self._instance = instance
+        self._find_target = find_target
         self._random = random
-        self._journal = OrderJournal(settings, own.domain, random)
-        self._pursuits: dict[str, Pursuit] = {}
-        self._term: Term | None = None
+        self._journal = OrderJournal(settings, instance.domain, random)
+        self._progress_by_plan: dict[str, PlanProgress] = {}
+        self._duty: HeldDuty | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Take an event and say what follows from it."""
         match event:
             case DutyGained() | DutyExtended() | DutyLost():
                 if event.duty == CONTROL_DUTY:
-                    return self._hold(event, now_s)
+                    return self._handle_duty(event, now_s)
                 return []
             case StoreAnswered():
                 ended = self._journal.slot.answered(event)
-                return [] if ended is None else self._ended(ended, now_s)
-        term = self._term
-        if term is None:
+                return (
+                    []
+                    if ended is None
+                    else self._handle_journal_result(ended, now_s)
+                )
+        duty = self._duty
+        if duty is None:
             return []
-        if now_s >= term.until_s:
+        if now_s >= duty.until_s:
             # This process was paused. Its successor may be at work.
             self._stop()
             return []
-        return self._act(event, term, now_s)
+        return self._handle_as_holder(event, duty, now_s)
 
     def next_wakeup_s(self) -> float | None:
         """Tell when an order or a report is due."""
         times = [self._journal.next_wakeup_s()]
         for plan in self._journal.plans.values():
-            pursuit = self._pursuits.get(plan.plan_id)
-            if pursuit is not None and self._journal.has(plan):
-                times.append(pursuit.next_s)
+            progress = self._progress_by_plan.get(plan.plan_id)
+            if progress is not None and self._journal.is_saved(plan):
+                times.append(progress.next_s)
         return min((due for due in times if due is not None), default=None)
 
     # The duty and the journal.
 
-    def _hold(
+    def _handle_duty(
         self, event: DutyGained | DutyExtended | DutyLost, now_s: float
     ) -> list[Output]:
         match event:
             case DutyGained():
-                numbers = OrderNumbers(self._own.domain, event.fence)
-                self._term = Term(numbers, event.until_s)
-                self._pursuits.clear()
-                return self._journal.begin(event.fence, now_s)
-            case DutyExtended() if self._term is not None:
-                self._term = attrs.evolve(self._term, until_s=event.until_s)
+                order_ids = OrderIdGenerator(self._instance.domain, event.fence)
+                self._duty = HeldDuty(order_ids, event.until_s)
+                self._progress_by_plan.clear()
+                return self._journal.take_over(event.fence, now_s)
+            case DutyExtended() if self._duty is not None:
+                self._duty = attrs.evolve(self._duty, until_s=event.until_s)
             case DutyLost():
                 self._stop()
         return []
 
     def _stop(self) -> None:
-        self._term = None
-        self._pursuits.clear()
-        self._journal.end()
+        self._duty = None
+        self._progress_by_plan.clear()
+        self._journal.reset()
 
-    def _ended(self, ended: EndedCall, now_s: float) -> list[Output]:
+    def _handle_journal_result(
+        self, ended: EndedCall, now_s: float
+    ) -> list[Output]:
         try:
-            outputs = self._journal.ended(ended.result, now_s)
+            outputs = self._journal.handle_result(ended.result, now_s)
         except CodecError as error:
             # A journal of a newer version, or a damaged one. An order that
             # it holds may be in doubt, so nothing is ordered over it.
             self._stop()
-            cause = unreadable(error)
-            return [WriteLog('orders.stopped', self._own.domain, cause=cause)]
+            cause = unreadable_cause(error)
+            return [
+                WriteLog('orders.stopped', self._instance.domain, cause=cause)
+            ]
         if self._journal.is_superseded:
             self._stop()
             return []
-        return [*outputs, *self._pursue(now_s)]
+        return [*outputs, *self._run_due_plans(now_s)]
 
-    def _act(self, event: Event, term: Term, now_s: float) -> list[Output]:
+    def _handle_as_holder(
+        self, event: Event, duty: HeldDuty, now_s: float
+    ) -> list[Output]:
         match event:
             case RoleWanted() | TargetsWanted():
-                self._wish(event, term.numbers, now_s)
+                self._add_plans(event, duty.order_ids, now_s)
             case EngineOrderAnswered() | TargetOrderAnswered():
-                self._answered(event, term.numbers, now_s)
+                self._handle_order_answer(event, duty.order_ids, now_s)
             case LoadReported():
-                self._reported(event, term.numbers, now_s)
+                self._handle_load_report(event, duty.order_ids, now_s)
             case TargetsListed():
-                self._listed(event)
+                self._remove_plans_of_missing_targets(event)
             case Woken():
                 overdue = self._journal.slot.overdue(now_s)
                 if overdue is not None:
-                    return self._ended(overdue, now_s)
-        return [*self._journal.due(now_s), *self._pursue(now_s)]
+                    return self._handle_journal_result(overdue, now_s)
+        return [*self._journal.write_if_due(now_s), *self._run_due_plans(now_s)]
 
     # Wishes.
 
-    def _wish(
+    def _add_plans(
         self,
         event: RoleWanted | TargetsWanted,
-        numbers: OrderNumbers,
+        order_ids: OrderIdGenerator,
         now_s: float,
     ) -> None:
-        if event.fence != numbers.fence or not self._journal.is_taken:
+        if event.fence != order_ids.fence or not self._journal.is_taken_over:
             return
-        for plan in self._plans_for(event, numbers):
+        for plan in self._plans_for(event, order_ids):
             is_full = len(self._journal.plans) >= self._settings.max_plans
             if not is_full and plan.plan_id not in self._journal.plans:
-                self._set(plan, now_s)
+                self._put_plan(plan, now_s)
 
     def _plans_for(
-        self, event: RoleWanted | TargetsWanted, numbers: OrderNumbers
+        self, event: RoleWanted | TargetsWanted, order_ids: OrderIdGenerator
     ) -> list[Plan]:
         if isinstance(event, RoleWanted):
             target = self._own_target(event.target_id)
-            return [role_plan(target, event.role, numbers)] if target else []
-        if event.domain != self._own.domain:
+            return [role_plan(target, event.role, order_ids)] if target else []
+        if event.domain != self._instance.domain:
             return []
         found = [self._own_target(target_id) for target_id in event.remove]
-        plans = [remove_plan(target, numbers) for target in found if target]
+        plans = [remove_plan(target, order_ids) for target in found if target]
         for count, reclaimable in (
             (event.add_steady, False),
             (event.add_reclaimable, True),
         ):
             if count:
                 plan = add_plan(
-                    event.domain, event.service, count, reclaimable, numbers
+                    event.domain, event.service, count, reclaimable, order_ids
                 )
                 plans.append(plan)
         return plans
 
     def _own_target(self, target_id: TargetId) -> Target | None:
-        target = self._find(target_id)
-        if target is None or target.domain != self._own.domain:
+        target = self._find_target(target_id)
+        if target is None or target.domain != self._instance.domain:
             return None
         return target
 
     # What engines and the platform say.
 
-    def _answered(
+    def _handle_order_answer(
         self,
         event: EngineOrderAnswered | TargetOrderAnswered,
-        numbers: OrderNumbers,
+        order_ids: OrderIdGenerator,
         now_s: float,
     ) -> None:
         plan = self._plan_of(event)
@@ -246,25 +256,25 @@
         is_platform = isinstance(event, TargetOrderAnswered)
         match event.state:
             case OrderState.DONE:
-                self._move(plan, after_success(plan, numbers), now_s)
+                self._advance_plan(plan, after_success(plan, order_ids), now_s)
             case OrderState.ACCEPTED if is_platform:
-                self._move(plan, after_success(plan, numbers), now_s)
+                self._advance_plan(plan, after_success(plan, order_ids), now_s)
             case OrderState.ACCEPTED:
-                self._later(plan, now_s, must_read=True)
+                self._postpone(plan, now_s, must_read_first=True)
             case OrderState.REFUSED:
-                self._refused(plan, event.cause, numbers, now_s)
+                self._handle_refusal(plan, event.cause, order_ids, now_s)
             case OrderState.UNKNOWN:
-                self._later(plan, now_s, must_read=False)
+                self._postpone(plan, now_s, must_read_first=False)
 
-    def _refused(
-        self, plan: Plan, cause: str, numbers: OrderNumbers, now_s: float
+    def _handle_refusal(
+        self, plan: Plan, cause: str, order_ids: OrderIdGenerator, now_s: float
     ) -> None:
         order = plan.engine_order or plan.target_order
-        is_old = order is not None and order.fence < numbers.fence
+        is_old = order is not None and order.fence < order_ids.fence
         if cause == CAUSE_STALE_FENCE and is_old:
-            self._move(plan, renumbered(plan, numbers), now_s)
+            self._advance_plan(plan, reissue(plan, order_ids), now_s)
             return
-        self._move(plan, after_refusal(plan, numbers), now_s)
+        self._advance_plan(plan, after_refusal(plan, order_ids), now_s)
 
     def _plan_of(
         self, event: EngineOrderAnswered | TargetOrderAnswered
@@ -274,31 +284,31 @@
                 return plan
         return None
 
-    def _reported(
-        self, event: LoadReported, numbers: OrderNumbers, now_s: float
+    def _handle_load_report(
+        self, event: LoadReported, order_ids: OrderIdGenerator, now_s: float
     ) -> None:
         plan = self._journal.plans.get(event.target_id)
         if plan is None or plan.step is not PlanStep.IDLE:
             return
-        pursuit = self._pursuit(plan, now_s)
-        if now_s - pursuit.since_s > self._settings.drain_limit_s:
-            self._move(plan, undrain(plan, numbers), now_s)
+        progress = self._progress_of(plan, now_s)
+        if now_s - progress.started_s > self._settings.drain_limit_s:
+            self._advance_plan(plan, order_undrain(plan, order_ids), now_s)
             return
         # A report lags. An older one may show an engine empty that took
         # work just before its drain, and the change would cut that work.
         taken_s = now_s - event.report.age_s
-        newer_s = taken_s - pursuit.since_s
-        if newer_s <= self._settings.report_lag_s:
+        since_drain_s = taken_s - progress.started_s
+        if since_drain_s <= self._settings.report_lag_s:
             return
         if _is_idle(event.report):
             if event.report.drain_order_id == plan.drain_order_id:
-                self._move(plan, change(plan, numbers), now_s)
+                self._advance_plan(plan, order_change(plan, order_ids), now_s)
             elif not event.report.draining:
                 # The engine has restarted and takes work again.
-                again = attrs.evolve(plan, step=PlanStep.DRAIN)
-                self._move(plan, renumbered(again, numbers), now_s)
+                drain_plan = attrs.evolve(plan, step=PlanStep.DRAIN)
+                self._advance_plan(plan, reissue(drain_plan, order_ids), now_s)
 
-    def _listed(self, event: TargetsListed) -> None:
+    def _remove_plans_of_missing_targets(self, event: TargetsListed) -> None:
         present = {
             target.target_id
             for target in event.targets
@@ -306,75 +316,79 @@
         }
         for plan in tuple(self._journal.plans.values()):
             if plan.target_id and plan.target_id not in present:
-                self._pursuits.pop(plan.plan_id, None)
-                self._journal.drop(plan)
+                self._progress_by_plan.pop(plan.plan_id, None)
+                self._journal.remove(plan)
 
     # Plans on their way.
 
-    def _set(self, plan: Plan, now_s: float) -> None:
-        self._pursuits[plan.plan_id] = self._fresh(now_s)
+    def _put_plan(self, plan: Plan, now_s: float) -> None:
+        self._progress_by_plan[plan.plan_id] = self._new_progress(now_s)
         self._journal.put(plan)
 
-    def _move(self, plan: Plan, after: Plan | None, now_s: float) -> None:
-        if after is None:
-            self._pursuits.pop(plan.plan_id, None)
-            self._journal.drop(plan)
+    def _advance_plan(
+        self, plan: Plan, next_plan: Plan | None, now_s: float
+    ) -> None:
+        if next_plan is None:
+            self._progress_by_plan.pop(plan.plan_id, None)
+            self._journal.remove(plan)
         else:
-            self._set(after, now_s)
+            self._put_plan(next_plan, now_s)
 
-    def _later(self, plan: Plan, now_s: float, *, must_read: bool) -> None:
-        pursuit = self._pursuit(plan, now_s)
-        pursuit.must_read = must_read
+    def _postpone(
+        self, plan: Plan, now_s: float, *, must_read_first: bool
+    ) -> None:
+        progress = self._progress_of(plan, now_s)
+        progress.must_read_first = must_read_first
         pause_s = self._settings.poll_interval_s
-        if not must_read:
-            pause_s = pursuit.back_off.next_s()
-        pursuit.next_s = now_s + pause_s
+        if not must_read_first:
+            pause_s = progress.back_off.next_s()
+        progress.next_s = now_s + pause_s
 
-    def _fresh(self, now_s: float) -> Pursuit:
+    def _new_progress(self, now_s: float) -> PlanProgress:
         back_off = BackOff(self._settings.back_off, self._random)
-        return Pursuit(now_s, back_off, now_s)
+        return PlanProgress(now_s, back_off, now_s)
 
-    def _pursuit(self, plan: Plan, now_s: float) -> Pursuit:
+    def _progress_of(self, plan: Plan, now_s: float) -> PlanProgress:
         """Find what is known of a plan, or take it over."""
-        found = self._pursuits.get(plan.plan_id)
+        found = self._progress_by_plan.get(plan.plan_id)
         if found is None:
-            found = self._fresh(now_s)
+            found = self._new_progress(now_s)
             # What the predecessor sent last may still be on its way, and an
             # engine may ignore fencing numbers. After that time the engine
             # is read, and the same order is sent if it does not know it.
-            found.next_s = now_s + self._settings.settle_s
-            found.must_read = True
-            self._pursuits[plan.plan_id] = found
+            found.next_s = now_s + self._settings.takeover_delay_s
+            found.must_read_first = True
+            self._progress_by_plan[plan.plan_id] = found
         return found
 
-    def _pursue(self, now_s: float) -> list[Output]:
-        term = self._term
-        if term is None or now_s >= term.until_s:
+    def _run_due_plans(self, now_s: float) -> list[Output]:
+        duty = self._duty
+        if duty is None or now_s >= duty.until_s:
             return []
         outputs: list[Output] = []
         for plan in self._journal.plans.values():
-            if not self._journal.has(plan):
+            if not self._journal.is_saved(plan):
                 continue
-            pursuit = self._pursuit(plan, now_s)
-            if now_s >= pursuit.next_s:
-                outputs.append(self._next(plan, pursuit, term, now_s))
+            progress = self._progress_of(plan, now_s)
+            if now_s >= progress.next_s:
+                outputs.append(self._next_action(plan, progress, duty, now_s))
         return outputs
 
-    def _next(
-        self, plan: Plan, pursuit: Pursuit, term: Term, now_s: float
+    def _next_action(
+        self, plan: Plan, progress: PlanProgress, duty: HeldDuty, now_s: float
     ) -> Output:
         settings = self._settings
-        not_after_s = min(term.until_s, now_s + settings.send_limit_s)
-        pursuit.next_s = now_s + settings.answer_timeout_s
+        not_after_s = min(duty.until_s, now_s + settings.send_limit_s)
+        progress.next_s = now_s + settings.answer_timeout_s
         if plan.target_order is not None:
             return SendTargetOrder(plan.target_order, not_after_s)
-        place = (plan.target_id, plan.address)
+        target_address = (plan.target_id, plan.address)
         if plan.engine_order is None:
-            pursuit.next_s = now_s + settings.poll_interval_s
-            return PollLoad(*place)
-        if pursuit.must_read:
-            return ReadEngineOrder(*place, plan.engine_order.order_id)
-        return SendEngineOrder(*place, plan.engine_order, not_after_s)
+            progress.next_s = now_s + settings.poll_interval_s
+            return PollLoad(*target_address)
+        if progress.must_read_first:
+            return ReadEngineOrder(*target_address, plan.engine_order.order_id)
+        return SendEngineOrder(*target_address, plan.engine_order, not_after_s)
 
 
 def _is_idle(report: LoadReport) -> bool:
--- a/packages/core/dandelionyoke_core/_orders_settings.py
+++ b/packages/core/dandelionyoke_core/_orders_settings.py
@@ -16,7 +16,7 @@
     """
 
     send_limit_s: float = 1.0
-    settle_s: float = 2.0
+    takeover_delay_s: float = 2.0
     report_lag_s: float = 1.0
     drain_limit_s: float = 120.0
     poll_interval_s: float = 0.5
