--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -56,23 +56,23 @@
     def __init__(
         self,
         settings: UsageSettings,
-        own: Instance,
+        instance: Instance,
         incarnation: int,
         peers: Peers,
         random: Random,
     ) -> None:
         self._settings = settings
-        key = counter_key(own.domain, own.instance_id, incarnation)
+        key = counter_key(instance.domain, instance.instance_id, incarnation)
         self._counter = OwnCounter(settings, key, peers, random)
         self._copies = PeerCopies(settings, f'{key}.copies', random)
-        self._reporter = WindowReporter(settings, own, random)
-        self._last_flush_until_s: float | None = None
+        self._reporter = WindowReporter(settings, instance, random)
+        self._final_flush_deadline_s: float | None = None
         self._has_given_up = False
 
     @property
     def unsaved(self) -> int:
         """Whether a leaving entry still has counts to save: 1, else 0."""
-        if self._last_flush_until_s is None or self._has_given_up:
+        if self._final_flush_deadline_s is None or self._has_given_up:
             return 0
         return int(not self._counter.is_saved)
 
@@ -82,19 +82,19 @@
             case CallDelivered():
                 return self._counter.count(event, now_s)
             case StoreAnswered():
-                return self._answered(event, now_s)
+                return self._handle_store_answer(event, now_s)
             case Woken():
-                return self._wake(now_s)
+                return self._handle_wakeup(now_s)
             case Leaving():
-                until_s = now_s + self._settings.last_flush_limit_s
-                self._last_flush_until_s = until_s
+                deadline_s = now_s + self._settings.final_flush_timeout_s
+                self._final_flush_deadline_s = deadline_s
                 return self._counter.flush(now_s)
             case Started() | UsageAnswered():
                 return self._reporter.handle(event, now_s)
             case DutyGained() | DutyExtended() | DutyLost():
                 if event.duty == REPORT_DUTY:
                     return self._reporter.handle(event, now_s)
-        return self._hear(event, now_s)
+        return self._handle_peer_event(event, now_s)
 
     def next_wakeup_s(self) -> float | None:
         """Tell when something is due."""
@@ -106,35 +106,37 @@
             self._reporter.next_wakeup_s(),
         ]
         if self.unsaved:
-            times.append(self._last_flush_until_s)
+            times.append(self._final_flush_deadline_s)
         return min((due for due in times if due is not None), default=None)
 
-    def _hear(self, event: Event, now_s: float) -> list[Output]:
+    def _handle_peer_event(self, event: Event, now_s: float) -> list[Output]:
         match event:
             case PeerConnected():
-                return self._counter.connected(event.peer_id)
+                return self._counter.add_peer(event.peer_id)
             case PeerDisconnected():
-                self._copies.lost(event.peer_id, now_s)
-                return self._counter.disconnected(event.peer_id)
+                self._copies.handle_disconnect(event.peer_id, now_s)
+                return self._counter.remove_peer(event.peer_id)
             case PeerMessageArrived(message=UsageCopied() as copied):
                 return self._copies.keep(event.peer_id, copied)
         return []
 
-    def _answered(self, event: StoreAnswered, now_s: float) -> list[Output]:
-        for keeper in (self._counter, self._copies, self._reporter):
-            ended = keeper.slot.answered(event)
+    def _handle_store_answer(
+        self, event: StoreAnswered, now_s: float
+    ) -> list[Output]:
+        for component in (self._counter, self._copies, self._reporter):
+            ended = component.slot.answered(event)
             if ended is not None:
-                return keeper.ended(ended.result, now_s)
+                return component.handle_result(ended.result, now_s)
         return []
 
-    def _wake(self, now_s: float) -> list[Output]:
-        until_s = self._last_flush_until_s
-        if until_s is not None and now_s >= until_s:
+    def _handle_wakeup(self, now_s: float) -> list[Output]:
+        deadline_s = self._final_flush_deadline_s
+        if deadline_s is not None and now_s >= deadline_s:
             self._has_given_up = True
         outputs: list[Output] = []
-        for keeper in (self._counter, self._copies, self._reporter):
-            overdue = keeper.slot.overdue(now_s)
+        for component in (self._counter, self._copies, self._reporter):
+            overdue = component.slot.overdue(now_s)
             if overdue is not None:
-                outputs.extend(keeper.ended(overdue.result, now_s))
-            outputs.extend(keeper.due(now_s))
+                outputs.extend(component.handle_result(overdue.result, now_s))
+            outputs.extend(component.run_due(now_s))
         return outputs
--- a/packages/core/dandelionyoke_core/_usage_copies.py
+++ b/packages/core/dandelionyoke_core/_usage_copies.py
@@ -15,7 +15,7 @@
     StoreWritten,
 )
 from dandelionyoke_core._store_slot import StoreSlot
-from dandelionyoke_core._usage_counter import Copy
+from dandelionyoke_core._usage_counter import CounterCopy
 from dandelionyoke_core._usage_records import CounterRecord, UsageCopied
 from dandelionyoke_core._usage_settings import UsageSettings
 
@@ -33,16 +33,16 @@
         self.slot = StoreSlot(name, settings.call_timeout_s, random)
         self._settings = settings
         self._back_off = BackOff(settings.back_off, random)
-        self._copies: dict[str, Copy] = {}
+        self._copies: dict[str, CounterCopy] = {}
         self._owners: dict[str, InstanceId] = {}
-        self._due: dict[str, float] = {}
-        self._writing: str | None = None
+        self._due_times: dict[str, float] = {}
+        self._writing_key: str | None = None
 
     def next_wakeup_s(self) -> float | None:
         """Tell when a copy has to be written."""
         if not self.slot.is_free:
             return None
-        return min(self._due.values(), default=None)
+        return min(self._due_times.values(), default=None)
 
     def keep(self, owner: InstanceId, message: UsageCopied) -> list[Output]:
         """Keep rows of a peer."""
@@ -50,64 +50,64 @@
         is_full = len(self._copies) >= self._settings.max_copies
         if is_full and key not in self._copies:
             return [CountMetric('usage.dropped_copies')]
-        copy = self._copies.setdefault(key, Copy())
+        copy = self._copies.setdefault(key, CounterCopy())
         copy.sequence = max(copy.sequence, message.sequence)
-        copy.table.raise_to(message.figures)
+        copy.table.merge_max(message.figures)
         self._owners[key] = owner
-        self._due.pop(key, None)
+        self._due_times.pop(key, None)
         return []
 
-    def lost(self, owner: InstanceId, now_s: float) -> None:
+    def handle_disconnect(self, owner: InstanceId, now_s: float) -> None:
         """A peer's link ended; it may be dead."""
-        for key, its_owner in self._owners.items():
-            if its_owner == owner and key not in self._due:
-                self._due[key] = now_s + self._settings.takeover_after_s
+        for key, copy_owner in self._owners.items():
+            if copy_owner == owner and key not in self._due_times:
+                self._due_times[key] = now_s + self._settings.takeover_after_s
 
-    def due(self, now_s: float) -> list[Output]:
+    def run_due(self, now_s: float) -> list[Output]:
         """Begin to write the next copy that is due."""
         if not self.slot.is_free:
             return []
-        due = [key for key, due_s in self._due.items() if now_s >= due_s]
+        due = [key for key, due_s in self._due_times.items() if now_s >= due_s]
         if not due:
             return []
-        self._writing = due[0]
+        self._writing_key = due[0]
         return [StoreGet(self.slot.open(now_s), due[0])]
 
-    def ended(self, result: StoreResult, now_s: float) -> list[Output]:
+    def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
         """Take the end of a store call."""
-        key = self._writing
+        key = self._writing_key
         copy = self._copies.get(key or '')
         if key is None or copy is None:
             return []
         match result:
             case StoreWritten():
-                return self._forget(key, now_s)
+                return self._remove_saved(key, now_s)
             case StoreItem():
                 return self._write(key, copy, result, now_s)
             case StoreConflict(present=present):
                 return self._write(key, copy, present, now_s)
-        self._writing = None
+        self._writing_key = None
         retry_s = now_s + self._back_off.next_s()
-        self._due = {
-            one: retry_s if one == key else due_s
-            for one, due_s in self._due.items()
+        self._due_times = {
+            due_key: retry_s if due_key == key else due_s
+            for due_key, due_s in self._due_times.items()
         }
         return []
 
     def _write(
-        self, key: str, copy: Copy, present: StoreItem, now_s: float
+        self, key: str, copy: CounterCopy, present: StoreItem, now_s: float
     ) -> list[Output]:
         try:
-            record = _record(present)
+            record = _decode_counter(present)
         except CodecError:
             return [
                 CountMetric('usage.unreadable_records'),
-                *self._forget(key, now_s),
+                *self._remove_saved(key, now_s),
             ]
-        saved = Copy(record.sequence)
-        saved.table.raise_to(record.figures)
-        if not saved.table.raise_to(copy.table.figures()):
-            return self._forget(key, now_s)
+        saved = CounterCopy(record.sequence)
+        saved.table.merge_max(record.figures)
+        if not saved.table.merge_max(copy.table.figures()):
+            return self._remove_saved(key, now_s)
         merged = CounterRecord(
             max(copy.sequence, saved.sequence), saved.table.figures()
         )
@@ -119,17 +119,17 @@
         )
         return [put]
 
-    def _forget(self, key: str, now_s: float) -> list[Output]:
+    def _remove_saved(self, key: str, now_s: float) -> list[Output]:
         """Drop a copy that is saved, unless its owner has come back."""
-        self._writing = None
+        self._writing_key = None
         self._back_off.reset()
-        if key in self._due:
-            for table in (self._due, self._copies, self._owners):
+        if key in self._due_times:
+            for table in (self._due_times, self._copies, self._owners):
                 table.pop(key, None)
-        return self.due(now_s)
+        return self.run_due(now_s)
 
 
-def _record(present: StoreItem) -> CounterRecord:
+def _decode_counter(present: StoreItem) -> CounterRecord:
     if present.value is None:
         return CounterRecord(0)
     return record_from_json(present.value, CounterRecord)
--- a/packages/core/dandelionyoke_core/_usage_counter.py
+++ b/packages/core/dandelionyoke_core/_usage_counter.py
@@ -19,7 +19,7 @@
 )
 from dandelionyoke_core._rendezvous import rendezvous
 from dandelionyoke_core._store_slot import StoreSlot
-from dandelionyoke_core._usage_figures import RowName, UsageTable, row_name
+from dandelionyoke_core._usage_figures import RowKey, UsageTable, row_key
 from dandelionyoke_core._usage_records import CounterRecord, UsageCopied
 from dandelionyoke_core._usage_settings import UsageSettings
 
@@ -41,11 +41,11 @@
         self._sent_sequence = 0
         self._saved_sequence = 0
         self._revision = 0
-        self._uncopied: set[RowName] = set()
-        self._connected: set[InstanceId] = set()
-        self._holders: tuple[InstanceId, ...] = ()
-        self._flush_s: float | None = None
-        self._copy_s: float | None = None
+        self._uncopied: set[RowKey] = set()
+        self._connected_peers: set[InstanceId] = set()
+        self._copy_holders: tuple[InstanceId, ...] = ()
+        self._flush_due_s: float | None = None
+        self._copy_due_s: float | None = None
 
     @property
     def is_saved(self) -> bool:
@@ -54,7 +54,7 @@
 
     def next_wakeup_s(self) -> float | None:
         """Tell when the counts are due to be saved or copied."""
-        times = (self._flush_s, self._copy_s)
+        times = (self._flush_due_s, self._copy_due_s)
         return min((due for due in times if due is not None), default=None)
 
     def count(self, event: CallDelivered, now_s: float) -> list[Output]:
@@ -66,23 +66,25 @@
             event.prompt_tokens,
             event.output_tokens,
         )
-        name = row_name(figure)
+        name = row_key(figure)
         is_full = len(self._table.rows) >= self._settings.max_rows
         if is_full and name not in self._table.rows:
             return [CountMetric('usage.uncounted_calls')]
         self._table.add(figure)
         self._sequence += 1
         self._uncopied.add(name)
-        if self._copy_s is None:
-            self._copy_s = now_s + self._settings.copy_interval_s
-        if self._flush_s is None and self.slot.is_free:
+        if self._copy_due_s is None:
+            self._copy_due_s = now_s + self._settings.copy_interval_s
+        if self._flush_due_s is None and self.slot.is_free:
             interval_s = self._settings.flush_interval_s
-            self._flush_s = now_s + interval_s * self._random.uniform(0.7, 1)
+            self._flush_due_s = now_s + interval_s * self._random.uniform(
+                0.7, 1
+            )
         return []
 
     def flush(self, now_s: float) -> list[Output]:
         """Save now what is not saved."""
-        self._flush_s = None
+        self._flush_due_s = None
         if self.is_saved or not self.slot.is_free:
             return []
         self._sent_sequence = self._sequence
@@ -96,17 +98,17 @@
             )
         ]
 
-    def due(self, now_s: float) -> list[Output]:
+    def run_due(self, now_s: float) -> list[Output]:
         """Save and copy what is due."""
         outputs: list[Output] = []
-        if self._flush_s is not None and now_s >= self._flush_s:
+        if self._flush_due_s is not None and now_s >= self._flush_due_s:
             outputs.extend(self.flush(now_s))
-        if self._copy_s is not None and now_s >= self._copy_s:
-            self._copy_s = None
-            outputs.extend(self._copy())
+        if self._copy_due_s is not None and now_s >= self._copy_due_s:
+            self._copy_due_s = None
+            outputs.extend(self._send_copies())
         return outputs
 
-    def ended(self, result: StoreResult, now_s: float) -> list[Output]:
+    def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
         """Take the end of a write."""
         match result:
             case StoreWritten(revision=revision):
@@ -114,67 +116,72 @@
                 self._saved_sequence = self._sent_sequence
                 self._back_off.reset()
                 if not self.is_saved:
-                    self._flush_s = now_s + self._settings.flush_interval_s
+                    self._flush_due_s = now_s + self._settings.flush_interval_s
             case StoreConflict(present=present):
                 # A peer wrote its copy, or the answer of an own write was
                 # lost. Both hold no more than this entry has counted.
                 self._revision = present.revision
-                self._learn(present.value)
+                self._merge_stored(present.value)
                 return self.flush(now_s)
             case _:
-                self._flush_s = now_s + self._back_off.next_s()
+                self._flush_due_s = now_s + self._back_off.next_s()
         return []
 
     # Copies at peers.
 
-    def connected(self, peer_id: InstanceId) -> list[Output]:
+    def add_peer(self, peer_id: InstanceId) -> list[Output]:
         """Take note of a link."""
-        self._connected.add(peer_id)
-        return self._choose()
+        self._connected_peers.add(peer_id)
+        return self._choose_copy_holders()
 
-    def disconnected(self, peer_id: InstanceId) -> list[Output]:
+    def remove_peer(self, peer_id: InstanceId) -> list[Output]:
         """Forget a link, and let another peer hold the copy."""
-        self._connected.discard(peer_id)
-        return self._choose()
+        self._connected_peers.discard(peer_id)
+        return self._choose_copy_holders()
 
-    def _choose(self) -> list[Output]:
-        before = self._holders
-        near = self._connected & set(self._peers.live_in_domain)
-        far = self._connected - near
+    def _choose_copy_holders(self) -> list[Output]:
+        before = self._copy_holders
+        same_domain = self._connected_peers & set(self._peers.live_in_domain)
+        other_domains = self._connected_peers - same_domain
         count = self._settings.copies
-        nearest = rendezvous(near, self._key, count)
+        ranked_same = rendezvous(same_domain, self._key, count)
         # One copy elsewhere outlives the loss of the whole domain.
-        farthest = rendezvous(far, self._key, count)
-        ranked = [*nearest[:1], *farthest[:1], *nearest[1:], *farthest[1:]]
-        self._holders = tuple(ranked[:count])
-        new = [peer for peer in self._holders if peer not in before]
+        ranked_other = rendezvous(other_domains, self._key, count)
+        ranked = [
+            *ranked_same[:1],
+            *ranked_other[:1],
+            *ranked_same[1:],
+            *ranked_other[1:],
+        ]
+        self._copy_holders = tuple(ranked[:count])
+        new = [peer for peer in self._copy_holders if peer not in before]
         if not self._sequence:
             return []
-        whole = self._message(self._table.figures())
-        return [SendPeer(peer_id, whole) for peer_id in new]
+        full_copy = self._message(self._table.figures())
+        return [SendPeer(peer_id, full_copy) for peer_id in new]
 
-    def _copy(self) -> list[Output]:
+    def _send_copies(self) -> list[Output]:
         rows = self._table.rows
         changed = tuple(rows[name] for name in sorted(self._uncopied))
         self._uncopied.clear()
         message = self._message(changed)
-        return [SendPeer(peer_id, message) for peer_id in self._holders]
+        return [SendPeer(peer_id, message) for peer_id in self._copy_holders]
 
     def _message(self, figures: tuple[UsageFigure, ...]) -> UsageCopied:
         return UsageCopied(self._key, self._sequence, figures)
 
-    def _learn(self, text: str | None) -> None:
+    def _merge_stored(self, text: str | None) -> None:
         if text is None:
             return
         try:
             record = record_from_json(text, CounterRecord)
         except CodecError:
             return
-        self._table.raise_to(record.figures)
+        self._table.merge_max(record.figures)
 
 
 @attrs.define
-class Copy:
+class CounterCopy:
     """What a peer has counted, as far as it told."""
 
     sequence: int = 0
--- a/packages/core/dandelionyoke_core/_usage_figures.py
+++ b/packages/core/dandelionyoke_core/_usage_figures.py
@@ -7,10 +7,10 @@
 from dandelionyoke_core._names import OrganisationId, ServiceName
 from dandelionyoke_core._records import UsageFigure
 
-RowName = tuple[OrganisationId, ServiceName]
+RowKey = tuple[OrganisationId, ServiceName]
 
 
-def row_name(figure: UsageFigure) -> RowName:
+def row_key(figure: UsageFigure) -> RowKey:
     """Name the row that a figure belongs to."""
     return (figure.organisation, figure.service)
 
@@ -19,10 +19,10 @@
 class UsageTable:
     """One figure for each organisation and service."""
 
-    rows: dict[RowName, UsageFigure] = attrs.field(factory=dict)
+    rows: dict[RowKey, UsageFigure] = attrs.field(factory=dict)
 
     @classmethod
-    def of(cls, figures: Iterable[UsageFigure]) -> 'UsageTable':
+    def sum_of(cls, figures: Iterable[UsageFigure]) -> 'UsageTable':
         """Add up figures."""
         table = cls()
         for figure in figures:
@@ -32,33 +32,33 @@
     def add(self, figure: UsageFigure) -> None:
         """Add to a row."""
         present = self._row(figure)
-        self.rows[row_name(figure)] = attrs.evolve(
+        self.rows[row_key(figure)] = attrs.evolve(
             present,
             requests=present.requests + figure.requests,
             prompt_tokens=present.prompt_tokens + figure.prompt_tokens,
             output_tokens=present.output_tokens + figure.output_tokens,
         )
 
-    def raise_to(self, figures: Iterable[UsageFigure]) -> bool:
+    def merge_max(self, figures: Iterable[UsageFigure]) -> bool:
         """Take the higher of each count; tell whether any was higher.
 
         Cumulative counts only grow, so the higher one is the later one.
         """
-        is_raised = False
+        is_changed = False
         for figure in figures:
             present = self._row(figure)
-            highest = _highest(present, figure)
-            is_raised = is_raised or highest != present
-            self.rows[row_name(figure)] = highest
-        return is_raised
+            highest = _max_counts(present, figure)
+            is_changed = is_changed or highest != present
+            self.rows[row_key(figure)] = highest
+        return is_changed
 
-    def since(self, earlier: 'UsageTable') -> tuple[UsageFigure, ...]:
+    def delta_since(self, earlier: 'UsageTable') -> tuple[UsageFigure, ...]:
         """Give what has been added to an earlier state."""
         changes = (
             _difference(figure, earlier.rows.get(name))
             for name, figure in sorted(self.rows.items())
         )
-        return tuple(change for change in changes if _is_some(change))
+        return tuple(change for change in changes if _is_nonzero(change))
 
     def figures(self) -> tuple[UsageFigure, ...]:
         """Give all rows in a fixed order."""
@@ -66,10 +66,10 @@
 
     def _row(self, figure: UsageFigure) -> UsageFigure:
         empty = UsageFigure(figure.organisation, figure.service)
-        return self.rows.get(row_name(figure), empty)
+        return self.rows.get(row_key(figure), empty)
 
 
-def _highest(left: UsageFigure, right: UsageFigure) -> UsageFigure:
+def _max_counts(left: UsageFigure, right: UsageFigure) -> UsageFigure:
     return attrs.evolve(
         left,
         requests=max(left.requests, right.requests),
@@ -89,6 +89,6 @@
     )
 
 
-def _is_some(figure: UsageFigure) -> bool:
+def _is_nonzero(figure: UsageFigure) -> bool:
     counts = (figure.requests, figure.prompt_tokens, figure.output_tokens)
     return any(counts)
--- a/packages/core/dandelionyoke_core/_usage_settings.py
+++ b/packages/core/dandelionyoke_core/_usage_settings.py
@@ -18,11 +18,11 @@
     copy_interval_s: float = 0.5
     flush_interval_s: float = 3.0
     takeover_after_s: float = 2.0
-    last_flush_limit_s: float = 10.0
+    final_flush_timeout_s: float = 10.0
     call_timeout_s: float = 5.0
     window_s: float = 60.0
     close_after_s: float = 5.0
-    look_interval_s: float = 1.0
+    check_interval_s: float = 1.0
     send_limit_s: float = 1.0
     kept_windows: int = 16
     max_rows: int = 4096
--- a/packages/core/dandelionyoke_core/_usage_windows.py
+++ b/packages/core/dandelionyoke_core/_usage_windows.py
@@ -50,7 +50,7 @@
 
 
 @enum.unique
-class Step(enum.Enum):
+class ReporterStep(enum.Enum):
     """What the reporter is about."""
 
     OFF = 'off'
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen
-class Duty:
+class ReportDuty:
     """The duty of reporting, while this entry holds it."""
 
     fence: int
@@ -76,17 +76,17 @@
     """Acts for the domain while this entry holds the duty of reporting."""
 
     def __init__(
-        self, settings: UsageSettings, own: Instance, random: Random
+        self, settings: UsageSettings, instance: Instance, random: Random
     ) -> None:
-        name = f'usage.{own.instance_id}'
+        name = f'usage.{instance.instance_id}'
         self.slot = StoreSlot(name, settings.call_timeout_s, random)
         self._settings = settings
-        self._own = own
-        self._reported_key = f'{REPORTED_PREFIX}/{own.domain}'
+        self._instance = instance
+        self._reported_key = f'{REPORTED_PREFIX}/{instance.domain}'
         self._back_off = BackOff(settings.back_off, random)
         self._wall_offset_s: float | None = None
-        self._duty: Duty | None = None
-        self._step = Step.OFF
+        self._duty: ReportDuty | None = None
+        self._step = ReporterStep.OFF
         self._next_s: float | None = None
         self._reported = 0
         self._reported_revision = 0
@@ -101,15 +101,15 @@
             case Started():
                 self._wall_offset_s = event.wall_s - now_s
             case DutyGained():
-                self._duty = Duty(event.fence, event.until_s)
-                self._begin(now_s)
-                return self.due(now_s)
+                self._duty = ReportDuty(event.fence, event.until_s)
+                self._start(now_s)
+                return self.run_due(now_s)
             case DutyExtended() if self._duty is not None:
-                self._duty = Duty(event.fence, event.until_s)
+                self._duty = ReportDuty(event.fence, event.until_s)
             case DutyLost():
                 self._stop()
             case UsageAnswered():
-                return self._submitted(event, now_s)
+                return self._handle_submission_answer(event, now_s)
         return []
 
     def next_wakeup_s(self) -> float | None:
@@ -117,7 +117,7 @@
         times = (self._next_s, self.slot.next_wakeup_s())
         return min((due for due in times if due is not None), default=None)
 
-    def due(self, now_s: float) -> list[Output]:
+    def run_due(self, now_s: float) -> list[Output]:
         """Take the next step if it is time."""
         if self._next_s is None or now_s < self._next_s:
             return []
@@ -126,53 +126,55 @@
         if duty is None or now_s >= duty.until_s:
             self._stop()
             return []
-        return self._act(duty, now_s)
+        return self._run_step(duty, now_s)
 
-    def ended(self, result: StoreResult, now_s: float) -> list[Output]:
+    def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
         """Take the end of a store call."""
         try:
-            is_taken = self._take(result, now_s)
+            is_success = self._apply_result(result, now_s)
         except CodecError as unreadable:
             self._retry(now_s)
             cause = str(unreadable)
-            return [WriteLog('usage.unreadable', self._own.domain, cause=cause)]
-        if not is_taken:
+            return [
+                WriteLog('usage.unreadable', self._instance.domain, cause=cause)
+            ]
+        if not is_success:
             self._retry(now_s)
             return []
         self._back_off.reset()
-        outputs = self._drop_old() if self._step is Step.READY else []
-        return [*outputs, *self.due(now_s)]
+        outputs = self._delete_old() if self._step is ReporterStep.READY else []
+        return [*outputs, *self.run_due(now_s)]
 
     # Steps.
 
-    def _take(self, result: StoreResult, now_s: float) -> bool:
+    def _apply_result(self, result: StoreResult, now_s: float) -> bool:
         """Take a result; False where it is a failure."""
         match self._step, result:
-            case Step.READING, StoreItem():
-                self._read(result, now_s)
-            case Step.LISTING, StoreListing():
-                self._listed(result, now_s)
-            case Step.COUNTING, StoreListing():
-                self._totals = _totals(result)
-                self._again(Step.CLOSING, now_s)
-            case Step.CLOSING, StoreWritten() | StoreConflict():
+            case ReporterStep.READING, StoreItem():
+                self._apply_reported_mark(result, now_s)
+            case ReporterStep.LISTING, StoreListing():
+                self._apply_listing(result, now_s)
+            case ReporterStep.COUNTING, StoreListing():
+                self._totals = _sum_counters(result)
+                self._go_to(ReporterStep.CLOSING, now_s)
+            case ReporterStep.CLOSING, StoreWritten() | StoreConflict():
                 # Closed by this entry or by another one, perhaps by a write
                 # of a former holder that came late: what the store has is
                 # the window, and its own figures are the ones to report.
-                self._again(Step.LISTING, now_s)
-            case Step.MARKING, StoreWritten():
-                self._marked(result, now_s)
+                self._go_to(ReporterStep.LISTING, now_s)
+            case ReporterStep.MARKING, StoreWritten():
+                self._apply_mark_written(result, now_s)
             case (
-                (Step.BEGINNING | Step.MARKING),
+                (ReporterStep.BEGINNING | ReporterStep.MARKING),
                 (StoreWritten() | StoreConflict()),
             ):
-                self._again(Step.READING, now_s)
+                self._go_to(ReporterStep.READING, now_s)
             case _:
                 return False
         return True
 
-    def _begin(self, now_s: float) -> None:
-        self._again(Step.READING, now_s)
+    def _start(self, now_s: float) -> None:
+        self._go_to(ReporterStep.READING, now_s)
         if self._wall_offset_s is None:
             self._stop()
 
@@ -180,61 +182,61 @@
         self.slot.drop()
         self._duty = None
         self._next_s = None
-        self._step = Step.OFF
+        self._step = ReporterStep.OFF
 
-    def _again(self, step: Step, now_s: float) -> None:
+    def _go_to(self, step: ReporterStep, now_s: float) -> None:
         self._step = step
         self._next_s = now_s
 
     def _retry(self, now_s: float) -> None:
         """Take up the work again after a failure, from what is stored."""
-        self._step = Step.READING
+        self._step = ReporterStep.READING
         self._next_s = now_s + self._back_off.next_s()
 
-    def _act(self, duty: Duty, now_s: float) -> list[Output]:
+    def _run_step(self, duty: ReportDuty, now_s: float) -> list[Output]:
         match self._step:
-            case Step.READING:
+            case ReporterStep.READING:
                 return [StoreGet(self.slot.open(now_s), self._reported_key)]
-            case Step.BEGINNING:
-                return [self._mark(self._index(now_s) - 1, now_s)]
-            case Step.LISTING:
-                prefix = f'{WINDOW_PREFIX}/{self._own.domain}/'
+            case ReporterStep.BEGINNING:
+                return [self._mark(self._window_index(now_s) - 1, now_s)]
+            case ReporterStep.LISTING:
+                prefix = f'{WINDOW_PREFIX}/{self._instance.domain}/'
                 return [StoreList(self.slot.open(now_s), prefix)]
-            case Step.READY:
-                return self._next(duty, now_s)
-            case Step.CLOSING:
+            case ReporterStep.READY:
+                return self._report_or_close(duty, now_s)
+            case ReporterStep.CLOSING:
                 return [self._close(duty, now_s)]
-            case Step.MARKING:
+            case ReporterStep.MARKING:
                 return [self._mark(self._unreported[0].index, now_s)]
-            case Step.REPORTING:
+            case ReporterStep.REPORTING:
                 self._retry(now_s)
         return []
 
-    def _next(self, duty: Duty, now_s: float) -> list[Output]:
+    def _report_or_close(self, duty: ReportDuty, now_s: float) -> list[Output]:
         if self._unreported:
             return [self._submit(self._unreported[0], duty, now_s)]
         settings = self._settings
         end_s = (self._next_index + 1) * settings.window_s
         if self._wall_s(now_s) < end_s + settings.close_after_s:
-            self._next_s = now_s + settings.look_interval_s
+            self._next_s = now_s + settings.check_interval_s
             return []
-        self._step = Step.COUNTING
-        prefix = f'{COUNTER_PREFIX}/{self._own.domain}/'
+        self._step = ReporterStep.COUNTING
+        prefix = f'{COUNTER_PREFIX}/{self._instance.domain}/'
         return [StoreList(self.slot.open(now_s), prefix)]
 
-    def _read(self, item: StoreItem, now_s: float) -> None:
+    def _apply_reported_mark(self, item: StoreItem, now_s: float) -> None:
         if item.value is None:
             # Windows are numbered from a beginning that one write decides.
             # Two holders that each began with their own present window
             # would report the same usage in two of them.
-            self._again(Step.BEGINNING, now_s)
+            self._go_to(ReporterStep.BEGINNING, now_s)
             self._reported_revision = 0
             return
         self._reported = record_from_json(item.value, ReportedRecord).index
         self._reported_revision = item.revision
-        self._again(Step.LISTING, now_s)
+        self._go_to(ReporterStep.LISTING, now_s)
 
-    def _listed(self, listing: StoreListing, now_s: float) -> None:
+    def _apply_listing(self, listing: StoreListing, now_s: float) -> None:
         records: list[WindowRecord] = []
         self._revisions.clear()
         for item in listing.items:
@@ -246,48 +248,52 @@
         self._unreported = [
             record for record in records if record.index > self._reported
         ]
-        self._again(Step.READY, now_s)
+        self._go_to(ReporterStep.READY, now_s)
 
-    def _close(self, duty: Duty, now_s: float) -> Output:
+    def _close(self, duty: ReportDuty, now_s: float) -> Output:
         latest = self._latest
-        before = UsageTable.of(latest.totals if latest else ())
+        before = UsageTable.sum_of(latest.totals if latest else ())
         index = self._next_index
         start_s = index * self._settings.window_s
         record = WindowRecord(
-            window_id=WindowId(f'{self._own.domain}-{start_s:.0f}'),
+            window_id=WindowId(f'{self._instance.domain}-{start_s:.0f}'),
             index=index,
             previous_index=index - 1,
             fence=duty.fence,
-            figures=self._totals.since(before),
+            figures=self._totals.delta_since(before),
             totals=self._totals.figures(),
         )
-        key = window_key(self._own.domain, index)
+        key = window_key(self._instance.domain, index)
         operation_id = self.slot.open(now_s)
         return StorePut(operation_id, key, record_to_json(record), 0)
 
-    def _submit(self, record: WindowRecord, duty: Duty, now_s: float) -> Output:
-        self._step = Step.REPORTING
+    def _submit(
+        self, record: WindowRecord, duty: ReportDuty, now_s: float
+    ) -> Output:
+        self._step = ReporterStep.REPORTING
         self._next_s = now_s + self._settings.call_timeout_s
         window = UsageWindow(
             record.window_id,
-            self._own.domain,
+            self._instance.domain,
             duty.fence,
-            self._own.instance_id,
+            self._instance.instance_id,
             record.figures,
         )
         limit_s = now_s + self._settings.send_limit_s
         return SubmitUsage(window, min(duty.until_s, limit_s))
 
-    def _submitted(self, event: UsageAnswered, now_s: float) -> list[Output]:
-        if self._step is not Step.REPORTING:
+    def _handle_submission_answer(
+        self, event: UsageAnswered, now_s: float
+    ) -> list[Output]:
+        if self._step is not ReporterStep.REPORTING:
             return []
         if event.window_id != self._unreported[0].window_id:
             return []
         if not event.accepted:
             self._retry(now_s)
             return []
-        self._again(Step.MARKING, now_s)
-        return self.due(now_s)
+        self._go_to(ReporterStep.MARKING, now_s)
+        return self.run_due(now_s)
 
     def _mark(self, index: int, now_s: float) -> Output:
         value = record_to_json(ReportedRecord(index))
@@ -296,16 +302,16 @@
             operation_id, self._reported_key, value, self._reported_revision
         )
 
-    def _marked(self, written: StoreWritten, now_s: float) -> None:
+    def _apply_mark_written(self, written: StoreWritten, now_s: float) -> None:
         record = self._unreported.pop(0)
         self._reported = record.index
         self._reported_revision = written.revision
-        self._again(Step.READY, now_s)
+        self._go_to(ReporterStep.READY, now_s)
 
-    def _drop_old(self) -> list[Output]:
+    def _delete_old(self) -> list[Output]:
         """Remove windows that were reported long ago."""
         limit = self._reported - self._settings.kept_windows
-        domain = self._own.domain
+        domain = self._instance.domain
         old = [index for index in self._revisions if index <= limit]
         return [
             StoreDelete(
@@ -326,11 +332,11 @@
     def _wall_s(self, now_s: float) -> float:
         return now_s + (self._wall_offset_s or 0)
 
-    def _index(self, now_s: float) -> int:
+    def _window_index(self, now_s: float) -> int:
         return math.floor(self._wall_s(now_s) / self._settings.window_s)
 
 
-def _totals(listing: StoreListing) -> UsageTable:
+def _sum_counters(listing: StoreListing) -> UsageTable:
     totals = UsageTable()
     for item in listing.items:
         record = record_from_json(item.value or '', CounterRecord)
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -286,10 +286,10 @@
         world.run(50.9)
         owner = names[0]
         usage = world._members[owner].node.usage  # type: ignore[attr-defined]
-        for name in (owner, *usage._counter._holders):
+        for name in (owner, *usage._counter._copy_holders):
             world.kill(name)
         world.run(190)
-        self.assertEqual(2, len(usage._counter._holders))
+        self.assertEqual(2, len(usage._counter._copy_holders))
         total = reported(world.platform)['tokens']
         self.assertGreaterEqual(total, sure)
         self.assertLessEqual(total, received(world))
