--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of dandelionyoke, free of input and output."""
+"""The decision logic of dandelionyoke, without input or output."""
 
 from dandelionyoke_core._actions import (
     Action as Action,
--- a/packages/core/dandelionyoke_core/_changes.py
+++ b/packages/core/dandelionyoke_core/_changes.py
@@ -1,4 +1,4 @@
-"""Changes to a configuration: applied, checked and worked out."""
+"""Applying, validating and computing changes to a configuration."""
 
 from collections.abc import Callable, Iterator, Mapping
 from types import MappingProxyType
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Problem:
-    """One thing that is wrong with a configuration, and the remedy."""
+    """A validation error in a configuration, with a suggested remedy."""
 
     subject: str
     detail: str
@@ -60,16 +60,17 @@
 
 
 def apply_change(snapshot: Snapshot, change: Change) -> Snapshot:
-    """Make the configuration that follows from a change.
+    """Return the configuration that results from a change.
 
     Raises:
-        ConfigurationError: the change does not follow on this revision, or
-            it removes what is not there.
+        ConfigurationError: the change is not for the next revision, or it
+            removes an entity that does not exist.
     """
     if change.revision != snapshot.revision + 1:
         raise ConfigurationError(
-            f'Change {change.revision} does not follow {snapshot.revision}',
-            'Read the changes between',
+            f'Change {change.revision} does not follow revision '
+            f'{snapshot.revision}',
+            'Read the changes in between first',
         )
     content = {
         section: dict(getattr(snapshot, field))
@@ -85,7 +86,7 @@
 
 
 def validate(snapshot: Snapshot) -> tuple[Problem, ...]:
-    """Check a configuration as a whole."""
+    """Check a whole configuration and return all problems found."""
     checks: tuple[Callable[[Snapshot], Iterator[Problem]], ...] = (
         _check_organisations,
         _check_keys,
@@ -96,7 +97,7 @@
 
 
 def difference(old: Snapshot, new: Snapshot) -> tuple[Operation, ...]:
-    """Find the operations that lead from one configuration to another."""
+    """Return the operations that turn `old` into `new`."""
     operations: list[Operation] = []
     for section, field in _SNAPSHOT_FIELDS.items():
         before = getattr(old, field)
@@ -113,7 +114,11 @@
 
 
 def withdrawn_keys(old: Snapshot, new: Snapshot) -> tuple[str, ...]:
-    """Find the keys that stopped standing for their organisation."""
+    """Return the hashes of keys in `old` that are no longer valid in `new`.
+
+    A key stops being valid when it is removed, moves to another
+    organisation, or its organisation is removed.
+    """
     return tuple(
         key_hash
         for key_hash, key in sorted(old.keys.items())
@@ -122,10 +127,10 @@
 
 
 def _is_key_valid(key: ApiKey, snapshot: Snapshot) -> bool:
-    present = snapshot.keys.get(key.key_hash)
+    current = snapshot.keys.get(key.key_hash)
     return (
-        present is not None
-        and present.organisation_id == key.organisation_id
+        current is not None
+        and current.organisation_id == key.organisation_id
         and key.organisation_id in snapshot.organisations
     )
 
@@ -141,7 +146,7 @@
     if operation.name not in content[operation.section]:
         raise ConfigurationError(
             f'There is no {operation.section.value} {operation.name!r}',
-            'Read the configuration again and plan the change anew',
+            'Read the configuration again and plan the change on it',
         )
     content[operation.section].pop(operation.name)
 
@@ -163,12 +168,16 @@
         )
         if min(limits) <= 0:
             yield Problem(
-                subject, 'a weight or limit is not above 0', 'Raise it'
+                subject,
+                'a weight or limit is not above 0',
+                'Set every weight and limit above 0',
             )
         age_limit_s = organisation.knowledge_age_limit_s
         if age_limit_s is not None and age_limit_s <= 0:
             yield Problem(
-                subject, 'knowledge_age_limit_s is not above 0', 'Raise it'
+                subject,
+                'knowledge_age_limit_s is not above 0',
+                'Set it above 0, or leave it out',
             )
 
 
@@ -179,13 +188,13 @@
             yield Problem(
                 subject,
                 f'there is no organisation {key.organisation_id}',
-                'Declare it, or remove its keys with it',
+                'Declare the organisation, or remove the key',
             )
         if not _is_sha256_hex(key.key_hash):
             yield Problem(
                 subject,
-                'key_hash is no SHA-256 in lower-case hex',
-                'Store the hash of the key, never the key',
+                'key_hash is not a SHA-256 digest in lower-case hex',
+                'Store the hash of the key, never the key itself',
             )
 
 
@@ -227,7 +236,9 @@
             yield Problem(
                 subject,
                 f'there is no service {model.service_name}',
-                'Declare it, or remove its models with it',
+                'Declare the service, or remove the model',
             )
         if model.context_tokens <= 0:
-            yield Problem(subject, 'context_tokens is not above 0', 'Raise it')
+            yield Problem(
+                subject, 'context_tokens is not above 0', 'Set it above 0'
+            )
--- a/packages/core/dandelionyoke_core/_commit.py
+++ b/packages/core/dandelionyoke_core/_commit.py
@@ -1,6 +1,7 @@
-"""How a change gets into the configuration: once, and on what it was planned.
+"""Committing a change to the configuration.
 
-The compare-and-swap on the head is the commit point.
+A change is committed at most once, and only on the revision that it was
+planned on. The compare-and-swap on the head is the commit point.
 """
 
 from collections.abc import Sequence
@@ -29,19 +30,19 @@
 )
 from dandelionyoke_core._store_task import StoreGenerator, StoreTask
 
-# The head holds the whole of the newest change, whatever its size, and has
-# to fit into a value with it.
+# The head contains the newest change in full, and both must fit into one
+# store value.
 MAX_CHANGE_BYTES = 786_432
-# A snapshot also travels between peers, in a frame with a little around it.
+# A snapshot is also sent between peers, in a frame with some overhead.
 MAX_SNAPSHOT_BYTES = 983_040
 
 
 @attrs.frozen
 class Proposal:
-    """A change that an operator wants.
+    """A change that an operator wants to commit.
 
     `base_revision` is the revision that it was planned on; None means that
-    it is right on top of any.
+    it applies to any revision.
     """
 
     change_id: ChangeId
@@ -54,14 +55,14 @@
 
 @attrs.frozen
 class Committed:
-    """The change is in the configuration."""
+    """The change was committed, now or by an earlier try."""
 
     change: Change
 
 
 @attrs.frozen
 class Conflicted:
-    """Another operator was first; nothing was changed."""
+    """The configuration has moved past the base revision; nothing changed."""
 
     present_revision: int
     changes_since: tuple[Change, ...]
@@ -69,7 +70,7 @@
 
 @attrs.frozen
 class Rejected:
-    """The configuration that the change makes is wrong; nothing changed."""
+    """The resulting configuration is invalid; nothing changed."""
 
     problems: tuple[Problem, ...]
 
@@ -78,7 +79,7 @@
 
 
 class Committer(StoreTask[CommitOutcome]):
-    """Brings one proposal to its outcome."""
+    """The store task that commits one proposal."""
 
     def __init__(
         self, proposal: Proposal, settings: StoreLayoutSettings | None = None
@@ -104,7 +105,7 @@
                 return outcome
             answer = yield from self._attempt(loaded)
             if isinstance(answer, StoreConflict):
-                cause = 'other operators were first each time'
+                cause = 'other changes were committed first on every try'
             elif isinstance(answer, StoreFailed):
                 self._in_doubt = self._in_doubt or answer.may_have_happened
                 cause = answer.cause
@@ -113,11 +114,11 @@
         return Unsettled(cause, self._in_doubt)
 
     def _check_head(self, loaded: Loaded) -> CommitOutcome | None:
-        """Say what the present head makes of the proposal.
+        """Return the outcome that the head determines; None to write.
 
-        A write whose answer was lost may have taken effect, so that writing
-        again would make the change twice, under two revisions. The change
-        id among all changes since the first read tells.
+        A write whose answer was lost may have succeeded, and writing again
+        would commit the change twice, under two revisions. So the change id
+        is looked up among all changes since the first read.
         """
         for change in loaded.changes:
             if change.change_id == self._proposal.change_id:
@@ -125,7 +126,9 @@
         if self._history_from is None:
             self._history_from = loaded.head.revision + 1
         if _has_gap(loaded, self._history_from):
-            return Unsettled('too many changes came between', self._in_doubt)
+            return Unsettled(
+                'too many changes were committed meanwhile', self._in_doubt
+            )
         base = self._proposal.base_revision
         if base is None or base == loaded.head.revision:
             return None
@@ -164,7 +167,7 @@
         )
 
     def _archive(self, loaded: Loaded) -> StoreGenerator[Unsettled | None]:
-        """Write under their own keys what the next head will not hold."""
+        """Write what the next head omits under separate, immutable keys."""
         head = loaded.head
         kept_changes = self._kept_changes(head)
         for change in head.changes[: len(head.changes) - len(kept_changes)]:
@@ -194,10 +197,9 @@
 
     def _needs_snapshot(self, head: Head) -> bool:
         since = head.revision - head.snapshot_revision
-        kept_changes = len(self._kept_changes(head))
+        kept_count = len(self._kept_changes(head))
         return (
-            since >= self._settings.snapshot_every_changes
-            or since > kept_changes
+            since >= self._settings.snapshot_every_changes or since > kept_count
         )
 
     def _kept_changes(self, head: Head) -> tuple[Change, ...]:
--- a/packages/core/dandelionyoke_core/_store_layout.py
+++ b/packages/core/dandelionyoke_core/_store_layout.py
@@ -1,9 +1,9 @@
-"""How a configuration lies in the store, and how it is read.
+"""The layout of the configuration in the store, and reading it.
 
-`config/head` holds the revision, the last changes and the revision of the
-snapshot to start from. Everything else is immutable:
+`config/head` holds the revision, the newest changes and the revision of the
+snapshot to start from. All other keys are immutable:
 `config/snapshot/<revision>`, and `config/change/<revision>` for the changes
-that left the head.
+that the head no longer holds.
 """
 
 import itertools
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class StoreLayoutSettings:
-    """How much the head holds, and when a snapshot is cut."""
+    """Size limits of the head, the snapshot interval and retry limits."""
 
     head_changes: int = 32
     head_bytes: int = 65_536
@@ -44,7 +44,8 @@
 class Head:
     """The content of `config/head`; its changes end at its revision.
 
-    The snapshot before the present one stays for those who read it now.
+    The snapshot before the current one is kept for readers that are still
+    reading it.
     """
 
     revision: int = 0
@@ -55,10 +56,10 @@
 
 @attrs.frozen
 class Unsettled:
-    """The store did not answer.
+    """The task ended without an outcome, for example by a store failure.
 
-    Where the change may have happened, the same proposal, with the same
-    change id, finds out and is safe.
+    If the change may have happened, it is safe to submit the same proposal
+    with the same change id again, which determines the outcome.
     """
 
     cause: str
@@ -79,7 +80,7 @@
 
 
 class ConfigurationStore:
-    """The store calls of reading and changing a configuration."""
+    """The store calls that read and change a configuration."""
 
     def __init__(self, prefix: str, settings: StoreLayoutSettings) -> None:
         self._prefix = prefix
@@ -89,10 +90,10 @@
     def load(
         self, history_from: int | None = None
     ) -> StoreGenerator[LoadOutcome]:
-        """Read all of a configuration.
+        """Read a whole configuration.
 
-        The snapshot can be gone by the time that it is read, because newer
-        ones have followed; then the head is read again.
+        A newer snapshot may have replaced the one that the head names before
+        it is read; then the head is read again.
         """
         cause = ''
         for _ in range(self._settings.max_tries):
@@ -111,7 +112,7 @@
     def load_from_head(
         self, head_item: StoreItem, history_from: int | None = None
     ) -> StoreGenerator[LoadOutcome]:
-        """Read what a head rests on."""
+        """Read the snapshot and the changes that a head refers to."""
         head = decode_head(head_item)
         base = yield from self._read_snapshot(head.snapshot_revision)
         if isinstance(base, Unsettled):
@@ -132,7 +133,7 @@
     def read_changes(
         self, head: Head, first: int
     ) -> StoreGenerator[tuple[Change, ...] | Unsettled]:
-        """Read the changes from a revision up to the head's."""
+        """Read the changes from revision `first` up to that of the head."""
         first_kept = head.revision - len(head.changes) + 1
         found: list[Change] = []
         for revision in range(first, first_kept):
@@ -146,7 +147,7 @@
         return tuple(found)
 
     def read(self, key: str) -> StoreGenerator[StoreItem | Unsettled]:
-        """Read a key, with a bounded number of tries."""
+        """Read a key, with up to `max_tries` tries."""
         found: StoreItem | Unsettled = Unsettled('')
         for _ in range(self._settings.max_tries):
             found = yield from self.read_once(key)
@@ -162,7 +163,7 @@
         return Unsettled(_failure_cause(answer))
 
     def create(self, key: str, text: str) -> StoreGenerator[Unsettled | None]:
-        """Write an immutable key; it is fine if it is there already."""
+        """Write an immutable key; succeed if it exists already."""
         cause = ''
         for _ in range(self._settings.max_tries):
             answer = yield StorePut(self.next_operation_id(), key, text, 0)
@@ -185,7 +186,7 @@
         return StoreFailed(_failure_cause(answer), may_have_happened=True)
 
     def delete(self, key: str) -> StoreGenerator[None]:
-        """Remove a key that nothing names any more, with one try."""
+        """Delete a key that is no longer referenced, with one try."""
         found = yield from self.read_once(key)
         if isinstance(found, StoreItem) and found.value is not None:
             yield StoreDelete(self.next_operation_id(), key, found.revision)
@@ -205,16 +206,16 @@
         if isinstance(found, Unsettled):
             return found
         if found.value is None:
-            return Unsettled(f'{key} is gone')
+            return Unsettled(f'{key} does not exist')
         return found.value
 
     def next_operation_id(self) -> OperationId:
-        """Name the next call."""
+        """Return the operation id of the next call."""
         return OperationId(f'{self._prefix}/{next(self._operation_numbers)}')
 
 
 class ConfigurationLoader(StoreTask[LoadOutcome]):
-    """Reads a configuration, and its changes from a revision on."""
+    """The store task that reads a configuration and its recent changes."""
 
     def __init__(
         self,
@@ -227,31 +228,31 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """The configuration as read; the empty one before."""
+        """The configuration; empty until it has been read."""
         if isinstance(self.outcome, Loaded):
             return self.outcome.snapshot
         return Snapshot()
 
     @property
     def changes(self) -> tuple[Change, ...]:
-        """The changes as read, oldest first."""
+        """The changes, oldest first; empty until they have been read."""
         if isinstance(self.outcome, Loaded):
             return self.outcome.changes
         return ()
 
 
 def change_key(revision: int) -> str:
-    """Name the key of a change."""
+    """Return the store key of a change."""
     return f'{CHANGE_PREFIX}{revision}'
 
 
 def snapshot_key(revision: int) -> str:
-    """Name the key of a snapshot."""
+    """Return the store key of a snapshot."""
     return f'{SNAPSHOT_PREFIX}{revision}'
 
 
 def decode_head(item: StoreItem) -> Head:
-    """Read the head; a store without one holds the empty configuration."""
+    """Decode the head; a missing head means the empty configuration."""
     if item.value is None:
         return Head()
     return record_from_json(item.value, Head)
@@ -260,4 +261,4 @@
 def _failure_cause(answer: object) -> str:
     if isinstance(answer, StoreFailed):
         return answer.cause
-    return f'the store answered with {type(answer).__name__}'
+    return f'unexpected answer of the store: {type(answer).__name__}'
--- a/packages/core/dandelionyoke_core/_store_task.py
+++ b/packages/core/dandelionyoke_core/_store_task.py
@@ -1,8 +1,8 @@
-"""Several store calls in a row, written as one generator.
+"""A sequence of store calls, written as one generator.
 
-The generator yields a store call and gets its result; whoever drives it
-(a part of a node, or the operator's command) performs the calls. At most
-one call is under way at any time.
+The generator yields a store call and receives its result. The driver (a part
+of a node, or the operator's command) performs the calls. At most one call is
+pending at any time.
 """
 
 from collections.abc import Generator
@@ -26,7 +26,7 @@
 
 
 class StoreTask(Generic[Outcome]):
-    """Drives one generator of store calls to its outcome."""
+    """Runs one generator of store calls to its outcome."""
 
     def __init__(self, generator: StoreGenerator[Outcome]) -> None:
         self._generator = generator
@@ -34,13 +34,13 @@
         self.outcome: Outcome | None = None
 
     def begin(self) -> list[Action]:
-        """Start; return the first call."""
+        """Start the generator and return its first call."""
         return self._resume(None)
 
     def handle(self, event: StoreAnswered, now_s: float) -> list[Action]:
-        """Take the end of a call; return the next one, if any.
+        """Pass on the result of a call and return the next call, if any.
 
-        An answer to any other call than the one under way is dropped.
+        An answer to any call but the pending one is ignored.
         """
         if event.operation_id != self._pending_operation_id:
             return []
@@ -48,7 +48,7 @@
 
     @property
     def pending_operation_id(self) -> OperationId | None:
-        """The call that is under way, or None."""
+        """The id of the pending call, or None."""
         return self._pending_operation_id
 
     def _resume(self, answer: StoreResult | None) -> list[Action]:
