--- a/packages/core/dandelionyoke_core/_claim_state_machine.py
+++ b/packages/core/dandelionyoke_core/_claim_state_machine.py
@@ -1,7 +1,7 @@
-"""What a claim's owner does next, whatever the store says or does not say.
+"""The steps of the owner of a claim, on any store result or timeout.
 
-Every write is a compare-and-set of the revision that the decision was taken
-on; no other write of a claim exists.
+Every write is a compare-and-swap on the revision that the decision was based
+on; a claim is never written in any other way.
 """
 
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 
 
 class ClaimStateMachine:
-    """Takes claims through the store to their ends."""
+    """Drives each claim from its first write to its recorded end."""
 
     def __init__(
         self, settings: OnceSettings, table: ClaimTable, clock: WallClock
@@ -48,7 +48,7 @@
         change: Callable[[ClaimRecord], ClaimRecord],
         now_s: float,
     ) -> list[Output]:
-        """Write the end of a claim that is held."""
+        """Write the end of a held claim; do nothing if it is not held."""
         claim = self._table.find(request_id)
         if claim is None or claim.step is not ClaimStep.HELD:
             return []
@@ -57,12 +57,12 @@
         log = WriteLog('once.closed', request_id, claim.record.state.value)
         return [log, self._table.write(claim, now_s)]
 
-    # What the store said.
+    # Store results.
 
     def handle_store_result(
         self, claim: Claim, result: StoreResult, now_s: float
     ) -> list[Output]:
-        """Take what the store said of a claim."""
+        """Handle the result of the pending store operation of a claim."""
         match result:
             case StoreFailed():
                 return self._handle_failure(claim, result, now_s)
@@ -110,8 +110,8 @@
     ) -> list[Output]:
         claim.expected_revision = revision
         if record.state is not ClaimState.RUNNING:
-            # An earlier write of the end took effect and its answer was
-            # lost. It is final: nothing is written over it.
+            # An earlier write of the end succeeded but its answer was lost.
+            # The stored end is final and is not overwritten.
             self._table.remove(claim)
             return []
         if claim.step is ClaimStep.CLOSING:
@@ -124,8 +124,8 @@
         if claim.is_refused:
             return self.close(claim.request_id, release_claim, now_s)
         if self._clock.wall_s(now_s) >= claim.record.run_until_wall_s:
-            # This process was paused for so long that others already say
-            # of this claim that its end is not known.
+            # This process was paused until the run limit passed. Other
+            # entries already report the outcome of this claim as unknown.
             return self._refuse_caller(claim, now_s)
         return [ClaimGranted(claim.request_id)]
 
@@ -150,9 +150,9 @@
     def _should_wait_for_end(
         self, claim: Claim, record: ClaimRecord, now_s: float
     ) -> bool:
-        # The first caller gets its answer while the end is on its way to
-        # the store. A repeat that comes in this moment would be sent away
-        # for an answer that is there a few milliseconds later.
+        # The first caller gets its answer before the end is stored. A repeat
+        # that arrives in between would be refused although the answer is
+        # available a few milliseconds later.
         if claim.is_refused or now_s >= claim.repeat_deadline_s:
             return False
         if record.request_hash != claim.record.request_hash:
@@ -160,8 +160,8 @@
         return record.is_running(self._clock.wall_s(now_s))
 
     def _handle_unreadable(self, claim: Claim) -> list[Output]:
-        # A record of a newer version, or a damaged one. Writing over it
-        # could let a call run again, so it stands.
+        # The record is of a newer version, or damaged. Overwriting it could
+        # let a call run again, so it is kept.
         outputs: list[Output] = [CountMetric('once.unreadable_records')]
         if not claim.is_refused and claim.step is not ClaimStep.CLOSING:
             outputs.append(ClaimRefused(claim.request_id, in_doubt_refusal()))
@@ -175,17 +175,17 @@
             self._clock.wall_s(now_s), self._settings.clock_margin_s
         )
 
-    # What the store did not say.
+    # Failures and timeouts.
 
     def _handle_failure(
         self, claim: Claim, failed: StoreFailed, now_s: float
     ) -> list[Output]:
         if claim.step is ClaimStep.CREATING and failed.may_have_happened:
-            # The write may have taken effect and only its answer be lost.
-            # Taken for a failure it would leave a claim that nobody runs,
-            # and a repeat would be told of a run that never was; taken for
-            # a success it could run a call that another entry runs too.
-            # The store alone knows, so it is read.
+            # The write may have succeeded with only its answer lost. Treated
+            # as a failure, it would leave a claim whose call nobody runs, and
+            # a repeat would be told of a run that never happened. Treated as
+            # a success, the call could run here and on another entry too. So
+            # the record is read back from the store.
             claim.may_exist = True
             claim.step = ClaimStep.READING
         if claim.is_refused and not claim.may_exist:
@@ -195,7 +195,7 @@
         return []
 
     def handle_timeout(self, claim: Claim, now_s: float) -> list[Output]:
-        """Ask again, or give the store up."""
+        """Retry the current step, or refuse the call after its deadline."""
         if claim.is_caller_waiting and now_s >= claim.claim_deadline_s:
             return self._refuse_caller(claim, now_s)
         if claim.operation_id is not None:
@@ -212,9 +212,9 @@
     def _write_claim(self, claim: Claim, now_s: float) -> Output:
         if claim.is_refused:
             # The caller was told that nothing was sent, but a write of the
-            # claim may still be on its way. An open record takes its place
-            # and makes it fail when it arrives; else a repeat would be told
-            # of a run that never was.
+            # claim may still be in flight. An open record written first makes
+            # that write fail when it arrives; otherwise a repeat would be
+            # told of a run that never happened.
             claim.record = release_claim(claim.record)
             claim.step = ClaimStep.CLOSING
         elif claim.step is ClaimStep.READING:
@@ -222,7 +222,7 @@
         return self._table.write(claim, now_s)
 
     def _refuse_caller(self, claim: Claim, now_s: float) -> list[Output]:
-        """Tell the caller that nothing was sent, and clear up behind it."""
+        """Tell the caller that nothing was sent, and release the claim."""
         claim.is_refused = True
         refusal = store_down_refusal(self._settings.retry_max_s)
         outputs: list[Output] = [ClaimRefused(claim.request_id, refusal)]
@@ -240,10 +240,10 @@
 
 
 def release_claim(record: ClaimRecord) -> ClaimRecord:
-    """Give a claim back."""
+    """Return the record as open: the call did not run."""
     return attrs.evolve(record, state=ClaimState.OPEN)
 
 
 def mark_in_doubt(record: ClaimRecord) -> ClaimRecord:
-    """Leave a claim in doubt."""
+    """Return the record as in doubt: the outcome is unknown for good."""
     return attrs.evolve(record, state=ClaimState.DOUBT)
--- a/packages/core/dandelionyoke_core/_claim_sweep.py
+++ b/packages/core/dandelionyoke_core/_claim_sweep.py
@@ -1,4 +1,4 @@
-"""Claims that are past their retention leave the store, little by little."""
+"""Incremental deletion of expired claims from the store."""
 
 from collections import deque
 from random import Random
@@ -20,10 +20,10 @@
 
 
 class ClaimSweep:
-    """Lists one small bucket of keys at a time and drops what is expired.
+    """Lists one small bucket of keys at a time and deletes expired claims.
 
-    Expiry is judged by the record alone, and a delete names the revision
-    that was judged, so that a claim made in the meantime stays.
+    Expiry is decided by the record alone. A delete names the revision that
+    was checked, so that a claim made in the meantime stays.
     """
 
     def __init__(self, settings: OnceSettings, random: Random) -> None:
@@ -38,18 +38,18 @@
     def add_organisation(
         self, organisation_id: OrganisationId, now_s: float
     ) -> None:
-        """Note an organisation that has claims."""
+        """Include an organisation that has claims in the sweep."""
         if organisation_id not in self._organisations:
             self._organisations.append(organisation_id)
         if self._next_sweep_s is None:
             self._schedule_next(now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next bucket is due."""
+        """Return when the next bucket is due, or None."""
         return self._next_sweep_s
 
     def list_next_bucket(self, name: str, now_s: float) -> list[Output]:
-        """List the next bucket if it is time."""
+        """List a random bucket if one is due."""
         if self._next_sweep_s is None or now_s < self._next_sweep_s:
             return []
         self._schedule_next(now_s)
@@ -65,7 +65,10 @@
         result: StoreResult,
         wall_s: float,
     ) -> list[Output]:
-        """Drop what is expired; a failed delete is found again later."""
+        """Delete the expired claims of a listed bucket.
+
+        A claim whose delete fails is found again by a later sweep.
+        """
         if operation_id != self._listing_id:
             return []
         self._listing_id = None
--- a/packages/core/dandelionyoke_core/_claim_table.py
+++ b/packages/core/dandelionyoke_core/_claim_table.py
@@ -1,4 +1,4 @@
-"""The claims of one node and what it is asking the store about them."""
+"""The unfinished claims of one node and their pending store operations."""
 
 import enum
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 @enum.unique
 class ClaimStep(enum.Enum):
-    """What a claim's owner is doing with it."""
+    """The current step of the owner of a claim."""
 
     CREATING = 'creating'
     READING = 'reading'
@@ -29,10 +29,10 @@
 class Claim:
     """A claim of this node, until its end is in the store.
 
-    `record` is what is written next, where `expected_revision` stands.
-    `may_exist` is whether the store may hold this claim. `refused` is
-    whether its caller was told that it was not sent, so that it must be
-    given back if it proves to exist.
+    `record` is written next, by compare-and-swap on `expected_revision`.
+    `may_exist` is whether the store may hold this claim. `is_refused` is
+    whether the caller was told that the call was not sent; such a claim must
+    be released if it turns out to exist.
     """
 
     request_id: RequestId
@@ -51,7 +51,7 @@
 
     @property
     def is_caller_waiting(self) -> bool:
-        """Whether a caller still waits to hear if its call may be sent."""
+        """Whether the caller still waits for the claim to be granted."""
         return not self.is_refused and self.step in {
             ClaimStep.CREATING,
             ClaimStep.READING,
@@ -59,7 +59,7 @@
 
 
 class ClaimTable:
-    """Claims by request, each with at most one store operation at a time."""
+    """The claims by request; each has at most one pending store operation."""
 
     def __init__(
         self, settings: OnceSettings, incarnation: str, random: Random
@@ -76,24 +76,24 @@
         return len(self._claims)
 
     def next_name(self) -> str:
-        """Make a name that no other incarnation of any instance makes."""
+        """Return a name that is unique over all incarnations of instances."""
         self._name_count += 1
         return f'{self._incarnation}.{self._name_count}'
 
     def add(self, claim: Claim) -> None:
-        """Take up a new claim."""
+        """Add a new claim."""
         self._claims[claim.request_id] = claim
 
     def find(self, request_id: RequestId) -> Claim | None:
-        """Look a claim up."""
+        """Look up the claim of a request."""
         return self._claims.get(request_id)
 
     def remove(self, claim: Claim) -> None:
-        """Drop a claim whose end is in the store, or that never was."""
+        """Remove a claim that has ended in the store or was never made."""
         self._claims.pop(claim.request_id, None)
 
     def write(self, claim: Claim, now_s: float) -> Action:
-        """Write the claim's record where it is expected to stand."""
+        """Write the record of the claim if its revision is as expected."""
         return StorePut(
             self._begin_operation(claim, now_s),
             claim.key,
@@ -102,11 +102,11 @@
         )
 
     def read(self, claim: Claim, now_s: float) -> Action:
-        """Read what stands under the claim's key."""
+        """Read the record under the key of the claim."""
         return StoreGet(self._begin_operation(claim, now_s), claim.key)
 
     def match_answer(self, operation_id: OperationId) -> Claim | None:
-        """Find the claim that an answer is for; None for a late answer."""
+        """Return the claim that an answer is for; None for a late answer."""
         request_id = self._operations.pop(operation_id, None)
         if request_id is None:
             return None
@@ -115,35 +115,35 @@
         return claim
 
     def abandon_operation(self, claim: Claim) -> None:
-        """Pass over the answer to the present operation, if it comes."""
+        """Ignore the answer to the pending operation if it still arrives."""
         if claim.operation_id is not None:
             self._operations.pop(claim.operation_id, None)
             claim.operation_id = None
 
     def retry_later(self, claim: Claim, now_s: float) -> None:
-        """Ask again after a pause that grows with each failure."""
+        """Schedule a retry with exponential backoff."""
         claim.failures += 1
         doublings = min(claim.failures, MAX_RETRY_DOUBLINGS)
         pause_s = min(
             self._settings.retry_min_s * 2**doublings,
             self._settings.retry_max_s,
         )
-        # Spread, so that the entries do not all come back in one moment.
+        # Jitter keeps the entries from retrying all at the same moment.
         claim.retry_at_s = now_s + pause_s * self._random.uniform(0.5, 1)
         self.schedule(claim)
 
     def schedule(self, claim: Claim) -> None:
-        """Have the claim looked at when it is due."""
+        """Set the timer of the claim to the earliest of its due times."""
         due_s = self._due_s(claim.request_id)
         if due_s is not None:
             self._timers.put(claim.request_id, due_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when a claim has to be looked at."""
+        """Return when the next claim is due, or None."""
         return self._timers.next_s()
 
     def due(self, now_s: float) -> Iterator[Claim]:
-        """Take the claims that have to be looked at."""
+        """Yield the claims that are due."""
         for request_id in tuple(self._timers.due(now_s, self._due_s)):
             claim = self._claims.get(request_id)
             if claim is not None:
--- a/packages/core/dandelionyoke_core/_claims.py
+++ b/packages/core/dandelionyoke_core/_claims.py
@@ -1,4 +1,7 @@
-"""The record of a claim in the store, and what a record means to a repeat."""
+"""The stored record of a claim, and the answer that a repeated call gets.
+
+A claim reserves an idempotency key for one run of a call.
+"""
 
 import base64
 import enum
@@ -14,14 +17,18 @@
 CLAIM_PREFIX = 'once'
 _SEND_AGAIN = 'Send the request again after retry_after_s'
 _CHECK_OUTCOME = (
-    'Find out at the service whether it ran; a repeat with the same '
+    'Check at the service whether it ran; a repeat with the same '
     'Idempotency-Key is not sent again'
 )
 
 
 @enum.unique
 class ClaimState(enum.Enum):
-    """Where a claim stands. ENDED and DOUBT are final."""
+    """The state of a claim. ENDED and DOUBT are final.
+
+    OPEN means that the call did not run and the key is free again. DOUBT
+    means that nobody knows whether the call ran.
+    """
 
     RUNNING = 'running'
     OPEN = 'open'
@@ -31,14 +38,19 @@
 
 @attrs.frozen
 class OnceSettings:
-    """How long claims last and how patiently the store is asked.
-
-    A claim is kept for `retention_s`; `clock_margin_s` is how far apart the
-    wall clocks of two entries may be. A claim whose owner has not recorded
-    an end `run_limit_s` after it was made is in doubt. A caller waits
-    `patience_s` for the store. A repeat waits `repeat_wait_s` for the end of
-    the first call before it is told to come back after `repeat_after_s`. Every `sweep_interval_s` a small bucket of
-    keys is searched and `sweep_batch` expired claims at most are dropped.
+    """Retention of claims, timeouts and retries of store calls.
+
+    A claim is kept for `retention_s`; `clock_margin_s` is the largest
+    expected difference between the wall clocks of two entries. A claim is in
+    doubt if its owner has not recorded an end within `max_run_s` of making
+    it. A call is refused if its claim is not made within `claim_timeout_s`.
+    Each store call times out after `store_call_timeout_s`; retries back off
+    from `retry_min_s` to `retry_max_s`. A repeated call waits up to
+    `repeat_wait_s` for the first one to end and is then refused with
+    `repeat_retry_after_s` as its Retry-After. An answer larger than
+    `max_kept_answer_bytes` is not stored. Every `sweep_interval_s` one small
+    bucket of keys is listed and at most `sweep_batch` expired claims are
+    deleted.
     """
 
     retention_s: float = 172_800.0
@@ -58,11 +70,11 @@
 
 @attrs.frozen
 class ClaimRecord:
-    """What the store holds for one idempotency key of an organisation.
+    """The stored record for one idempotency key of an organisation.
 
-    Both times are absolute, in seconds since the epoch, and are the only
-    judges of this claim: nothing but them makes it doubtful or drops it.
-    `kept` is False where the answer was too large to record.
+    Both times are absolute, in seconds since the epoch. They alone decide
+    when the claim becomes doubtful and when it expires. `kept` is False if
+    the answer was too large to store.
     """
 
     claim_id: str
@@ -77,18 +89,18 @@
     kept: bool = True
 
     def is_running(self, wall_s: float) -> bool:
-        """Whether its owner may still record an end."""
+        """Return whether the owner may still record an end."""
         running = self.state is ClaimState.RUNNING
         return running and wall_s < self.run_until_wall_s
 
     def is_expired(self, wall_s: float, clock_margin_s: float) -> bool:
-        """Whether its retention is over by every clock within the margin."""
+        """Return whether the claim has expired on every entry's clock."""
         return wall_s > self.expires_wall_s + clock_margin_s
 
     def with_end(
         self, status: int, content_type: str, body: bytes, max_bytes: int
     ) -> 'ClaimRecord':
-        """Record an end, with the answer if it is small enough to keep."""
+        """Return the ended record, with the answer if it is small enough."""
         kept = len(body) + len(content_type) <= max_bytes
         return attrs.evolve(
             self,
@@ -106,7 +118,7 @@
         wall_s: float,
         retry_after_s: float,
     ) -> ClaimAnswered | ClaimRefused:
-        """Say what a repeat gets to hear of this claim."""
+        """Return the response to a repeated call with the same key."""
         if request_hash != self.request_hash:
             return ClaimRefused(request_id, _key_reused_refusal())
         if self.state is ClaimState.ENDED and self.kept:
@@ -126,13 +138,13 @@
 
 
 def claim_key(organisation_id: OrganisationId, idempotency_key: str) -> str:
-    """Name the store key of a claim."""
+    """Return the store key of a claim."""
     digest = hashlib.sha256(idempotency_key.encode()).hexdigest()
     return f'{CLAIM_PREFIX}/{organisation_id}/{digest}'
 
 
 def hash_request(call: ServiceCalled) -> str:
-    """Name what is asked, so that a key stands for one request only."""
+    """Hash a request, to detect a key that is reused for another request."""
     digest = hashlib.sha256()
     parts = (
         call.service_name.encode(),
@@ -146,20 +158,20 @@
 
 
 def store_down_refusal(retry_after_s: float) -> Refusal:
-    """Refuse a call whose claim could not be made; it was not sent."""
+    """Refuse a call that was not sent because it could not be claimed."""
     return Refusal(
         RefusalKind.STORE_DOWN,
-        'The store that guards against a second run gives no answer',
+        'The store that prevents a second run does not answer',
         _SEND_AGAIN,
         retry_after_s=retry_after_s,
     )
 
 
 def in_doubt_refusal() -> Refusal:
-    """Refuse a call whose first run has an unknown end."""
+    """Refuse a call because the outcome of its first run is unknown."""
     return Refusal(
         RefusalKind.END_UNKNOWN,
-        'A request with this Idempotency-Key was sent and its end is not known',
+        'A request with this Idempotency-Key was sent; its outcome is unknown',
         _CHECK_OUTCOME,
         RunState.UNKNOWN,
     )
@@ -178,7 +190,7 @@
 def _key_reused_refusal() -> Refusal:
     return Refusal(
         RefusalKind.KEY_REUSED,
-        'This Idempotency-Key came with another request before',
+        'This Idempotency-Key was already used for another request',
         'Use a new Idempotency-Key for each new request',
     )
 
@@ -198,7 +210,7 @@
         RefusalKind.END_UNKNOWN,
         f'The request ran once and was answered with status {status}; the '
         'answer was too large to keep',
-        'Read the outcome at the service; a repeat with the same '
+        'Check the outcome at the service; a repeat with the same '
         'Idempotency-Key is not sent again',
         RunState.UNKNOWN,
     )
--- a/packages/core/dandelionyoke_core/_once.py
+++ b/packages/core/dandelionyoke_core/_once.py
@@ -1,8 +1,8 @@
-"""At most one run of a call that may not be repeated.
+"""At-most-once execution of calls that are not idempotent.
 
-A claim in the platform's store comes before the call is sent. Every write
-of it is a compare-and-set of the revision that the decision was taken on,
-so that of two entries with the same key one alone can win.
+A claim is written to the platform's store before the call is sent. Every
+write of a claim is a compare-and-swap on the revision that the decision was
+based on, so that only one of two entries with the same key can win.
 """
 
 from random import Random
@@ -37,7 +37,7 @@
 
 
 class OncePart:
-    """Claims calls in the store, and records their ends."""
+    """Claims calls in the store and records their ends."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -50,8 +50,8 @@
     ) -> None:
         self._settings = settings
         self._instance_id = instance_id
-        # An instance that is replaced under the same name must not take
-        # its predecessor's claims for its own, and send their calls again.
+        # An instance that is replaced under the same name must not mistake
+        # the claims of its predecessor for its own and send their calls again.
         incarnation = f'{instance_id}.{random.getrandbits(64):016x}'
         self._table = ClaimTable(settings, incarnation, random)
         self._sweep = ClaimSweep(settings, random)
@@ -61,7 +61,7 @@
         )
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         match event:
             case Started():
                 self._clock.start(event.wall_s, now_s)
@@ -72,16 +72,16 @@
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the store has to be asked again."""
+        """Return when a claim or the sweep is due, or None."""
         wakeups = (self._table.next_wakeup_s(), self._sweep.next_wakeup_s())
         return min((due for due in wakeups if due is not None), default=None)
 
     @property
     def in_progress(self) -> int:
-        """How many claims have an end that is not in the store yet."""
+        """The number of claims whose end is not in the store yet."""
         return len(self._table)
 
-    # The Claimer port.
+    # Claimer protocol.
 
     def claim(
         self,
@@ -94,14 +94,14 @@
         retry_after_s = self._settings.retry_max_s
         if not self._clock.is_set or not call.idempotency_key:
             return [ClaimRefused(request_id, store_down_refusal(retry_after_s))]
-        full = len(self._table) >= self._settings.max_claims
-        if full or self._table.find(request_id) is not None:
+        is_full = len(self._table) >= self._settings.max_claims
+        if is_full or self._table.find(request_id) is not None:
             return [
                 ClaimRefused(request_id, too_many_claims_refusal(retry_after_s))
             ]
         wall_s = self._clock.wall_s(now_s)
         record = ClaimRecord(
-            # The time tells incarnations apart that draw the same number.
+            # The time distinguishes incarnations with the same random number.
             f'{self._table.next_name()}.{wall_s}',
             self._instance_id,
             hash_request(call),
@@ -137,11 +137,11 @@
         )
 
     def reopen(self, request_id: RequestId, now_s: float) -> list[Output]:
-        """Give a claim back on proof that the call did not run."""
+        """Release a claim because the call certainly did not run."""
         return self._state_machine.close(request_id, release_claim, now_s)
 
     def doubt(self, request_id: RequestId, now_s: float) -> list[Output]:
-        """Leave a claim in doubt for good: its end is not known."""
+        """Mark a claim as in doubt for good: its outcome is unknown."""
         return self._state_machine.close(request_id, mark_in_doubt, now_s)
 
     def _handle_store_answer(
