--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -1,9 +1,9 @@
-"""The configuration in force in this node, and how news of it travels.
+"""The configuration in force in this node, and its propagation.
 
-In each domain a few instances, the watchers, wait on the head in the store.
-All others hear of a change over the peer links, and read the head now and
-then in case that they missed one. A node that the store does not answer
-asks its peers what they know and how old that is.
+In each failure domain a few instances, the watchers, watch the head in the
+store. All others learn of a change over the peer links, and poll the head at
+long intervals in case they missed one. A node that cannot reach the store
+asks its peers for their configuration and its age.
 """
 
 import random as random_module
@@ -46,14 +46,14 @@
 from dandelionyoke_core._rendezvous import rendezvous
 
 WATCH_TOPIC = 'config/watch'
-# A node that lacks a change gives its peer's answer this long before it
-# reads the store, so that a gap in many nodes is no load on the store.
+# A node that misses a change waits this long for a peer's answer before it
+# reads the store, so that a gap in many nodes does not load the store.
 GAP_READ_DELAY_S = 2.0
 
 
 @attrs.frozen
 class ConfigurationSettings:
-    """How news of the configuration travels."""
+    """Settings of how the configuration propagates."""
 
     watchers_per_domain: int = 3
     queries: PeerQuerySettings = attrs.field(factory=PeerQuerySettings)
@@ -62,7 +62,7 @@
 
 
 class ConfigurationPart:
-    """Keeps the newest configuration that the node has heard of in force."""
+    """Keeps the newest configuration known to this node in force."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -101,17 +101,17 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """The whole configuration; revision 0 while nothing is known."""
+        """The whole configuration; revision 0 until one is known."""
         return self._knowledge.snapshot
 
     def knowledge_age_s(self, now_s: float) -> float | None:
-        """Seconds since it was last confirmed; None: never."""
+        """Return the seconds since the last confirmation; None if never."""
         if self._confirmed_s is None:
             return None
         return max(0, now_s - self._confirmed_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when this part has to be woken, or None."""
+        """Return when a read or a query is due, or None."""
         wakeups = (
             self._reader.next_wakeup_s(),
             self._queries.next_wakeup_s(),
@@ -122,7 +122,7 @@
         )
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         outputs = self._dispatch(event, now_s)
         outputs.extend(
             self._reader.advance(
@@ -149,11 +149,11 @@
             case PeerMessageArrived():
                 return self._handle_peer_message(event, now_s)
             case RecordLearned(
-                record=ConfigurationNews() as news, from_peer=peer_id
+                record=ConfigurationNews() as announcement, from_peer=peer_id
             ):
-                outputs = self._apply_changes(news.changes)
+                outputs = self._apply_changes(announcement.changes)
                 return outputs + self._request_missing(
-                    news.version, peer_id, now_s
+                    announcement.version, peer_id, now_s
                 )
         return []
 
@@ -183,32 +183,32 @@
         actions, reading = self._reader.handle_answer(
             event, self._is_watcher(), now_s
         )
-        news = [] if reading is None else self._apply_reading(reading)
-        return [*actions, *news]
+        outputs = [] if reading is None else self._apply_reading(reading)
+        return [*actions, *outputs]
 
     def _apply_reading(self, reading: ConfirmedRead) -> list[Output]:
-        found = reading.head_read
+        head_read = reading.head_read
         if (
-            found.revision is not None
-            and found.revision < self.snapshot.revision
+            head_read.revision is not None
+            and head_read.revision < self.snapshot.revision
         ):
-            # A read that was slower than a peer's news, or a store that lost
-            # writes; taking it would bring a withdrawn key back to life.
+            # The read was slower than a peer's announcement, or the store
+            # lost writes. Applying it would make a withdrawn key valid again.
             return [
                 WriteLog(
                     'configuration.store_behind',
                     str(self.snapshot.revision),
-                    f'the store is at {found.revision}',
+                    f'the store is at {head_read.revision}',
                 )
             ]
-        if found.snapshot is None:
-            outputs = self._apply_changes(found.changes)
+        if head_read.snapshot is None:
+            outputs = self._apply_changes(head_read.changes)
         else:
             outputs = self._knowledge.take_snapshot(
-                found.snapshot, found.changes
+                head_read.snapshot, head_read.changes
             )
-        if found.revision is not None:
-            self._store_config_revision = found.revision
+        if head_read.revision is not None:
+            self._store_config_revision = head_read.revision
         if self._store_config_revision >= self.snapshot.revision:
             self._confirm(reading.confirmed_s)
         return self._with_announcement(outputs)
@@ -217,21 +217,23 @@
         try:
             return self._knowledge.take_changes(changes)
         except DandelionyokeError as error:
-            # Only a peer of another version can cause this; the store's
-            # snapshot, which the next read takes, is the way out.
+            # Only a peer of another version can cause this. The next read
+            # recovers from it with the snapshot in the store.
             return [WriteLog('configuration.unusable', '', str(error))]
 
     def _with_announcement(self, outputs: list[Output]) -> list[Output]:
         if not outputs:
             return []
-        news = make_news(self.snapshot.revision, self._knowledge.last_changes())
-        return [*outputs, ShareRecord(news, everywhere=True)]
+        announcement = make_news(
+            self.snapshot.revision, self._knowledge.last_changes()
+        )
+        return [*outputs, ShareRecord(announcement, everywhere=True)]
 
     def _confirm(self, confirmed_s: float) -> None:
         if self._confirmed_s is None or confirmed_s > self._confirmed_s:
             self._confirmed_s = confirmed_s
 
-    # Questions to peers.
+    # Queries to peers.
 
     def _request_missing(
         self, announced_revision: int, peer_id: InstanceId, now_s: float
--- a/packages/core/dandelionyoke_core/_configuration_messages.py
+++ b/packages/core/dandelionyoke_core/_configuration_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of the configuration."""
+"""The messages about the configuration between nodes."""
 
 import attrs
 
@@ -11,17 +11,16 @@
 
 @attrs.frozen
 class ConfigurationNews(SharedRecord):
-    """The newest changes; `version` is the revision after the last one."""
+    """Announce the newest changes; `version` is the resulting revision."""
 
     changes: tuple[Change, ...] = ()
 
 
 @attrs.frozen
 class ConfigurationWanted(PeerMessage):
-    """Ask a peer what it knows.
+    """Ask a peer for the changes after `revision`.
 
-    `whole` asks for a snapshot where the peer no longer has the changes
-    after `revision`.
+    `whole` asks for a snapshot if the peer no longer has these changes.
     """
 
     question_number: int
@@ -31,7 +30,7 @@
 
 @attrs.frozen
 class ConfigurationOffered(PeerMessage):
-    """What a peer knows, and how old that is (None: never confirmed)."""
+    """The configuration of a peer, and its age (None: never confirmed)."""
 
     question_number: int
     revision: int
@@ -41,7 +40,7 @@
 
 
 def make_news(revision: int, changes: tuple[Change, ...]) -> ConfigurationNews:
-    """Make the record that tells of a revision."""
+    """Return the shared record that announces a revision."""
     return ConfigurationNews(
         record_key=NEWS_KEY,
         version=revision,
--- a/packages/core/dandelionyoke_core/_configuration_queries.py
+++ b/packages/core/dandelionyoke_core/_configuration_queries.py
@@ -1,4 +1,4 @@
-"""Which peer a node asks for the configuration, and when."""
+"""Queries to peers for the configuration: which peer to ask, and when."""
 
 import random as random_module
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class PeerQuerySettings:
-    """How often a node asks a peer, and how long it waits."""
+    """The interval and the timeout of queries to peers."""
 
     interval_s: float = 10.0
     timeout_s: float = 3.0
@@ -28,14 +28,15 @@
 
 
 class PeerQueries:
-    """Keeps at most one question to a linked peer under way."""
+    """Keeps at most one query to a linked peer pending."""
 
     def __init__(
         self, settings: PeerQuerySettings, random: random_module.Random
     ) -> None:
         self._settings = settings
         self._random = random
-        # A dictionary keeps its order, so that a run follows from its seed.
+        # A dictionary keeps insertion order, so that a run is reproducible
+        # from its seed.
         self._linked_peers: dict[InstanceId, None] = {}
         self._pending: _PeerQuery | None = None
         self._count = 0
@@ -43,31 +44,31 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether an answer is awaited."""
+        """Whether a query is pending."""
         return self._pending is not None
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when `choose` has something to do."""
+        """Return when `choose_due_peer` has to be called, or None."""
         return self._due_s
 
     def start(self, now_s: float) -> None:
-        """Begin to ask now and then."""
+        """Start the query interval."""
         self._due_s = now_s + self._settings.interval_s
 
     def add_link(self, peer_id: InstanceId) -> None:
-        """Take a new link."""
+        """Add a peer with a new link."""
         self._linked_peers[peer_id] = None
 
     def remove_link(self, peer_id: InstanceId) -> None:
-        """Take the end of a link."""
+        """Remove a peer whose link has ended."""
         self._linked_peers.pop(peer_id, None)
 
     def is_fresh(self, age_s: float | None) -> bool:
-        """Tell whether knowledge of this age needs no question."""
+        """Return whether a configuration of this age needs no query."""
         return age_s is not None and age_s < self._settings.interval_s
 
     def choose_due_peer(self, now_s: float) -> InstanceId | None:
-        """Choose a peer where a question is due; give up on the last one."""
+        """Choose a random peer if a query is due; give up the pending one."""
         if self._due_s is None or now_s < self._due_s:
             return None
         self._pending = None
@@ -79,7 +80,7 @@
     def ask(
         self, peer_id: InstanceId, revision: int, whole: bool, now_s: float
     ) -> SendPeer:
-        """Ask a peer for what follows a revision."""
+        """Return the message that asks a peer for changes after a revision."""
         self._count += 1
         self._pending = _PeerQuery(self._count, peer_id, now_s)
         self._due_s = now_s + self._settings.timeout_s
@@ -90,10 +91,10 @@
     def match(
         self, peer_id: InstanceId, offered: ConfigurationOffered, now_s: float
     ) -> float | None:
-        """Tell when an answer was asked for; None: it was not.
+        """Return when the query of an answer was sent; None if not pending.
 
-        An answer may lie in a buffer while this process is paused; counted
-        from its arrival, it would make old knowledge look fresh.
+        An answer may wait in a buffer while this process is paused. Its age
+        counted from its arrival would make an old configuration look fresh.
         """
         pending = self._pending
         if pending is None or pending.peer_id != peer_id:
--- a/packages/core/dandelionyoke_core/_configuration_reader.py
+++ b/packages/core/dandelionyoke_core/_configuration_reader.py
@@ -1,4 +1,4 @@
-"""When and how a node reads the configuration's head in the store."""
+"""Reading and watching the configuration's head in the store."""
 
 import random as random_module
 
@@ -23,14 +23,18 @@
 )
 from dandelionyoke_core._store_task import StoreGenerator, StoreTask
 
-# The store's clock may run a little slower than this node's.
+# The store's clock may run slightly slower than that of this node.
 CLOCK_RATE_MARGIN = 0.98
 MAX_RETRY_DOUBLINGS = 16
 
 
 @attrs.frozen
 class ReaderSettings:
-    """How often the head is read, by watchers and by all others."""
+    """Intervals and timeouts of reading the head.
+
+    Watchers watch it for `watch_wait_s` at a time; all other instances poll
+    it every `poll_interval_s`.
+    """
 
     watch_wait_s: float = 10.0
     poll_interval_s: float = 60.0
@@ -42,7 +46,7 @@
 
 @attrs.frozen
 class HeadRead:
-    """What a read of the head found; `revision` None: nothing new."""
+    """The result of reading the head; `revision` is None if unchanged."""
 
     store_revision: int
     revision: int | None = None
@@ -52,7 +56,7 @@
 
 @attrs.frozen
 class ConfirmedRead:
-    """The end of a read: what held in the store at `confirmed_s`."""
+    """A completed read, which was up to date in the store at `confirmed_s`."""
 
     head_read: HeadRead
     confirmed_s: float
@@ -62,7 +66,7 @@
 
 
 class HeadReader:
-    """Keeps at most one read of the head under way."""
+    """Keeps at most one read of the head pending."""
 
     def __init__(
         self,
@@ -84,21 +88,21 @@
 
     @property
     def is_store_reachable(self) -> bool:
-        """Whether the last read had an answer."""
+        """Whether the last read succeeded."""
         return self._has_succeeded and self._failures == 0
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when `advance` has something to do."""
+        """Return when `advance` has to be called, or None."""
         return self._due_s if self._task is None else self._deadline_s
 
     def schedule_read(self, due_s: float) -> None:
-        """Read again by then, if no read is under way."""
+        """Schedule the next read by `due_s`; a pending read overrides this."""
         self._due_s = due_s if self._due_s is None else min(self._due_s, due_s)
 
     def advance(
         self, known_revision: int, is_watcher: bool, now_s: float
     ) -> list[Action]:
-        """Give up on a read without an answer, and begin one that is due."""
+        """Give up a read that timed out, and begin one that is due."""
         if self._task is not None:
             if now_s < self._deadline_s:
                 return []
@@ -110,7 +114,10 @@
     def handle_answer(
         self, event: StoreAnswered, is_watcher: bool, now_s: float
     ) -> tuple[list[Action], ConfirmedRead | None]:
-        """Take the end of a store call, of a read that may go on."""
+        """Handle the answer to a store call of the pending read.
+
+        Return the next store call, or the read if it is complete.
+        """
         task = self._task
         if task is None or task.pending_operation_id != event.operation_id:
             return [], None
@@ -137,25 +144,25 @@
         return self._task.begin()
 
     def _finish(
-        self, found: HeadRead, is_watcher: bool, now_s: float
+        self, head_read: HeadRead, is_watcher: bool, now_s: float
     ) -> ConfirmedRead:
         confirmed_s = self._started_s
-        if self._is_watch and found.revision is None:
+        if self._is_watch and head_read.revision is None:
             waited_s = self._settings.watch_wait_s * CLOCK_RATE_MARGIN
             confirmed_s = min(now_s, self._started_s + waited_s)
         self._task = None
         self._failures = 0
         self._has_succeeded = True
-        self._store_revision = found.store_revision
+        self._store_revision = head_read.store_revision
         self._due_s = now_s
         if not is_watcher:
             jitter = self._random.uniform(0.5, 1.5)
             self._due_s += self._settings.poll_interval_s * jitter
-        return ConfirmedRead(found, confirmed_s)
+        return ConfirmedRead(head_read, confirmed_s)
 
     def _handle_failure(self, is_watcher: bool, now_s: float) -> None:
         self._task = None
-        # A watch that failed may have skipped what it was to tell.
+        # A watch that failed may have missed a change.
         self._store_revision = None
         self._failures = min(self._failures + 1, MAX_RETRY_DOUBLINGS)
         max_pause_s = self._settings.retry_max_s
@@ -168,11 +175,11 @@
     def _read(
         self, watch_after: int | None, known_revision: int
     ) -> StoreGenerator[ReadOutcome]:
-        found = yield from self._read_head(watch_after)
-        if not isinstance(found, StoreItem):
-            return found
+        head_item = yield from self._read_head(watch_after)
+        if not isinstance(head_item, StoreItem):
+            return head_item
         try:
-            return (yield from self._read_content(found, known_revision))
+            return (yield from self._read_content(head_item, known_revision))
         except DandelionyokeError as error:
             return Unsettled(str(error))
 
