--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -1,8 +1,9 @@
-"""Which roles the engines should have, and how many targets there should be.
+"""Decisions on the roles of engines and on the number of targets.
 
-It decides only; another part turns its wishes into journalled orders. It
-decides for its own failure domain and while this node holds the domain's
-duty of control, so that two nodes do not pull an engine both ways.
+This part only decides; another part turns its requests into journalled
+orders. It decides for its own failure domain, and only while this node holds
+the control duty of the domain, so that two nodes never give an engine
+conflicting roles.
 """
 
 from collections.abc import Sequence
@@ -29,13 +30,13 @@
 from dandelionyoke_core._work_mix import MixRow
 
 CONTROL_DUTY = 'control'
-# With more services than this the looks are further apart.
+# With more services than this, the decision interval grows in proportion.
 SERVICES_PER_INTERVAL = 4
 
 
 @attrs.frozen
 class ControlDuty:
-    """The duty that this node holds."""
+    """The control duty held by this node, with its fencing token."""
 
     fence: int
     until_s: float
@@ -43,14 +44,14 @@
 
 @attrs.define
 class Deciders:
-    """The decisions for one service."""
+    """The deciders for one service."""
 
     roles: RoleDecider
     size: SizeDecider
 
 
 class FleetPart:
-    """Decides on roles and numbers of targets of its domain."""
+    """Decides on the roles and the number of targets of its domain."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -78,7 +79,7 @@
         self._next_decision_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         match event:
             case DutyGained() | DutyExtended() if event.duty == CONTROL_DUTY:
                 self._duty = ControlDuty(event.fence, event.until_s)
@@ -93,7 +94,7 @@
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next look is due."""
+        """Return when the next decision is due, or None."""
         return self._next_decision_s
 
     def _handle_wakeup(self, now_s: float) -> list[Output]:
@@ -108,7 +109,7 @@
             for service in self._directory.snapshot.services.values()
             if service.kind is ServiceKind.ENGINE
         ]
-        # A look costs about a millisecond for each service.
+        # Deciding takes about a millisecond per service.
         interval_factor = max(1, len(services) / SERVICES_PER_INTERVAL)
         self._next_decision_s = (
             now_s + self._settings.decision_interval_s * interval_factor
@@ -169,11 +170,12 @@
 def _domain_share(
     domain_sights: Sequence[TargetSight], sights: Sequence[TargetSight]
 ) -> float:
-    """Tell a domain's part of the targets that answer.
+    """Return the domain's share of all targets that answer their polls.
 
-    In a cut the far ones do not, and this side has all of its work to do.
-    One that drains for a change still counts: its domain's part would else
-    go to the others, who would change roles for it.
+    During a network partition the targets on the far side do not answer, and
+    this side has to do all of its work. A target that drains for a role
+    change still counts. Otherwise its share would pass to the other domains,
+    which would change roles for it.
     """
     reached_count = sum(sight.is_reached for sight in sights)
     return sum(sight.is_reached for sight in domain_sights) / max(
@@ -184,11 +186,12 @@
 def _short_term_rows(
     mix: tuple[MixRow, ...], fresh_share: float, domain_share: float
 ) -> list[WorkRow]:
-    """Give a domain its part of the work, by its part of the targets.
+    """Return the domain's share of the work, by its share of the targets.
 
-    Work flows between domains. A domain that took its own entries' calls for
-    its work would change roles for calls that others serve; one that took
-    all the work would change along with every other domain, and back.
+    Calls are routed across domains. A domain that counted the calls of its
+    own entries would change roles for calls that other domains serve. One
+    that counted all the work would change roles in step with every other
+    domain, and back again.
     """
     return [
         WorkRow(
--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -1,4 +1,4 @@
-"""Whether a role change pays: one engine at a time, with hysteresis."""
+"""Decisions on role changes: one engine at a time, with hysteresis."""
 
 from collections import Counter
 from collections.abc import Iterator, Sequence
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class RoleChange:
-    """A change that was decided on."""
+    """A requested role change and the time of its decision."""
 
     request: RoleWanted
     decided_s: float
@@ -23,7 +23,7 @@
 
 @attrs.define
 class RoleDecider:
-    """Decides on role changes of one service in one domain."""
+    """Decides on the role changes of one service in one domain."""
 
     settings: FleetSettings
     history: MixHistory
@@ -38,13 +38,13 @@
         sights: Sequence[TargetSight],
         now_s: float,
     ) -> list[RoleWanted]:
-        """Follow the change that is open, or look for one that pays."""
+        """Track the pending change, or request one whose gain exceeds its cost."""
         self.history.learn(rows, self.settings.speed, now_s)
         if self._change is not None:
             return self._track(self._change, place, sights, now_s)
         if now_s < self._cooldown_until_s:
             return []
-        # The first calls after a start say little of the mix.
+        # The first calls after a start are too few to estimate the mix.
         if self.history.known_s(now_s) < self.settings.min_observation_s:
             return []
         request = self._find_best(place, rows, sights, now_s)
@@ -55,7 +55,7 @@
         return [request]
 
     def cancel(self) -> None:
-        """Drop the open change, as when another one decides."""
+        """Drop the pending change, for example when another node decides."""
         self._change = None
 
     def _track(
@@ -92,7 +92,7 @@
         now_s: float,
     ) -> RoleWanted | None:
         usable = [sight for sight in sights if sight.is_usable]
-        # An engine that drains leaves its work to the others of the domain.
+        # The work of a draining engine moves to the others of the domain.
         if len(usable) < 2 or len(usable) < len(sights):
             return None
         counts = Counter(sight.role for sight in usable)
@@ -123,7 +123,7 @@
     def _gain_s(
         self, before: float, after: float, engine_count: int, now_s: float
     ) -> float:
-        """Engine seconds saved while the mix is expected to hold."""
+        """Return the engine seconds saved while the mix is expected to last."""
         settings = self.settings
         held_s = self.history.held_s(now_s)
         hold_s = min(settings.max_hold_s, max(settings.min_hold_s, held_s))
--- a/packages/core/dandelionyoke_core/_fleet_settings.py
+++ b/packages/core/dandelionyoke_core/_fleet_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the fleet's decisions."""
+"""The settings of the decisions on roles and fleet size."""
 
 import attrs
 
@@ -7,14 +7,17 @@
 
 @attrs.frozen
 class FleetSettings:
-    """When a role change or another number of targets pays.
+    """Thresholds, costs and cooldowns of role changes and fleet size changes.
 
-    `change_cost_s` is the time of an engine that a role change takes: its
-    drain, the change, and a cache that begins empty. Below
-    `comfortable_stress` there is nothing to gain. `gain_factor` is how much
-    the gain has to exceed the cost. Nothing is decided before the mix has
-    been watched for `known_after_s`. `settle_s` is short, since the mix is
-    that of the demand, which a change does not alter.
+    Stress is the utilisation of the engines; above 1 they are overloaded.
+    `change_cost_s` is the engine time that a role change costs: the drain,
+    the change, and an initially empty KV cache. Below `comfortable_stress` a
+    change gains nothing. The gain has to exceed the cost by a factor of
+    `gain_factor`. No role change is decided before the mix has been observed
+    for `min_observation_s`. `role_cooldown_s` can be short because the mix
+    is measured on the demand, which a role change does not alter. A pending
+    change is requested again every `resend_interval_s` and given up after
+    `role_change_timeout_s`.
     """
 
     decision_interval_s: float = 2.0
--- a/packages/core/dandelionyoke_core/_role_plan.py
+++ b/packages/core/dandelionyoke_core/_role_plan.py
@@ -1,4 +1,4 @@
-"""How much work a set of engines can do, by their roles: pure arithmetic."""
+"""The utilisation of a set of engines by role, for a given mix of work."""
 
 from collections.abc import Mapping, Sequence
 
@@ -17,27 +17,27 @@
 
 @attrs.frozen
 class WorkRow:
-    """Work with one ratio of prompt to output, in tokens a second."""
+    """Work with one prompt-to-output ratio, in tokens per second."""
 
     prompt_per_s: float
     output_per_s: float
 
     @property
     def ratio(self) -> float:
-        """Prompt tokens for each output token."""
+        """Prompt tokens per output token."""
         return self.prompt_per_s / max(self.output_per_s, EPSILON)
 
 
 @attrs.define
 class RoleTimeBudget:
-    """What is left of the time of the engines in one role."""
+    """The unallocated engine time in one role, in engine seconds per second."""
 
     role: Role
     time_left: float
     prefill_time_left: float
 
     def allocate(self, row: WorkRow, speed: EngineSpeed) -> float:
-        """Take as much of a row's work as there is room for; tell the part."""
+        """Allocate as much of a row as fits, and return the fraction."""
         prefill = row.prompt_per_s / speed.prefill_rate(self.role)
         total = prefill + row.output_per_s / speed.decode_rate(self.role)
         fraction = min(1.0, self.time_left / max(total, EPSILON))
@@ -50,10 +50,10 @@
 def stress(
     rows: Sequence[WorkRow], counts: Counts, speed: EngineSpeed
 ) -> float:
-    """Tell how full the engines are; above 1 they cannot keep up.
+    """Return the utilisation of the engines; above 1 they are overloaded.
 
-    It is the factor by which all engines' time would have to grow to hold
-    just this work.
+    It is the factor by which the time of all engines would have to be scaled
+    to just fit this work.
     """
     low, high = MIN_STRESS, MAX_STRESS
     for _ in range(BISECTION_STEPS):
@@ -68,10 +68,11 @@
 def _can_fit(
     rows: Sequence[WorkRow], counts: Counts, speed: EngineSpeed, factor: float
 ) -> bool:
-    """Place long prompts on prefill engines, long outputs on decode ones.
+    """Return whether the work fits into the engine time scaled by `factor`.
 
-    What finds no room there goes to the mixed ones, and then wherever room
-    is left.
+    Long prompts are allocated to prefill engines and long outputs to decode
+    engines. The remainder goes to mixed engines, and then to any engine with
+    time left.
     """
     budgets = {
         role: RoleTimeBudget(
@@ -94,7 +95,7 @@
 def _allocate_rows(
     rows: Sequence[WorkRow], budget: RoleTimeBudget | None, speed: EngineSpeed
 ) -> list[WorkRow]:
-    """Put rows into a room in order; give back what is left of them."""
+    """Allocate rows to a budget in order, and return the unplaced remainder."""
     if budget is None:
         return list(rows)
     unplaced: list[WorkRow] = []
@@ -111,8 +112,8 @@
 def with_role_changed(
     counts: Counts, before: Role, after: Role
 ) -> dict[Role, int]:
-    """Give the counts with one engine in another role."""
-    found = dict(counts)
-    found[before] = found.get(before, 0) - 1
-    found[after] = found.get(after, 0) + 1
-    return found
+    """Return the counts with one engine moved to another role."""
+    new_counts = dict(counts)
+    new_counts[before] = new_counts.get(before, 0) - 1
+    new_counts[after] = new_counts.get(after, 0) + 1
+    return new_counts
