--- a/packages/core/dandelionyoke_core/_order_journal.py
+++ b/packages/core/dandelionyoke_core/_order_journal.py
@@ -1,7 +1,8 @@
-"""The journal of a domain's orders: written before any of them is sent.
+"""The write-ahead journal of a domain's orders.
 
-Every write is a compare-and-set. A new holder begins with a write of its
-own, after which any write of its predecessor fails.
+An order is journalled before it is sent. Every write is a compare-and-swap. A
+new holder of the control duty begins with a write of its own, after which
+every write of its predecessor fails.
 """
 
 from random import Random
@@ -26,7 +27,7 @@
 
 
 class OrderJournal:
-    """The plans as they should be, and as the store is known to have them."""
+    """The current plans, and the version that is known to be in the store."""
 
     def __init__(
         self, settings: OrdersSettings, domain: Domain, random: Random
@@ -46,13 +47,13 @@
         self.is_taken_over = False
 
     def take_over(self, fence: int, now_s: float) -> list[Output]:
-        """Take the journal over from whoever had it."""
+        """Begin to take the journal over from the previous holder."""
         self.reset()
         self._fence = fence
         return [StoreGet(self.slot.open(now_s), self._key)]
 
     def reset(self) -> None:
-        """Forget everything; what was sent stays sent."""
+        """Clear all state; a write in flight is not recalled."""
         self.slot.drop()
         self.plans = {}
         self._fence = 0
@@ -62,26 +63,26 @@
         self.is_taken_over = False
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the store has to be asked again."""
+        """Return when a store call has to be made or timed out, or None."""
         times = (self._retry_at_s, self.slot.next_wakeup_s())
         return min((due for due in times if due is not None), default=None)
 
     def is_saved(self, plan: Plan) -> bool:
-        """Tell whether the store is known to have this very plan."""
+        """Return whether exactly this plan is known to be in the store."""
         return self.is_taken_over and plan in self._saved.plans
 
     def put(self, plan: Plan) -> None:
-        """Change a plan."""
+        """Add or replace a plan."""
         self.plans[plan.plan_id] = plan
         self._is_dirty = True
 
     def remove(self, plan: Plan) -> None:
-        """End a plan."""
+        """Remove a plan that has ended."""
         self.plans.pop(plan.plan_id, None)
         self._is_dirty = True
 
     def write_if_due(self, now_s: float) -> list[Output]:
-        """Write what has changed, or ask again after a failure."""
+        """Write the changed plans, or retry after a failure."""
         if not self._fence or not self.slot.is_free:
             return []
         if self._retry_at_s is not None:
@@ -96,10 +97,10 @@
         return []
 
     def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
-        """Take the end of a call.
+        """Handle the result of a store call.
 
         Raises:
-            CodecError: the journal cannot be read.
+            CodecError: the stored journal cannot be decoded.
         """
         match result:
             case StoreWritten(revision=revision) if self._in_flight is not None:
@@ -114,23 +115,23 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether a holder with a higher number has written."""
+        """Whether a holder with a higher fencing token has written."""
         return bool(self._fence) and self._saved.fence > self._fence
 
     def _handle_present(self, present: StoreItem, now_s: float) -> list[Output]:
-        found = Journal(0)
+        stored = Journal(0)
         if present.value is not None:
-            found = record_from_json(present.value, Journal)
-        if found == self._in_flight:
-            # The write took effect and its answer was lost.
-            self._handle_written(found, present.revision)
+            stored = record_from_json(present.value, Journal)
+        if stored == self._in_flight:
+            # The write succeeded but its answer was lost.
+            self._handle_written(stored, present.revision)
             return self.write_if_due(now_s)
-        self._saved = found
+        self._saved = stored
         self._revision = present.revision
-        if found.fence > self._fence:
+        if stored.fence > self._fence:
             return []
-        self.plans = {plan.plan_id: plan for plan in found.plans}
-        return self._write(self._next_journal(found.version), now_s)
+        self.plans = {plan.plan_id: plan for plan in stored.plans}
+        return self._write(self._next_journal(stored.version), now_s)
 
     def _handle_written(self, journal: Journal, revision: int) -> None:
         self._back_off.reset()
@@ -145,9 +146,9 @@
         return Journal(self._fence, version + 1, plans)
 
     def _write(self, journal: Journal, now_s: float) -> list[Output]:
-        # A failed write is tried again as it was, whatever has changed
-        # since: else a write whose answer was lost would look like another
-        # holder's.
+        # A failed write is retried unchanged, even if the plans have changed
+        # since. Otherwise a write whose answer was lost would look like the
+        # write of another holder.
         self._in_flight = journal
         return [
             StorePut(
@@ -160,5 +161,5 @@
 
 
 def unreadable_cause(error: CodecError) -> str:
-    """Say why the journal stands still."""
-    return f'the journal cannot be read: {error}'
+    """Return the log text for a journal that cannot be decoded."""
+    return f'the journal cannot be decoded: {error}'
--- a/packages/core/dandelionyoke_core/_order_plans.py
+++ b/packages/core/dandelionyoke_core/_order_plans.py
@@ -1,7 +1,7 @@
-"""Planned changes, and the one order of each that may be open.
+"""Planned changes to targets, each with at most one open order.
 
-A target has one plan at most and a plan one open order at most, so an
-engine is never given a different order while one is in doubt.
+A target has at most one plan, so an engine is never given a different order
+while the outcome of one is unknown.
 """
 
 import enum
@@ -27,7 +27,7 @@
 
 @enum.unique
 class Goal(enum.Enum):
-    """What a plan is for."""
+    """The purpose of a plan."""
 
     ROLE = 'role'
     REMOVE = 'remove'
@@ -36,7 +36,7 @@
 
 @enum.unique
 class PlanStep(enum.Enum):
-    """How far a plan is."""
+    """The current step of a plan."""
 
     DRAIN = 'drain'
     IDLE = 'idle'
@@ -46,7 +46,10 @@
 
 @attrs.frozen
 class Plan:
-    """A change in steps; `engine_order` or `target_order` may be open."""
+    """A change in steps.
+
+    At most one of `engine_order` and `target_order` is set: the open order.
+    """
 
     plan_id: str
     goal: Goal
@@ -69,7 +72,7 @@
 
 @attrs.frozen
 class Journal:
-    """All plans of a domain; `fence` is of the holder that wrote it."""
+    """All plans of a domain; `fence` is the fencing token of the writer."""
 
     fence: int
     version: int = 0
@@ -78,30 +81,30 @@
 
 @attrs.define
 class OrderIdGenerator:
-    """Names orders; a fencing number is never given out twice."""
+    """Generates order ids, unique because a fencing token is never reused."""
 
     domain: Domain
     fence: int
     _count: int = 0
 
     def next_order_id(self) -> OrderId:
-        """Name the next order."""
+        """Return the id of the next order."""
         self._count += 1
         return OrderId(f'{self.domain}.{self.fence}.{self._count}')
 
 
 def role_plan(target: Target, role: Role, order_ids: OrderIdGenerator) -> Plan:
-    """Plan to give an engine another role."""
+    """Return a plan that changes the role of an engine."""
     plan = _target_plan(target, Goal.ROLE)
     return _with_order(attrs.evolve(plan, role=role), order_ids)
 
 
 def remove_plan(target: Target, order_ids: OrderIdGenerator) -> Plan:
-    """Plan to give a target back to the platform."""
+    """Return a plan that removes a target from the platform."""
     plan = _target_plan(target, Goal.REMOVE)
     if target.kind is TargetKind.PLAIN:
-        # It takes no orders. Once the platform lists it as leaving, it
-        # gets no new work and finishes what it has.
+        # A plain target takes no orders. Once the platform lists it as
+        # leaving, it gets no new work and finishes its work in progress.
         plan = attrs.evolve(plan, step=PlanStep.CHANGE)
     return _with_order(plan, order_ids)
 
@@ -113,7 +116,7 @@
     reclaimable: bool,
     order_ids: OrderIdGenerator,
 ) -> Plan:
-    """Plan to get more targets."""
+    """Return a plan that adds targets."""
     order = TargetOrder(
         order_ids.next_order_id(),
         order_ids.fence,
@@ -135,7 +138,7 @@
 
 
 def after_success(plan: Plan, order_ids: OrderIdGenerator) -> Plan | None:
-    """Go on after the open order was carried out; None at the end."""
+    """Return the next plan after the open order was done; None at the end."""
     if plan.step is PlanStep.DRAIN:
         order_id = plan.order_id or OrderId('')
         return attrs.evolve(
@@ -150,26 +153,27 @@
 
 
 def after_refusal(plan: Plan, order_ids: OrderIdGenerator) -> Plan | None:
-    """Go on after the open order was refused; None at the end."""
+    """Return the next plan after the open order was refused; None at the end."""
     if plan.step is PlanStep.CHANGE and plan.drain_order_id:
         return order_undrain(plan, order_ids)
     return None
 
 
 def order_change(plan: Plan, order_ids: OrderIdGenerator) -> Plan:
-    """Order the change itself, when nothing is in progress any more."""
+    """Return the plan with its change ordered, once the target is idle."""
     return _with_order(attrs.evolve(plan, step=PlanStep.CHANGE), order_ids)
 
 
 def order_undrain(plan: Plan, order_ids: OrderIdGenerator) -> Plan:
-    """Let the engine take work again."""
+    """Return the plan with an order that lets the engine take work again."""
     return _with_order(attrs.evolve(plan, step=PlanStep.UNDRAIN), order_ids)
 
 
 def reissue(plan: Plan, order_ids: OrderIdGenerator) -> Plan:
-    """Give the same order under this holder's number.
+    """Return the plan with its order under this holder's fencing token.
 
-    Only after the engine has said that it did not carry out the old one.
+    Use it only after the engine has reported that it did not carry out the
+    old order.
     """
     return _with_order(plan, order_ids)
 
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -1,7 +1,8 @@
 """Orders to engines and to the platform, for one failure domain.
 
-An order is journalled, then sent, then closed with what its receiver says.
-A successor brings each open order to a known end before anything else.
+An order is journalled, then sent, then closed with the answer of its
+receiver. A new holder of the control duty determines the outcome of each open
+order before it gives another one for the same target.
 """
 
 from collections.abc import Callable
@@ -62,7 +63,11 @@
 
 @attrs.define
 class PlanProgress:
-    """What this holder knows of a plan beside the journal."""
+    """The state of a plan that is not in the journal.
+
+    `must_read_first` is whether the engine has to be asked for the state of
+    the order before the order is sent.
+    """
 
     next_s: float
     back_off: BackOff
@@ -72,14 +77,14 @@
 
 @attrs.frozen
 class HeldDuty:
-    """The duty of control, while this entry holds it."""
+    """The control duty, while this entry holds it."""
 
     order_ids: OrderIdGenerator
     until_s: float
 
 
 class OrdersPart:
-    """Carries out wishes of the fleet's decisions, one order at a time."""
+    """Carries out the requested fleet changes, one open order per target."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Woken,
@@ -111,7 +116,7 @@
         self._duty: HeldDuty | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         match event:
             case DutyGained() | DutyExtended() | DutyLost():
                 if event.duty == CONTROL_DUTY:
@@ -128,13 +133,14 @@
         if duty is None:
             return []
         if now_s >= duty.until_s:
-            # This process was paused. Its successor may be at work.
+            # This process was paused beyond the end of its duty; a successor
+            # may be active already.
             self._stop()
             return []
         return self._handle_as_holder(event, duty, now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when an order or a report is due."""
+        """Return when a store call, an order or a poll is due, or None."""
         times = [self._journal.next_wakeup_s()]
         for plan in self._journal.plans.values():
             progress = self._progress_by_plan.get(plan.plan_id)
@@ -142,7 +148,7 @@
                 times.append(progress.next_s)
         return min((due for due in times if due is not None), default=None)
 
-    # The duty and the journal.
+    # Duty and journal.
 
     def _handle_duty(
         self, event: DutyGained | DutyExtended | DutyLost, now_s: float
@@ -170,8 +176,8 @@
         try:
             outputs = self._journal.handle_result(ended.result, now_s)
         except CodecError as error:
-            # A journal of a newer version, or a damaged one. An order that
-            # it holds may be in doubt, so nothing is ordered over it.
+            # The journal is of a newer version, or damaged. The outcome of
+            # an order in it may be unknown, so it is not overwritten.
             self._stop()
             cause = unreadable_cause(error)
             return [
@@ -200,7 +206,7 @@
                     return self._handle_journal_result(overdue, now_s)
         return [*self._journal.write_if_due(now_s), *self._run_due_plans(now_s)]
 
-    # Wishes.
+    # Requested changes.
 
     def _add_plans(
         self,
@@ -223,8 +229,8 @@
             return [role_plan(target, event.role, order_ids)] if target else []
         if event.domain != self._instance.domain:
             return []
-        found = [self._own_target(target_id) for target_id in event.remove]
-        plans = [remove_plan(target, order_ids) for target in found if target]
+        targets = [self._own_target(target_id) for target_id in event.remove]
+        plans = [remove_plan(target, order_ids) for target in targets if target]
         for count, reclaimable in (
             (event.add_steady, False),
             (event.add_reclaimable, True),
@@ -242,7 +248,7 @@
             return None
         return target
 
-    # What engines and the platform say.
+    # Answers and reports of engines and the platform.
 
     def _handle_order_answer(
         self,
@@ -294,8 +300,8 @@
         if now_s - progress.started_s > self._settings.drain_limit_s:
             self._advance_plan(plan, order_undrain(plan, order_ids), now_s)
             return
-        # A report lags. An older one may show an engine empty that took
-        # work just before its drain, and the change would cut that work.
+        # Load reports lag. A report from before the drain may show an engine
+        # as idle that then took work, and the change would cut that work.
         taken_s = now_s - event.report.age_s
         since_drain_s = taken_s - progress.started_s
         if since_drain_s <= self._settings.report_lag_s:
@@ -304,7 +310,7 @@
             if event.report.drain_order_id == plan.drain_order_id:
                 self._advance_plan(plan, order_change(plan, order_ids), now_s)
             elif not event.report.draining:
-                # The engine has restarted and takes work again.
+                # The engine has restarted and accepts work again.
                 drain_plan = attrs.evolve(plan, step=PlanStep.DRAIN)
                 self._advance_plan(plan, reissue(drain_plan, order_ids), now_s)
 
@@ -319,7 +325,7 @@
                 self._progress_by_plan.pop(plan.plan_id, None)
                 self._journal.remove(plan)
 
-    # Plans on their way.
+    # Progress of plans.
 
     def _put_plan(self, plan: Plan, now_s: float) -> None:
         self._progress_by_plan[plan.plan_id] = self._new_progress(now_s)
@@ -349,17 +355,18 @@
         return PlanProgress(now_s, back_off, now_s)
 
     def _progress_of(self, plan: Plan, now_s: float) -> PlanProgress:
-        """Find what is known of a plan, or take it over."""
-        found = self._progress_by_plan.get(plan.plan_id)
-        if found is None:
-            found = self._new_progress(now_s)
-            # What the predecessor sent last may still be on its way, and an
-            # engine may ignore fencing numbers. After that time the engine
-            # is read, and the same order is sent if it does not know it.
-            found.next_s = now_s + self._settings.takeover_delay_s
-            found.must_read_first = True
-            self._progress_by_plan[plan.plan_id] = found
-        return found
+        """Return the progress of a plan, or start it for an inherited plan."""
+        progress = self._progress_by_plan.get(plan.plan_id)
+        if progress is None:
+            progress = self._new_progress(now_s)
+            # The last order of the predecessor may still be in flight, and
+            # an engine may ignore fencing tokens. After the takeover delay
+            # the engine is asked for the order, and the same order is sent
+            # again if the engine does not know it.
+            progress.next_s = now_s + self._settings.takeover_delay_s
+            progress.must_read_first = True
+            self._progress_by_plan[plan.plan_id] = progress
+        return progress
 
     def _run_due_plans(self, now_s: float) -> list[Output]:
         duty = self._duty
--- a/packages/core/dandelionyoke_core/_orders_settings.py
+++ b/packages/core/dandelionyoke_core/_orders_settings.py
@@ -7,12 +7,13 @@
 
 @attrs.frozen
 class OrdersSettings:
-    """How orders are given.
+    """Time limits of orders.
 
-    An order leaves within `send_limit_s` or never; that has to be no longer
-    than the pause of a handover. A successor waits `settle_s` for what its
-    predecessor sent last to arrive. An engine counts as drained by a report
-    that is newer than its drain by more than `report_lag_s`.
+    An order is sent within `send_limit_s` or not at all; this must not exceed
+    the handover pause of the duty. A new holder waits `takeover_delay_s` for
+    the last order of its predecessor to arrive. An engine counts as drained
+    only by a report that is newer than the drain by more than `report_lag_s`.
+    A drain that takes longer than `drain_limit_s` is given up.
     """
 
     send_limit_s: float = 1.0
