--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -1,8 +1,8 @@
-"""What callers received, for the bill: counted, saved and reported.
+"""Counting, saving and reporting of usage for billing.
 
-Each start of an entry has counters that only grow. They are saved under
-the entry's own key and copied to peers; the holder of the domain's duty of
-reporting closes windows over all counters of the domain.
+Each incarnation of an entry has cumulative counters. They are saved in the
+store under a key of their own and copied to peers. The holder of the domain's
+report duty closes time windows over all counters of the domain.
 """
 
 from random import Random
@@ -36,7 +36,7 @@
 
 
 class UsagePart:
-    """Counts usage of this entry and reports that of its domain."""
+    """Counts the usage of this entry and reports that of its domain."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -71,13 +71,13 @@
 
     @property
     def unsaved(self) -> int:
-        """Whether a leaving entry still has counts to save: 1, else 0."""
+        """1 while a leaving entry still has counts to save, else 0."""
         if self._final_flush_deadline_s is None or self._has_given_up:
             return 0
         return int(not self._counter.is_saved)
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         match event:
             case CallDelivered():
                 return self._counter.count(event, now_s)
@@ -97,7 +97,7 @@
         return self._handle_peer_event(event, now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when something is due."""
+        """Return when a save, a copy or a report step is due, or None."""
         times = [
             self._counter.next_wakeup_s(),
             self._counter.slot.next_wakeup_s(),
--- a/packages/core/dandelionyoke_core/_usage_copies.py
+++ b/packages/core/dandelionyoke_core/_usage_copies.py
@@ -1,4 +1,4 @@
-"""Copies of peers' counters, saved for a peer whose link has ended."""
+"""Copies of the counters of peers, saved for a peer whose link has ended."""
 
 from random import Random
 
@@ -21,10 +21,10 @@
 
 
 class PeerCopies:
-    """Keeps copies, and writes those whose owner may be dead.
+    """Keeps copies and writes those whose owner may have crashed.
 
-    A write takes the higher of each count, so it does no harm if the owner
-    is alive after all.
+    A write merges each count by maximum, so it is harmless if the owner is
+    still alive.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         self._writing_key: str | None = None
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when a copy has to be written."""
+        """Return when a copy has to be written, or None."""
         if not self.slot.is_free:
             return None
         return min(self._due_times.values(), default=None)
 
     def keep(self, owner: InstanceId, message: UsageCopied) -> list[Output]:
-        """Keep rows of a peer."""
+        """Merge rows from a peer into its copy."""
         key = message.counter_key
         is_full = len(self._copies) >= self._settings.max_copies
         if is_full and key not in self._copies:
@@ -58,7 +58,7 @@
         return []
 
     def handle_disconnect(self, owner: InstanceId, now_s: float) -> None:
-        """A peer's link ended; it may be dead."""
+        """Schedule writing the copies of a peer whose link has ended."""
         for key, copy_owner in self._owners.items():
             if copy_owner == owner and key not in self._due_times:
                 self._due_times[key] = now_s + self._settings.takeover_after_s
@@ -74,7 +74,7 @@
         return [StoreGet(self.slot.open(now_s), due[0])]
 
     def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
-        """Take the end of a store call."""
+        """Handle the result of a store call."""
         key = self._writing_key
         copy = self._copies.get(key or '')
         if key is None or copy is None:
@@ -120,7 +120,7 @@
         return [put]
 
     def _remove_saved(self, key: str, now_s: float) -> list[Output]:
-        """Drop a copy that is saved, unless its owner has come back."""
+        """Remove a copy that is saved, unless its owner has reconnected."""
         self._writing_key = None
         self._back_off.reset()
         if key in self._due_times:
--- a/packages/core/dandelionyoke_core/_usage_counter.py
+++ b/packages/core/dandelionyoke_core/_usage_counter.py
@@ -1,4 +1,4 @@
-"""What this entry has counted: saved in the store and copied to peers."""
+"""The usage counter of this entry, saved in the store and copied to peers."""
 
 from random import Random
 
@@ -25,7 +25,7 @@
 
 
 class OwnCounter:
-    """Cumulative counts of one start of this entry."""
+    """The cumulative counts of one incarnation of this entry."""
 
     def __init__(
         self, settings: UsageSettings, key: str, peers: Peers, random: Random
@@ -49,16 +49,16 @@
 
     @property
     def is_saved(self) -> bool:
-        """Whether the store has all that was counted."""
+        """Whether the store has everything that was counted."""
         return self._saved_sequence == self._sequence
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the counts are due to be saved or copied."""
+        """Return when the counts have to be saved or copied, or None."""
         times = (self._flush_due_s, self._copy_due_s)
         return min((due for due in times if due is not None), default=None)
 
     def count(self, event: CallDelivered, now_s: float) -> list[Output]:
-        """Count what reached a caller."""
+        """Count the requests and tokens that were delivered to a caller."""
         figure = UsageFigure(
             event.organisation,
             event.service,
@@ -83,7 +83,7 @@
         return []
 
     def flush(self, now_s: float) -> list[Output]:
-        """Save now what is not saved."""
+        """Write all counts to the store unless they are saved."""
         self._flush_due_s = None
         if self.is_saved or not self.slot.is_free:
             return []
@@ -99,7 +99,7 @@
         ]
 
     def run_due(self, now_s: float) -> list[Output]:
-        """Save and copy what is due."""
+        """Save and copy the counts if due."""
         outputs: list[Output] = []
         if self._flush_due_s is not None and now_s >= self._flush_due_s:
             outputs.extend(self.flush(now_s))
@@ -109,7 +109,7 @@
         return outputs
 
     def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
-        """Take the end of a write."""
+        """Handle the result of a write."""
         match result:
             case StoreWritten(revision=revision):
                 self._revision = revision
@@ -118,8 +118,8 @@
                 if not self.is_saved:
                     self._flush_due_s = now_s + self._settings.flush_interval_s
             case StoreConflict(present=present):
-                # A peer wrote its copy, or the answer of an own write was
-                # lost. Both hold no more than this entry has counted.
+                # A peer wrote its copy, or the answer to a write of this
+                # entry was lost. Neither holds more than this entry counted.
                 self._revision = present.revision
                 self._merge_stored(present.value)
                 return self.flush(now_s)
@@ -127,15 +127,15 @@
                 self._flush_due_s = now_s + self._back_off.next_s()
         return []
 
-    # Copies at peers.
+    # Copies on peers.
 
     def add_peer(self, peer_id: InstanceId) -> list[Output]:
-        """Take note of a link."""
+        """Add a linked peer, and choose the copy holders again."""
         self._connected_peers.add(peer_id)
         return self._choose_copy_holders()
 
     def remove_peer(self, peer_id: InstanceId) -> list[Output]:
-        """Forget a link, and let another peer hold the copy."""
+        """Remove a peer, and choose another one to hold the copy."""
         self._connected_peers.discard(peer_id)
         return self._choose_copy_holders()
 
@@ -145,7 +145,7 @@
         other_domains = self._connected_peers - same_domain
         count = self._settings.copies
         ranked_same = rendezvous(same_domain, self._key, count)
-        # One copy elsewhere outlives the loss of the whole domain.
+        # A copy in another domain survives the loss of the whole domain.
         ranked_other = rendezvous(other_domains, self._key, count)
         ranked = [
             *ranked_same[:1],
@@ -182,7 +182,7 @@
 
 @attrs.define
 class CounterCopy:
-    """What a peer has counted, as far as it told."""
+    """The copy of a peer's counter, as far as received."""
 
     sequence: int = 0
     table: UsageTable = attrs.field(factory=UsageTable)
--- a/packages/core/dandelionyoke_core/_usage_figures.py
+++ b/packages/core/dandelionyoke_core/_usage_figures.py
@@ -1,4 +1,4 @@
-"""Sums over usage figures, by organisation and service."""
+"""Tables of usage figures by organisation and service."""
 
 from collections.abc import Iterable
 
@@ -11,26 +11,26 @@
 
 
 def row_key(figure: UsageFigure) -> RowKey:
-    """Name the row that a figure belongs to."""
+    """Return the key of the row that a figure belongs to."""
     return (figure.organisation, figure.service)
 
 
 @attrs.define
 class UsageTable:
-    """One figure for each organisation and service."""
+    """A table with one figure per organisation and service."""
 
     rows: dict[RowKey, UsageFigure] = attrs.field(factory=dict)
 
     @classmethod
     def sum_of(cls, figures: Iterable[UsageFigure]) -> 'UsageTable':
-        """Add up figures."""
+        """Return the table of the sums of figures."""
         table = cls()
         for figure in figures:
             table.add(figure)
         return table
 
     def add(self, figure: UsageFigure) -> None:
-        """Add to a row."""
+        """Add a figure to its row."""
         present = self._row(figure)
         self.rows[row_key(figure)] = attrs.evolve(
             present,
@@ -40,7 +40,7 @@
         )
 
     def merge_max(self, figures: Iterable[UsageFigure]) -> bool:
-        """Take the higher of each count; tell whether any was higher.
+        """Merge by the maximum of each count; return whether any changed.
 
         Cumulative counts only grow, so the higher one is the later one.
         """
@@ -53,7 +53,7 @@
         return is_changed
 
     def delta_since(self, earlier: 'UsageTable') -> tuple[UsageFigure, ...]:
-        """Give what has been added to an earlier state."""
+        """Return the non-zero differences from an earlier table."""
         changes = (
             _difference(figure, earlier.rows.get(name))
             for name, figure in sorted(self.rows.items())
@@ -61,7 +61,7 @@
         return tuple(change for change in changes if _is_nonzero(change))
 
     def figures(self) -> tuple[UsageFigure, ...]:
-        """Give all rows in a fixed order."""
+        """Return all rows, sorted by key."""
         return tuple(self.rows[name] for name in sorted(self.rows))
 
     def _row(self, figure: UsageFigure) -> UsageFigure:
--- a/packages/core/dandelionyoke_core/_usage_records.py
+++ b/packages/core/dandelionyoke_core/_usage_records.py
@@ -1,4 +1,4 @@
-"""What usage writes into the store, and what entries send each other."""
+"""The usage records in the store, and the message that copies counters."""
 
 import attrs
 
@@ -9,13 +9,13 @@
 COUNTER_PREFIX = 'usage/counter'
 WINDOW_PREFIX = 'usage/window'
 REPORTED_PREFIX = 'usage/reported'
-# Enough digits for the keys of a domain's windows to sort by time.
+# Padding makes the window keys of a domain sort by time.
 INDEX_DIGITS = 12
 
 
 @attrs.frozen
 class CounterRecord:
-    """All that one start of an entry has counted since it started."""
+    """The cumulative counts of one incarnation of an entry."""
 
     sequence: int
     figures: tuple[UsageFigure, ...] = ()
@@ -23,10 +23,10 @@
 
 @attrs.frozen
 class WindowRecord:
-    """A closed window; it never changes.
+    """A closed window; it is immutable.
 
-    `totals` are the sums of all counters at its close. The next window's
-    figures are counted from there, so that nothing falls between two.
+    `totals` are the sums of all counters at its close. The figures of the
+    next window are counted from them, so that no usage is lost in between.
     """
 
     window_id: WindowId
@@ -39,14 +39,14 @@
 
 @attrs.frozen
 class ReportedRecord:
-    """All windows up to this one are reported."""
+    """The index up to which all windows are reported."""
 
     index: int
 
 
 @attrs.frozen
 class UsageCopied(PeerMessage):
-    """Rows of a sender's counter, to be saved for it if it dies."""
+    """Rows of the sender's counter, to be saved for it if it crashes."""
 
     counter_key: str
     sequence: int
@@ -56,10 +56,10 @@
 def counter_key(
     domain: Domain, instance_id: InstanceId, incarnation: int
 ) -> str:
-    """Name the key of one start of an entry."""
+    """Return the store key of the counter of one incarnation."""
     return f'{COUNTER_PREFIX}/{domain}/{instance_id}.{incarnation}'
 
 
 def window_key(domain: Domain, index: int) -> str:
-    """Name the key of a window."""
+    """Return the store key of a window."""
     return f'{WINDOW_PREFIX}/{domain}/{index:0{INDEX_DIGITS}d}'
--- a/packages/core/dandelionyoke_core/_usage_settings.py
+++ b/packages/core/dandelionyoke_core/_usage_settings.py
@@ -7,12 +7,14 @@
 
 @attrs.frozen
 class UsageSettings:
-    """How often usage is saved and reported.
+    """Intervals, time limits and size limits of saving and reporting usage.
 
-    What a killed entry loses is at most what it counted within
-    `copy_interval_s`, or within `flush_interval_s` if both peers that hold
-    its copies die with it. A report leaves within `send_limit_s` or never.
-    A window is closed `close_after_s` after its end.
+    A killed entry loses at most what it counted within `copy_interval_s`, or
+    within `flush_interval_s` if both peers that hold its copies are killed
+    too. A copy is saved `takeover_after_s` after the link to its owner ended.
+    A report is sent within `send_limit_s` or not at all. A window is closed
+    `close_after_s` after its end. A leaving entry waits at most
+    `final_flush_timeout_s` for its last save.
     """
 
     copy_interval_s: float = 0.5
--- a/packages/core/dandelionyoke_core/_usage_windows.py
+++ b/packages/core/dandelionyoke_core/_usage_windows.py
@@ -1,8 +1,8 @@
-"""Closes windows of a domain's usage, and reports them.
+"""Closing and reporting the usage windows of a domain.
 
-Windows form a chain: each has the next number, is created only if it is
-absent, and counts from the sums that its predecessor holds. So whoever
-closes a window, however late its write arrives, there is one such window.
+Windows form a chain: each has the next index, is created only if it does not
+exist, and counts from the totals of its predecessor. So each window exists
+only once, no matter which entry closes it or how late its write arrives.
 """
 
 import enum
@@ -51,7 +51,7 @@
 
 @enum.unique
 class ReporterStep(enum.Enum):
-    """What the reporter is about."""
+    """The next or pending step of the reporter."""
 
     OFF = 'off'
     READING = 'reading'
@@ -66,14 +66,14 @@
 
 @attrs.frozen
 class ReportDuty:
-    """The duty of reporting, while this entry holds it."""
+    """The report duty with its fencing token, while this entry holds it."""
 
     fence: int
     until_s: float
 
 
 class WindowReporter:
-    """Acts for the domain while this entry holds the duty of reporting."""
+    """Closes and reports windows while this entry holds the report duty."""
 
     def __init__(
         self, settings: UsageSettings, instance: Instance, random: Random
@@ -96,7 +96,7 @@
         self._totals = UsageTable()
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event of the process, the duty or the platform."""
+        """Handle an event of the process, the duty or the platform."""
         match event:
             case Started():
                 self._wall_offset_s = event.wall_s - now_s
@@ -113,12 +113,12 @@
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next step is due."""
+        """Return when the next step is due, or None."""
         times = (self._next_s, self.slot.next_wakeup_s())
         return min((due for due in times if due is not None), default=None)
 
     def run_due(self, now_s: float) -> list[Output]:
-        """Take the next step if it is time."""
+        """Run the next step if it is due."""
         if self._next_s is None or now_s < self._next_s:
             return []
         self._next_s = None
@@ -129,7 +129,7 @@
         return self._run_step(duty, now_s)
 
     def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
-        """Take the end of a store call."""
+        """Handle the result of a store call."""
         try:
             is_success = self._apply_result(result, now_s)
         except CodecError as unreadable:
@@ -148,7 +148,7 @@
     # Steps.
 
     def _apply_result(self, result: StoreResult, now_s: float) -> bool:
-        """Take a result; False where it is a failure."""
+        """Apply the result of the pending step; return False on failure."""
         match self._step, result:
             case ReporterStep.READING, StoreItem():
                 self._apply_reported_mark(result, now_s)
@@ -158,9 +158,9 @@
                 self._totals = _sum_counters(result)
                 self._go_to(ReporterStep.CLOSING, now_s)
             case ReporterStep.CLOSING, StoreWritten() | StoreConflict():
-                # Closed by this entry or by another one, perhaps by a write
-                # of a former holder that came late: what the store has is
-                # the window, and its own figures are the ones to report.
+                # The window was closed by this entry or by another one,
+                # perhaps by a late write of a former holder. The record in
+                # the store is the window, and its figures are reported.
                 self._go_to(ReporterStep.LISTING, now_s)
             case ReporterStep.MARKING, StoreWritten():
                 self._apply_mark_written(result, now_s)
@@ -189,7 +189,7 @@
         self._next_s = now_s
 
     def _retry(self, now_s: float) -> None:
-        """Take up the work again after a failure, from what is stored."""
+        """Restart from the stored state after a backoff."""
         self._step = ReporterStep.READING
         self._next_s = now_s + self._back_off.next_s()
 
@@ -226,9 +226,9 @@
 
     def _apply_reported_mark(self, item: StoreItem, now_s: float) -> None:
         if item.value is None:
-            # Windows are numbered from a beginning that one write decides.
-            # Two holders that each began with their own present window
-            # would report the same usage in two of them.
+            # A single write determines the first window index. Two holders
+            # that each began with their own current window would report the
+            # same usage in two windows.
             self._go_to(ReporterStep.BEGINNING, now_s)
             self._reported_revision = 0
             return
@@ -309,7 +309,7 @@
         self._go_to(ReporterStep.READY, now_s)
 
     def _delete_old(self) -> list[Output]:
-        """Remove windows that were reported long ago."""
+        """Delete all but the last `kept_windows` reported windows."""
         limit = self._reported - self._settings.kept_windows
         domain = self._instance.domain
         old = [index for index in self._revisions if index <= limit]
