--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -257,7 +257,7 @@
         return [self._ask(peer_id, now_s)]
 
     def _ask_when_due(self, now_s: float) -> list[Output]:
-        peer_id = self._queries.choose_due_peer(now_s)
+        peer_id = self._queries.choose(now_s)
         age_s = self.knowledge_age_s(now_s)
         if peer_id is None or self._queries.is_fresh(age_s):
             return []
--- a/packages/core/dandelionyoke_core/_configuration_queries.py
+++ b/packages/core/dandelionyoke_core/_configuration_queries.py
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class PeerQuerySettings:
-    """The interval and the timeout of queries to peers."""
+    """How often a node asks a peer, and how long it waits."""
 
     interval_s: float = 10.0
     timeout_s: float = 3.0
@@ -44,11 +44,11 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether a query is pending."""
+        """Whether an answer is awaited."""
         return self._pending is not None
 
     def next_wakeup_s(self) -> float | None:
-        """Return when `choose_due_peer` has to be called, or None."""
+        """Return when `choose` has to be called, or None."""
         return self._due_s
 
     def start(self, now_s: float) -> None:
@@ -67,7 +67,7 @@
         """Return whether a configuration of this age needs no query."""
         return age_s is not None and age_s < self._settings.interval_s
 
-    def choose_due_peer(self, now_s: float) -> InstanceId | None:
+    def choose(self, now_s: float) -> InstanceId | None:
         """Choose a random peer if a query is due; give up the pending one."""
         if self._due_s is None or now_s < self._due_s:
             return None
