--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -177,7 +177,7 @@
             outputs = self._journal.handle_result(ended.result, now_s)
         except CodecError as error:
             # The journal is of a newer version, or damaged. The outcome of
-            # an order in it may be unknown, so it is not overwritten.
+            # an order in it may be unknown, so no more orders are given.
             self._stop()
             cause = unreadable_cause(error)
             return [
@@ -301,7 +301,7 @@
             self._advance_plan(plan, order_undrain(plan, order_ids), now_s)
             return
         # Load reports lag. A report from before the drain may show an engine
-        # as idle that then took work, and the change would cut that work.
+        # as idle that then took work, and the change would abort that work.
         taken_s = now_s - event.report.age_s
         since_drain_s = taken_s - progress.started_s
         if since_drain_s <= self._settings.report_lag_s:
--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -1,8 +1,8 @@
-"""Two or more entries whose every step a test decides.
+"""A test bench of a few entries in which the test controls each step.
 
-Nothing happens by itself: a test lets a call of an entry take effect, gives
-or withholds its answer, and lets time pass for the entries that run. So the
-interleavings of a few entries can be gone through one by one.
+A test performs one call of an entry, delivers or withholds its answer, and
+advances the time for the entries that run. This allows exploring all
+interleavings of a few entries.
 """
 
 import copy
@@ -56,13 +56,16 @@
 
 
 def instance(name: str) -> Instance:
-    """Make up an entry of the domain."""
+    """Return an instance of an entry in the domain."""
     return Instance(InstanceId(name), DOMAIN, f'http://{name}', f'ws://{name}')
 
 
 @attrs.define
 class Entry:
-    """One entry: its parts, its calls under way, what it was told to be."""
+    """One entry: its parts, pending calls, withheld answers and duties.
+
+    `rate` is the speed of its clock relative to the bench's clock.
+    """
 
     parts: list[Part]
     rate: float = 1.0
@@ -72,13 +75,13 @@
     fences: dict[str, tuple[int, float]] = attrs.field(factory=dict)
 
     def take(self, event: Event, now_s: float) -> None:
-        """Give an event to the parts, and their notices to each other."""
+        """Deliver an event to the parts, and the notices that result."""
         queue: list[Event] = [event]
         while queue:
             self._step(queue.pop(0), now_s * self.rate, queue)
 
     def believes(self, duty: str, now_s: float) -> int | None:
-        """Give the fencing number that it acts under now, or None."""
+        """Return the fencing token that the entry believes valid, or None."""
         fence, until_s = self.fences.get(duty, (0, 0.0))
         return fence if now_s * self.rate < until_s else None
 
@@ -88,13 +91,13 @@
                 continue
             for output in part.handle(event, now_s):
                 if isinstance(output, Notice):
-                    self._note(output)
+                    self._record_duty(output)
                     queue.append(output)
                 else:
                     self.seen.append(output)
                     self.waiting.append(output)
 
-    def _note(self, notice: Notice) -> None:
+    def _record_duty(self, notice: Notice) -> None:
         match notice:
             case DutyGained() | DutyExtended():
                 self.fences[notice.duty] = (notice.fence, notice.until_s)
@@ -103,7 +106,7 @@
 
 
 class Bench:
-    """The entries, the platform and the clock."""
+    """The entries, the platform and the clock of a test."""
 
     def __init__(
         self,
@@ -114,20 +117,20 @@
         self.now_s = 0.0
         self.names = tuple(names)
         self.entries = {
-            name: Entry(make_parts(instance(name), Random(place)))
-            for place, name in enumerate(self.names)
+            name: Entry(make_parts(instance(name), Random(index)))
+            for index, name in enumerate(self.names)
         }
         self.performed: tuple[type[Action], ...] = ()
         self.perform: Callable[[Bench, str, Action], Event | None] | None = None
 
     def meet(self) -> None:
-        """Tell every entry that all are alive."""
+        """Announce all entries as live to every entry."""
         for entry in self.entries.values():
             entry.take(PeersKnown(self.names, self.names), self.now_s)
 
     def effect(self, name: str) -> Event | None:
-        """Let the oldest call of an entry take effect; give the answer."""
-        action = self._oldest(name)
+        """Perform the oldest call of an entry and return the answer."""
+        action = self._next_call(name)
         if action is None:
             return None
         operation_id = getattr(action, 'operation_id', None)
@@ -138,39 +141,39 @@
         return StoreAnswered(operation_id, stored)
 
     def answer(self, name: str) -> bool:
-        """Carry out the oldest call, and give its answer."""
-        return self._give(name, self.effect(name))
+        """Perform the oldest call and deliver its answer."""
+        return self._deliver(name, self.effect(name))
 
     def lose(self, name: str) -> bool:
-        """Carry out the oldest call, and lose its answer."""
+        """Perform the oldest call and lose its answer."""
         event = self.effect(name)
         if isinstance(event, StoreAnswered):
             event = StoreAnswered(event.operation_id, LOST)
-        return self._give(name, event)
+        return self._deliver(name, event)
 
     def withhold(self, name: str) -> bool:
-        """Carry out the oldest call while its entry is paused."""
+        """Perform the oldest call and hold its answer back: a paused entry."""
         event = self.effect(name)
         if event is not None:
             self.entries[name].withheld.append(event)
         return event is not None
 
     def resume(self, name: str) -> bool:
-        """Give an entry what came while it was paused."""
+        """Deliver the withheld answers to an entry and wake it."""
         entry = self.entries[name]
-        held = entry.withheld[:]
+        events = entry.withheld[:]
         entry.withheld.clear()
-        for event in held:
+        for event in events:
             entry.take(event, self.now_s)
         self.wake(name)
-        return bool(held)
+        return bool(events)
 
     def wake(self, name: str) -> None:
-        """Let an entry look at its clock."""
+        """Send a wakeup event to an entry."""
         self.entries[name].take(Woken(), self.now_s)
 
     def tick(self, elapsed_s: float, running: Iterable[str]) -> bool:
-        """Let time pass; only the running entries notice."""
+        """Advance the time and wake the running entries."""
         self.now_s += elapsed_s
         self.platform.store.expire(self.now_s)
         for name in running:
@@ -178,14 +181,14 @@
         return True
 
     def settle(self, until_s: float, running: Iterable[str]) -> None:
-        """Let the running entries work on without any trouble."""
+        """Run the entries without faults until a time."""
         running = tuple(running)
         while self.now_s < until_s:
             self.tick(0.1, running)
             while any([self.answer(name) for name in running]):
                 continue
 
-    def _oldest(self, name: str) -> Action | None:
+    def _next_call(self, name: str) -> Action | None:
         waiting = self.entries[name].waiting
         while waiting:
             action = waiting.pop(0)
@@ -197,7 +200,7 @@
     def _is_performed(self, action: Action) -> bool:
         return isinstance(action, self.performed)
 
-    def _give(self, name: str, event: Event | None) -> bool:
+    def _deliver(self, name: str, event: Event | None) -> bool:
         if event is not None:
             self.entries[name].take(event, self.now_s)
         return event is not None
@@ -213,7 +216,7 @@
     check: Callable[[Bench, tuple[str, ...]], None],
     path: tuple[str, ...] = (),
 ) -> int:
-    """Go through all sequences of moves up to a depth; count the states."""
+    """Check all sequences of moves up to a depth; return the state count."""
     states = 1
     check(bench, path)
     if depth == 0:
@@ -227,7 +230,7 @@
 
 
 def trouble(first: str, second: str, step_s: float) -> tuple[Move, ...]:
-    """The moves of two entries, the first of which may be paused."""
+    """Return the moves of two entries, the first of which may be paused."""
     return (
         ('first answered', lambda bench: bench.answer(first)),
         ('first lost', lambda bench: bench.lose(first)),
@@ -245,7 +248,7 @@
 def small_fleet(
     seed: int, entries: int, engines: int
 ) -> tuple[World, list[InstanceId]]:
-    """Start whole nodes in one domain, and let them find each other."""
+    """Start whole nodes in one domain and run until they are connected."""
     world = World(seed)
     settings = EngineSettings(models=('crate-lm',))
     group = EngineGroup('assistant', engines, settings)
@@ -263,7 +266,7 @@
 
 
 def call_all(world: World, names: Iterable[InstanceId], round_: int) -> None:
-    """Let each entry get one call for 20 tokens."""
+    """Send one call for 20 tokens to each entry."""
     for name in names:
         prompt = f'{name} {round_}: answer 20 tokens'
         request_id = RequestId(f'{name}-{round_}')
@@ -272,6 +275,6 @@
 
 
 def holder_of(world: World, duty: str) -> InstanceId:
-    """Tell who holds a duty by the store's record."""
+    """Return the holder of a duty according to the store."""
     item = world.platform.store.read(f'duty/{DOMAIN}/{duty}')
     return record_from_json(item.value or '', DutyRecord).instance_id
