--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -1,4 +1,4 @@
-"""A change is made once, reaches every node, and is never taken back."""
+"""Commits are made once, reach every node, and are never rolled back."""
 
 import copy
 import itertools
@@ -81,8 +81,8 @@
     return Change(ChangeId(f'c{revision}'), revision, 'op', '', 0, operations)
 
 
-# A history in which keys come and go, and its naive reading.
-def true_history(length):
+# A history that adds and removes keys, with the snapshot at each revision.
+def make_history(length):
     operations = [ADD_DUKA]
     for number in range(1, length):
         key = ApiKey(hash_key(f'key {number // 2}'), DUKA.organisation_id)
@@ -101,7 +101,7 @@
     return changes, snapshots
 
 
-def begin_store(changes):
+def make_store(changes):
     store = VirtualStore()
     for number in range(changes):
         commit(store, f'before {number}', settings=SMALL)
@@ -110,7 +110,7 @@
 
 class ChangesTest(testtools.TestCase):
     @given(strategies.data())
-    def test_the_difference_leads_from_one_to_the_other(self, data) -> None:
+    def test_applying_a_difference_yields_the_new_snapshot(self, data) -> None:
         names = strategies.sampled_from(['x', 'y', 'z'])
         weights = strategies.integers(1, 3)
         old, new = (
@@ -136,7 +136,7 @@
             new, apply_change(old, change_at(1, difference(old, new)))
         )
 
-    def test_what_does_not_follow_is_refused(self) -> None:
+    def test_a_change_that_does_not_apply_is_refused(self) -> None:
         for change in (
             change_at(2, ()),
             change_at(1, (Remove(Section.MODEL, 'none'),)),
@@ -167,119 +167,119 @@
 
 class CommitterTest(testtools.TestCase):
     def test_racing_operators_in_every_order(self) -> None:
-        """Two operators apply a change at the same moment.
+        """Two operators commit a change concurrently, with store faults.
 
-        Whatever the order of their calls, and whichever answer is lost on
-        the way, each change that is said to be made is there once, and one
-        that is said to be in conflict is not there at all.
+        In any order of their calls, a change reported as committed must be
+        stored exactly once, and one reported as a conflict not at all.
         """
-        starts = {before: begin_store(before) for before in (0, 1, 4)}
-        for before, bases, faults in itertools.product(
+        starts = {initial: make_store(initial) for initial in (0, 1, 4)}
+        for initial, bases, faults in itertools.product(
             starts,
             ((None, None), (0, 0), (0, None)),
             itertools.product(FAULTS, repeat=2),
         ):
             for order in itertools.product((0, 1), repeat=6):
-                store = copy.deepcopy(starts[before])
-                self._race(store, before, bases, faults, order)
+                store = copy.deepcopy(starts[initial])
+                self._run_race(store, initial, bases, faults, order)
 
-    def _race(self, store, before, bases, faults, order) -> None:
-        planned = [None if base is None else before + base for base in bases]
-        racers = [
+    def _run_race(self, store, initial, bases, faults, order) -> None:
+        planned = [None if base is None else initial + base for base in bases]
+        committers = [
             Committer(propose(f'racer {number}', base), SMALL)
             for number, base in enumerate(planned)
         ]
         store.write_faults.extend(faults)
-        waiting = [racer.begin() for racer in racers]
+        pending = [committer.begin() for committer in committers]
         for turn in itertools.chain(order, itertools.cycle((0, 1))):
-            if not any(waiting):
+            if not any(pending):
                 break
-            if waiting[turn]:
-                waiting[turn] = step(racers[turn], store, waiting[turn])
-        told = f'{before} {planned} {faults} {order}'
-        self._check(store, before, racers, told)
-
-    def _check(self, store, before, racers, told) -> None:
-        made = history(store, SMALL)
-        names = [change.change_id for change in made]
+            if pending[turn]:
+                pending[turn] = step(committers[turn], store, pending[turn])
+        context = f'{initial} {planned} {faults} {order}'
+        self._check(store, initial, committers, context)
+
+    def _check(self, store, initial, committers, context) -> None:
+        committed = history(store, SMALL)
+        names = [change.change_id for change in committed]
         self.assertEqual(
-            list(range(1, len(made) + 1)),
-            [change.revision for change in made],
-            told,
+            list(range(1, len(committed) + 1)),
+            [change.revision for change in committed],
+            context,
         )
-        for number, racer in enumerate(racers):
+        for number, committer in enumerate(committers):
             count = names.count(ChangeId(f'racer {number}'))
-            match racer.outcome:
+            match committer.outcome:
                 case Committed(change=change):
-                    self.assertEqual(1, count, told)
-                    self.assertIn(change, made, told)
+                    self.assertEqual(1, count, context)
+                    self.assertIn(change, committed, context)
                 case Conflicted(changes_since=since):
-                    self.assertEqual(0, count, told)
-                    self.assertEqual(made[before:], since, told)
+                    self.assertEqual(0, count, context)
+                    self.assertEqual(committed[initial:], since, context)
                 case _:
-                    self.fail(f'{racer.outcome} {told}')
+                    self.fail(f'{committer.outcome} {context}')
 
-    def test_lost_answers_of_any_run_of_writes(self) -> None:
-        """The store takes a write, but its answer never comes.
+    def test_any_sequence_of_faults_commits_a_change_once(self) -> None:
+        """A write of the store succeeds, but its answer is lost.
 
-        An operator who writes again would make the change twice; one who
-        gives up would not know. Both would see it in the audit trail.
+        Writing again would commit the change twice, and giving up would
+        leave the outcome unknown.
         """
-        for before, faults in itertools.product(
+        for initial, faults in itertools.product(
             (0, 3, 4), itertools.product(FAULTS, repeat=4)
         ):
-            store = begin_store(before)
+            store = make_store(initial)
             store.write_faults.extend(faults)
             outcome = commit(store, 'mine', settings=SMALL)
             self.assertIsInstance(outcome, Committed, faults)
             names = [change.change_id for change in history(store, SMALL)]
             self.assertEqual(1, names.count(ChangeId('mine')), faults)
 
-    def test_a_change_that_was_overtaken_is_found_again(self) -> None:
-        """An answer is lost, and many others' changes follow at once.
+    def test_a_change_that_left_the_head_is_found_again(self) -> None:
+        """The answer to a commit is lost, and many other changes follow.
 
-        By the time the operator looks, the change has left the head and a
-        snapshot covers it; made again, it would undo what came after.
+        When the operator reads again, the head no longer holds the change
+        and a snapshot includes it. Committing it again would undo later
+        changes.
         """
         store = VirtualStore()
-        mine = Committer(propose('mine', None), SMALL)
-        calls = mine.begin()
-        calls = step(mine, store, calls)
+        committer = Committer(propose('mine', None), SMALL)
+        calls = committer.begin()
+        calls = step(committer, store, calls)
         store.write_faults.append('lost')
-        calls = step(mine, store, calls)
+        calls = step(committer, store, calls)
         for number in range(9):
             commit(store, f'other {number}', settings=SMALL)
         while calls:
-            calls = step(mine, store, calls)
-        self.assertEqual(1, mine.outcome.change.revision)
+            calls = step(committer, store, calls)
+        self.assertEqual(1, committer.outcome.change.revision)
         self.assertEqual(10, len(history(store, SMALL)))
 
-    def test_the_same_proposal_again_is_the_same_change(self) -> None:
+    def test_a_repeated_proposal_is_committed_once(self) -> None:
         store = VirtualStore()
         for base in (0, None, 0):
             outcome = commit(store, 'mine', base=base)
             self.assertEqual(1, outcome.change.revision)
 
-    def test_a_store_that_is_out_leaves_no_doubt(self) -> None:
-        """The store is down while an operator applies a change.
+    def test_doubt_is_reported_only_after_a_write_was_sent(self) -> None:
+        """The store is down while an operator commits a change.
 
-        Nothing was sent that could take effect, and the operator is told
-        so; where a write was sent and nothing can be read, it is in doubt.
+        If no write was sent, the change certainly did not happen. If a write
+        was sent and nothing can be read, it may have happened.
         """
         store = VirtualStore()
         store.is_out = True
         self.assertEqual(Unsettled('unavailable', False), commit(store, 'mine'))
         store.is_out = False
-        mine = Committer(propose('mine', None))
-        calls = step(mine, store, mine.begin())
+        committer = Committer(propose('mine', None))
+        calls = step(committer, store, committer.begin())
         store.write_faults.append('lost')
-        calls = step(mine, store, calls)
+        calls = step(committer, store, calls)
         store.is_out = True
         while calls:
-            calls = step(mine, store, calls)
-        self.assertEqual(Unsettled('unavailable', True), mine.outcome)
+            calls = step(committer, store, calls)
+        self.assertEqual(Unsettled('unavailable', True), committer.outcome)
 
-    def test_a_wrong_configuration_is_not_written(self) -> None:
+    def test_an_invalid_configuration_is_not_written(self) -> None:
         store = VirtualStore()
         big = tuple(
             Put(Organisation(OrganisationId(f'{number:0100}')))
@@ -291,7 +291,7 @@
             self.assertTrue(outcome.problems)
         self.assertEqual(0, store.revision)
 
-    def test_old_snapshots_go_and_changes_stay(self) -> None:
+    def test_old_snapshots_are_deleted_and_changes_kept(self) -> None:
         store = VirtualStore()
         for number in range(40):
             commit(store, f'{number}', reweigh(number + 1))
@@ -308,8 +308,8 @@
     live = live_in_domain = (InstanceId('me'), InstanceId('you'))
 
 
-class NeverBackTest(testtools.TestCase):
-    changes, snapshots = true_history(12)
+class MonotonicRevisionTest(testtools.TestCase):
+    changes, snapshots = make_history(12)
 
     @given(
         strategies.lists(
@@ -324,11 +324,11 @@
         )
     )
     @settings(max_examples=300, deadline=None)
-    def test_news_in_any_order_never_leads_back(self, script) -> None:
-        """News comes late, twice, with gaps, and from a store behind peers.
+    def test_announcements_in_any_order_never_go_back(self, script) -> None:
+        """Announcements are late, duplicated, have gaps, or the store lags.
 
-        Were an older one taken, a withdrawn key would work again. Whatever
-        is in force has to be what the naive reading has at that revision.
+        Applying an older revision would make a withdrawn key valid again.
+        The configuration in force must equal the snapshot at its revision.
         """
         part = ConfigurationPart(
             ConfigurationSettings(),
@@ -337,18 +337,20 @@
             InstanceId('me'),
             Domain('d'),
         )
-        told: list[Output] = part.handle(Started(0), 0)
+        outputs: list[Output] = part.handle(Started(0), 0)
         now_s = 0.0
         for kind, first, last in script:
             now_s += 1
-            for event in self._events(part, kind, min(first, last), last, told):
-                told.extend(part.handle(event, now_s))
+            for event in self._events(
+                part, kind, min(first, last), last, outputs
+            ):
+                outputs.extend(part.handle(event, now_s))
             self.assertEqual(
                 self.snapshots[part.snapshot.revision], part.snapshot
             )
-        self._check(part, told)
+        self._check(part, outputs)
 
-    def _events(self, part, kind, first, last, told):
+    def _events(self, part, kind, first, last, outputs):
         changes = tuple(self.changes[first:last])
         peer = InstanceId('you')
         if kind == 'news':
@@ -357,7 +359,7 @@
         if kind == 'offer':
             asked = [
                 output.message.question_number
-                for output in told
+                for output in outputs
                 if isinstance(output, SendPeer)
                 and isinstance(output.message, ConfigurationWanted)
             ]
@@ -371,11 +373,11 @@
             return [PeerMessageArrived(peer, offer)]
         if kind == 'wake':
             return [PeerConnected(peer), Woken()]
-        return self._answers(told, first, last)
+        return self._answers(outputs, first, last)
 
-    def _answers(self, told, first, last):
+    def _answers(self, outputs, first, last):
         calls = [
-            call for call in told if isinstance(call, StoreGet | StoreWatch)
+            call for call in outputs if isinstance(call, StoreGet | StoreWatch)
         ]
         if isinstance(calls[-1], StoreWatch):
             return []
@@ -388,10 +390,10 @@
         item = StoreItem(key, last + 1, text)
         return [StoreAnswered(calls[-1].operation_id, item)]
 
-    def _check(self, part, told) -> None:
+    def _check(self, part, outputs) -> None:
         in_force = [
             notice.snapshot.revision
-            for notice in told
+            for notice in outputs
             if isinstance(notice, ConfigurationInForce)
         ]
         self.assertEqual(sorted(set(in_force)), in_force)
@@ -405,19 +407,19 @@
             ),
             sorted(
                 notice.key_hash
-                for notice in told
+                for notice in outputs
                 if isinstance(notice, KeyWithdrawn)
             ),
         )
 
 
 class AgeTest(testtools.TestCase):
-    def test_an_answer_that_lay_in_a_buffer_is_old(self) -> None:
-        """A process is paused just after it asked a peer for its age.
+    def test_a_buffered_answer_counts_from_its_query(self) -> None:
+        """A process is paused between a query and its buffered answer.
 
-        The answer waits for it. Counted from when it is read, old knowledge
-        would look fresh, and an organisation that bounds the age of what
-        its calls rest on would be served beyond its limit.
+        With the age counted from the arrival, an old configuration would look
+        fresh, and an organisation with a knowledge age limit would be served
+        beyond it.
         """
         part = ConfigurationPart(
             ConfigurationSettings(),
@@ -437,13 +439,13 @@
         self.assertEqual(101, part.knowledge_age_s(100))
 
 
-class SpreadTest(testtools.TestCase):
-    def test_a_node_that_was_cut_off_returns(self) -> None:
-        """A domain loses the platform and the others, and comes back.
+class PropagationTest(testtools.TestCase):
+    def test_a_partitioned_node_recovers(self) -> None:
+        """A domain is partitioned from the platform and the other domains.
 
-        Meanwhile it serves on what it knew and shows how old that is; a
-        key that was withdrawn elsewhere still works there. Once the cut is
-        over it stops working within seconds.
+        It keeps serving with its old configuration and reports its age, so a
+        withdrawn key still works there. After the partition heals, the key
+        must stop working within seconds.
         """
         world = make_world()
         commit(world.store, 'first')
@@ -465,11 +467,11 @@
         world.heal()
         self.assertLess(world.run_until(lambda: all_at(world, 2), 60), 7)
 
-    def test_a_node_that_was_paused_across_ten_changes(self) -> None:
-        """A process is paused while an operator makes ten changes.
+    def test_a_node_paused_during_ten_changes(self) -> None:
+        """A process is paused while an operator commits ten changes.
 
-        It wakes with old news in its buffers, and a caller with a key that
-        was withdrawn meanwhile might be served for a while.
+        It resumes with old announcements in its buffers, and must not serve
+        withdrawn keys for long.
         """
         for seed in range(5):
             world = make_world(seed)
@@ -493,11 +495,11 @@
                 [str(revision) for revision in range(1, 12)], logged
             )
 
-    def test_a_node_that_missed_more_than_peers_keep(self) -> None:
-        """A process is paused for so long that the changes are gone.
+    def test_a_node_that_missed_more_changes_than_peers_keep(self) -> None:
+        """A process is paused until peers no longer keep the changes.
 
-        Peers no longer keep what it lacks, so it reads the snapshot; a
-        node that waited for the missing changes would never catch up.
+        A node that waited for the missing changes would never catch up, so
+        it must read the snapshot.
         """
         world = make_world()
         node = world.live_nodes()[0]
@@ -510,11 +512,11 @@
         took_s = world.run_until(lambda: all_at(world, 81), 60)
         self.assertLess(took_s, 4)
 
-    def test_a_fresh_instance_while_the_platform_is_out(self) -> None:
-        """The platform is down, and an instance is replaced.
+    def test_a_new_instance_during_a_platform_outage(self) -> None:
+        """An instance is replaced while the platform is down.
 
-        The new one knows nothing but its peers do; callers that reach it
-        would be refused although the system could serve them.
+        It must get the configuration from its peers. Otherwise it would
+        refuse callers that the system could serve.
         """
         world = make_world()
         commit(world.store, 'first')
@@ -530,11 +532,11 @@
         age_s = node.configuration.knowledge_age_s(world.now_s)
         self.assertGreater(age_s, 29)
 
-    def test_a_fresh_instance_that_reaches_nobody(self) -> None:
-        """An instance starts in a cut, with no peer and no platform.
+    def test_a_new_instance_that_reaches_nobody(self) -> None:
+        """An instance starts partitioned from all peers and the platform.
 
-        It knows no key. A caller has to hear that nothing was run and when
-        to come back, and not that its key is wrong.
+        It knows no keys. A caller must be told that no configuration is
+        known, not that its key is invalid.
         """
         world = World(1, WorldSettings((('a', 1),)))
         world.cut('a', 'platform')
@@ -549,11 +551,11 @@
         identity = keys.authenticate('secret', world.now_s)
         self.assertEqual(DUKA, identity.organisation)
 
-    def test_a_withdrawal_during_a_cut_between_domains(self) -> None:
-        """Two domains lose each other and one of them the platform too.
+    def test_a_withdrawn_key_during_a_partition_between_domains(self) -> None:
+        """Two domains are partitioned, one of them from the platform too.
 
-        The third still reaches both, so a withdrawn key has to stop
-        working in the cut-off one within seconds all the same.
+        The third domain reaches both, so a withdrawn key must still stop
+        working in the partitioned one within seconds.
         """
         world = make_world()
         commit(world.store, 'first')
@@ -569,10 +571,10 @@
             self.assertLess(withdrawn_s - begun_s, 7)
 
     def test_all_watchers_of_a_domain_are_paused(self) -> None:
-        """The very instances that wait on the store stop for a while.
+        """All instances of a domain that watch the store are paused.
 
-        The rest of the domain has to hear of the change from the other
-        domains, or a withdrawn key works on there until they come back.
+        The rest of the domain must learn of the change from other domains.
+        Otherwise a withdrawn key would work there until the watchers resume.
         """
         world = make_world()
         commit(world.store, 'first')
@@ -592,19 +594,19 @@
         )
         self.assertLess(took_s, 7)
 
-    def test_any_run_of_faults_ends_in_agreement(self) -> None:
-        """Cuts, pauses, kills and outages come in any order, and twice.
+    def test_any_sequence_of_faults_ends_in_agreement(self) -> None:
+        """Partitions, pauses, kills and outages happen in random order.
 
-        No node may go back meanwhile, and once all is mended every node
-        has the newest configuration within seconds.
+        No node may go back to an older revision, and after the faults end
+        every node must have the newest one within seconds.
         """
         for seed in range(12):
             world = make_world(seed)
-            dice = random.Random(seed)
+            rng = random.Random(seed)
             for number in range(12):
-                self._disturb(world, dice, number)
+                self._inject_fault(world, rng, number)
                 commit(world.store, f'{number}', reweigh(number + 1))
-                world.run(dice.uniform(0, 10))
+                world.run(rng.uniform(0, 10))
             world.heal()
             world.store.is_out = False
             commit(world.store, 'last', reweigh(50))
@@ -616,16 +618,16 @@
                 revisions = [at for _, at in node.recorder.in_force]
                 self.assertEqual(sorted(set(revisions)), revisions)
 
-    def _disturb(self, world, dice, number) -> None:
+    def _inject_fault(self, world, rng, number) -> None:
         domains = ['a', 'b', 'c', 'platform']
-        node = dice.choice(world.live_nodes())
-        match dice.randrange(6):
+        node = rng.choice(world.live_nodes())
+        match rng.randrange(6):
             case 0:
-                world.cut(*dice.sample(domains, 2))
+                world.cut(*rng.sample(domains, 2))
             case 1:
                 world.heal()
             case 2:
-                world.pause(node, dice.uniform(1, 30))
+                world.pause(node, rng.uniform(1, 30))
             case 3:
                 world.kill(node)
                 world.start(f'new-{number}', node.instance.domain)
