--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -1,4 +1,4 @@
-"""An engine has one master at a time and no change cuts work."""
+"""An engine gets orders of one holder at a time, and no change aborts work."""
 
 from random import Random
 from typing import ClassVar
@@ -65,8 +65,8 @@
 PERFORMED = (SendEngineOrder, ReadEngineOrder, PollLoad, SendTargetOrder)
 
 
-class Wisher:
-    """Wants a role of its own as soon as it holds the duty."""
+class RoleRequester:
+    """Requests a fixed role under the fencing token of its duty."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (DutyGained, TargetsListed)
 
@@ -78,19 +78,19 @@
         if isinstance(event, DutyGained):
             self.fence = event.fence
             return []
-        wish = RoleWanted(TARGET_ID, SERVICE, self.role, self.fence, 'test')
-        return [wish]
+        wanted = RoleWanted(TARGET_ID, SERVICE, self.role, self.fence, 'test')
+        return [wanted]
 
     def next_wakeup_s(self) -> float | None:
         return None
 
 
 def make_parts(own: Instance, random: Random) -> list[Part]:
-    """Make up an entry that controls one engine."""
+    """Return the parts of an entry that controls one engine."""
     return [
         AuthorityPart(AuthoritySettings(), CONTROL_DUTY, own, random),
         OrdersPart(OrdersSettings(), own, lambda name: TARGET, random),
-        Wisher(ROLES[own.instance_id]),
+        RoleRequester(ROLES[own.instance_id]),
     ]
 
 
@@ -106,13 +106,13 @@
         self.perform = perform
         self.performed = PERFORMED
 
-    def wish(self, name: str) -> None:
-        """Let an entry's decisions ask for its role."""
+    def request_role(self, name: str) -> None:
+        """Let an entry request its role for the engine."""
         self.entries[name].take(TargetsListed((TARGET,)), self.now_s)
 
     @property
     def orders(self) -> list[object]:
-        """The orders that the engine carried out, by its own record."""
+        """The orders that the engine carried out, according to its record."""
         return [
             one
             for one in self.engine.model.record.orders
@@ -121,7 +121,10 @@
 
 
 def perform(bench: Bench, name: str, action: Action) -> Event | None:
-    """Send to the engine as the wire does: never too late."""
+    """Perform a call as the transport does: never after its deadline.
+
+    Check that an order is sent only with the duty and after it is journalled.
+    """
     assert isinstance(bench, EngineBench)
     now_s = bench.now_s
     if isinstance(action, SendEngineOrder | SendTargetOrder):
@@ -145,11 +148,11 @@
     return bench.engine.take(name, action, now_s)[0].event
 
 
-def never_two_masters(bench: Bench, path: tuple[str, ...]) -> None:
-    """Judge by what the engine carried out.
+def check_orders(bench: Bench, path: tuple[str, ...]) -> None:
+    """Check the orders that the engine carried out.
 
-    Numbers never go down, and each change is drained, done and undrained
-    before the next one begins.
+    Fencing tokens never decrease, and each change is drained, done and
+    undrained before the next one begins.
     """
     assert isinstance(bench, EngineBench)
     orders = [one.order for one in bench.orders]  # type: ignore[attr-defined]
@@ -160,106 +163,110 @@
     assert kinds == cycle[: len(kinds)], (kinds, path)
 
 
-def held_by_first(*, is_checking: bool) -> EngineBench:
-    """Let the first entry get the duty."""
+def bench_with_first_as_holder(*, is_checking: bool) -> EngineBench:
+    """Return a bench in which the first entry holds the duty."""
     bench = EngineBench(is_checking=is_checking)
     bench.meet()
     bench.settle(4, (FIRST,))
     return bench
 
 
-def open_plans(bench: Bench) -> int:
+def count_plans(bench: Bench) -> int:
     """Count the plans in the journal."""
     text = bench.platform.store.read(JOURNAL).value or '{"fence": 0}'
     return len(record_from_json(text, Journal).plans)
 
 
 class TakeoverTest(testtools.TestCase):
-    def test_a_holder_stopped_at_each_step_of_a_change(self) -> None:
+    def test_a_holder_that_stops_at_each_step_of_a_change(self) -> None:
         """A holder stops between deciding, journalling, sending and closing.
 
-        Its successor wants another role. The engine must not get orders of
-        both at once, and must not be left drained.
+        Its successor requests another role. The engine must not get orders
+        of both at once, and must not be left drained.
         """
         for is_checking in (True, False):
             for calls in range(16):
-                for returns in ('never', 'with an answer', 'before its call'):
-                    bench = held_by_first(is_checking=is_checking)
-                    _stop_first(bench, calls, returns)
+                for resumption in (
+                    'never',
+                    'with an answer',
+                    'before its call',
+                ):
+                    bench = bench_with_first_as_holder(is_checking=is_checking)
+                    _stop_first(bench, calls, resumption)
                     bench.settle(bench.now_s + 14, (SECOND,))
-                    bench.wish(SECOND)
-                    never_two_masters(bench, (str(calls), returns))
-                    _return_first(bench, returns)
-                    running = (SECOND,) if returns == 'never' else NAMES
+                    bench.request_role(SECOND)
+                    check_orders(bench, (str(calls), resumption))
+                    _resume_first(bench, resumption)
+                    running = (SECOND,) if resumption == 'never' else NAMES
                     bench.settle(bench.now_s + 40, running)
-                    bench.wish(SECOND)
+                    bench.request_role(SECOND)
                     bench.settle(bench.now_s + 20, running)
-                    never_two_masters(bench, (str(calls), returns))
-                    self.assertEqual(0, open_plans(bench))
+                    check_orders(bench, (str(calls), resumption))
+                    self.assertEqual(0, count_plans(bench))
                     report = bench.engine.model.load_report(bench.now_s)
                     self.assertFalse(report.draining)
                     self.assertEqual('decode', report.role)
 
-    def test_two_holders_in_every_order_of_steps(self) -> None:
-        """Pauses, lost answers and a takeover fall together in any order.
+    def test_two_holders_in_all_interleavings(self) -> None:
+        """Pauses, lost answers and a takeover are interleaved in any order.
 
-        Whatever the order, the engine carries out one change at a time.
+        The engine must carry out one change at a time.
         """
         for is_checking in (True, False):
-            bench = held_by_first(is_checking=is_checking)
-            bench.wish(FIRST)
-            states = explore(bench, _moves(), 4, never_two_masters)
+            bench = bench_with_first_as_holder(is_checking=is_checking)
+            bench.request_role(FIRST)
+            states = explore(bench, _takeover_moves(), 4, check_orders)
             bench.answer(FIRST)
-            states += explore(bench, _moves(), 3, never_two_masters)
+            states += explore(bench, _takeover_moves(), 3, check_orders)
             bench.settle(bench.now_s + 2.5, (FIRST,))
-            states += explore(bench, _moves(), 3, never_two_masters)
+            states += explore(bench, _takeover_moves(), 3, check_orders)
             self.assertGreater(states, 500)
 
-    def test_an_order_arrives_late_at_an_engine_that_ignores_numbers(
+    def test_a_late_order_at_an_engine_that_ignores_fencing(
         self,
     ) -> None:
-        """An order leaves in time, but the network holds it up.
+        """An order is sent in time but delayed by the network.
 
-        It reaches the engine when a successor has long been at work there,
-        and the engine does not look at its number. The successor has sent
-        the same order or waited, so it changes nothing.
+        It reaches an engine that ignores fencing tokens while a successor is
+        active. The successor has sent the same order or waited, so the late
+        order must change nothing.
         """
         for which in range(3):
             for delay_s in (1, 9, 10, 11, 11.5, 12, 13, 14, 16, 18, 22, 30):
-                bench = held_by_first(is_checking=False)
-                bench.wish(FIRST)
-                late = _take_out(bench, which)
+                bench = bench_with_first_as_holder(is_checking=False)
+                bench.request_role(FIRST)
+                late = _intercept_order(bench, which)
                 bench.settle(bench.now_s + delay_s, (SECOND,))
-                bench.wish(SECOND)
+                bench.request_role(SECOND)
                 bench.engine.take(FIRST, late, bench.now_s)
-                never_two_masters(bench, (str(which), str(delay_s)))
+                check_orders(bench, (str(which), str(delay_s)))
                 bench.settle(bench.now_s + 40, (SECOND,))
-                never_two_masters(bench, (str(which), str(delay_s)))
-                self.assertEqual(0, open_plans(bench))
+                check_orders(bench, (str(which), str(delay_s)))
+                self.assertEqual(0, count_plans(bench))
                 report = bench.engine.model.load_report(bench.now_s)
                 self.assertFalse(report.draining)
 
     def test_lost_answers_of_the_journal(self) -> None:
         """Each write of the journal succeeds but its answer is lost.
 
-        The change is made all the same, once.
+        The change must still be made, once.
         """
-        bench = held_by_first(is_checking=True)
+        bench = bench_with_first_as_holder(is_checking=True)
         bench.platform.faults.keys = 'orders'
         bench.platform.faults.lose_answers = 4
-        bench.wish(FIRST)
+        bench.request_role(FIRST)
         bench.settle(40, (FIRST,))
-        never_two_masters(bench, ())
+        check_orders(bench, ())
         self.assertEqual(3, len(bench.orders))
-        self.assertEqual(0, open_plans(bench))
+        self.assertEqual(0, count_plans(bench))
 
-    def test_an_engine_that_does_not_answer_gets_the_same_order(self) -> None:
+    def test_an_order_without_an_answer_is_resent_with_its_id(self) -> None:
         """The engine carries out each order but its answers are lost.
 
-        Sent again, an order keeps its id, so that it is done once.
+        A resent order must keep its id, so that it is carried out once.
         """
-        bench = held_by_first(is_checking=False)
-        bench.wish(FIRST)
+        bench = bench_with_first_as_holder(is_checking=False)
+        bench.request_role(FIRST)
         for _ in range(300):
             bench.tick(0.1, (FIRST,))
             waiting = bench.entries[FIRST].waiting
@@ -272,20 +279,20 @@
                     )
                     bench.entries[FIRST].take(unknown, bench.now_s)
             bench.answer(FIRST)
-        never_two_masters(bench, ())
+        check_orders(bench, ())
         self.assertEqual(3, len(bench.orders))
 
 
 class PlannedChangeTest(testtools.TestCase):
     def test_a_role_change_waits_for_work_in_progress(self) -> None:
-        """An engine is writing a long answer when its role is to change.
+        """A role change is requested while an engine generates a long answer.
 
-        The caller gets the whole answer; only then does the role change.
+        The caller must get the whole answer before the role changes.
         """
-        bench = held_by_first(is_checking=True)
+        bench = bench_with_first_as_holder(is_checking=True)
         request = GenerateRequest('a-1', 'model', 'answer 200 tokens', (), 200)
         bench.engine.model.generate(request, bench.now_s)
-        bench.wish(FIRST)
+        bench.request_role(FIRST)
         bench.settle(60, (FIRST,))
         self.assertEqual(3, len(bench.orders))
         record = bench.engine.model.record
@@ -294,13 +301,13 @@
         self.assertEqual(200, attempt.output_tokens)
         self.assertLess(attempt.ended_s, changed_s)
 
-    def test_a_report_from_before_the_drain_proves_nothing(self) -> None:
-        """A report shows an engine empty, but is older than its drain.
+    def test_a_report_from_before_the_drain_is_ignored(self) -> None:
+        """A load report shows an engine as idle, but is older than its drain.
 
-        Work that came in between would be cut if the report were believed.
+        Trusting it would abort work that arrived in between.
         """
-        bench = held_by_first(is_checking=True)
-        bench.wish(FIRST)
+        bench = bench_with_first_as_holder(is_checking=True)
+        bench.request_role(FIRST)
         while len(bench.orders) < 1:
             bench.tick(0.1, (FIRST,))
             bench.answer(FIRST)
@@ -320,19 +327,19 @@
         bench.settle(bench.now_s + 10, (FIRST,))
         self.assertEqual(3, len(bench.orders))
 
-    def test_a_target_is_drained_before_it_is_given_back(self) -> None:
+    def test_a_target_is_drained_before_it_is_removed(self) -> None:
         """A service needs one target less.
 
-        The platform is asked to take it only when it has nothing to do.
+        The platform must be asked to remove it only when it is idle.
         """
-        bench = held_by_first(is_checking=True)
+        bench = bench_with_first_as_holder(is_checking=True)
         request = GenerateRequest('a-1', 'model', 'answer 200 tokens', (), 200)
         bench.engine.model.generate(request, bench.now_s)
         fence = bench.entries[FIRST].believes(CONTROL_DUTY, bench.now_s) or 0
-        wish = TargetsWanted(
+        wanted = TargetsWanted(
             SERVICE, DOMAIN, fence, 'test', add_steady=1, remove=(TARGET_ID,)
         )
-        bench.entries[FIRST].take(wish, bench.now_s)
+        bench.entries[FIRST].take(wanted, bench.now_s)
         bench.settle(60, (FIRST,))
         received = bench.platform.record.orders
         self.assertEqual(
@@ -342,17 +349,17 @@
         self.assertLess(attempt.ended_s, received[1].at_s)
 
 
-def _stop_first(bench: EngineBench, calls: int, returns: str) -> None:
-    bench.wish(FIRST)
+def _stop_first(bench: EngineBench, calls: int, resumption: str) -> None:
+    bench.request_role(FIRST)
     for _ in range(calls):
         while not bench.answer(FIRST):
             bench.tick(0.1, (FIRST,))
-    if returns == 'with an answer':
+    if resumption == 'with an answer':
         bench.withhold(FIRST)
 
 
-def _take_out(bench: EngineBench, which: int) -> SendEngineOrder:
-    """Give the order with this place, as it leaves and does not arrive."""
+def _intercept_order(bench: EngineBench, which: int) -> SendEngineOrder:
+    """Return the order with this index, intercepted before it arrives."""
     while True:
         waiting = bench.entries[FIRST].waiting
         if waiting and isinstance(waiting[0], SendEngineOrder):
@@ -364,45 +371,48 @@
             bench.tick(0.1, (FIRST,))
 
 
-def _return_first(bench: EngineBench, returns: str) -> None:
-    if returns == 'with an answer':
+def _resume_first(bench: EngineBench, resumption: str) -> None:
+    if resumption == 'with an answer':
         bench.resume(FIRST)
-    if returns == 'before its call':
+    if resumption == 'before its call':
         bench.answer(FIRST)
 
 
-def _moves() -> tuple[Move, ...]:
+def _takeover_moves() -> tuple[Move, ...]:
     return (
         ('first answered', lambda bench: bench.answer(FIRST)),
         ('first lost', lambda bench: bench.lose(FIRST)),
         ('first withheld', lambda bench: bench.withhold(FIRST)),
         ('first resumes', lambda bench: bench.resume(FIRST)),
-        ('first works', lambda bench: _work(bench, FIRST, 3)),
-        ('second works', lambda bench: _work(bench, SECOND, 3)),
-        ('second takes over', lambda bench: _work(bench, SECOND, 13)),
+        ('first works', lambda bench: _run_and_request(bench, FIRST, 3)),
+        ('second works', lambda bench: _run_and_request(bench, SECOND, 3)),
+        (
+            'second takes over',
+            lambda bench: _run_and_request(bench, SECOND, 13),
+        ),
     )
 
 
-def _work(bench: Bench, name: str, elapsed_s: float) -> None:
+def _run_and_request(bench: Bench, name: str, elapsed_s: float) -> None:
     bench.settle(bench.now_s + elapsed_s, (name,))
     assert isinstance(bench, EngineBench)
-    bench.wish(name)
+    bench.request_role(name)
 
 
 class WholeNodesTest(testtools.TestCase):
-    def test_a_role_changes_under_load_while_the_holder_is_killed(self) -> None:
-        """The entry in control dies while an engine drains for a new role.
+    def test_a_role_change_under_load_survives_a_killed_holder(self) -> None:
+        """The holder is killed while an engine drains for a role change.
 
-        Another entry goes on with the change. Callers get whole answers and
-        the engine works again in the end.
+        Another entry must complete the change. Callers must get whole
+        answers, and the engine must take work again.
         """
         world, names = small_fleet(7, entries=4, engines=3)
         holder = holder_of(world, CONTROL_DUTY)
         fence = world.platform.store.read(DUTY_KEY).revision
-        wish = RoleWanted(ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test')
+        wanted = RoleWanted(ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test')
         call_all(world, names, 1)
         world.run(40.2)
-        world.send(holder, wish)
+        world.send(holder, wanted)
         world.run(40.5)
         world.kill(holder)
         for round_ in range(2, 8):
