--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -1,4 +1,4 @@
-"""What callers received is reported once, whoever dies."""
+"""Usage is reported exactly once, even if entries are killed."""
 
 from collections import Counter
 from random import Random
@@ -46,22 +46,22 @@
 
 
 class NoPeers:
-    """An entry that knows nobody."""
+    """A peer view without any peers."""
 
     live = ()
     live_in_domain = ()
 
 
 def make_parts(own: Instance, random: Random) -> list[Part]:
-    """Make up an entry that counts and may report."""
+    """Return the parts of an entry that counts and may report usage."""
     return [
         AuthorityPart(AuthoritySettings(), REPORT_DUTY, own, random),
         UsagePart(SETTINGS, own, 1, NoPeers(), random),
     ]
 
 
-def submit(bench: Bench, name: str, action: Action) -> Event | None:
-    """Report to the platform as the wire does: never too late."""
+def submit_usage(bench: Bench, name: str, action: Action) -> Event | None:
+    """Report to the platform as the transport does: never after the deadline."""
     assert isinstance(action, SubmitUsage)
     window = action.window
     if bench.now_s * bench.entries[name].rate >= action.not_after_s:
@@ -73,8 +73,8 @@
     return UsageAnswered(window.window_id, accepted=True)
 
 
-def delivered(tokens: int, requests: int = 0) -> CallDelivered:
-    """Make up what reached a caller."""
+def make_delivery(tokens: int, requests: int = 0) -> CallDelivered:
+    """Return a notice of tokens delivered to a caller."""
     return CallDelivered(
         RequestId('request'),
         OrganisationId('kiosk'),
@@ -84,8 +84,8 @@
     )
 
 
-def reported(platform: PlatformModel) -> Counter[str]:
-    """Add up the windows as the platform received them, each once."""
+def sum_reported(platform: PlatformModel) -> Counter[str]:
+    """Sum the windows that the platform received, each window once."""
     windows: dict[str, UsageWindow] = {}
     for one in platform.record.usage:
         known = windows.setdefault(one.window.window_id, one.window)
@@ -99,8 +99,8 @@
 
 
 def start(bench: Bench) -> None:
-    """Start both entries; the first gets the duty and some usage."""
-    bench.perform = submit
+    """Start both entries and run until the first one holds the duty."""
+    bench.perform = submit_usage
     bench.performed = (SubmitUsage,)
     for entry in bench.entries.values():
         entry.take(Started(wall_s=600), bench.now_s)
@@ -108,71 +108,71 @@
     bench.settle(4, (FIRST,))
 
 
-def count(bench: Bench, name: str, tokens: int) -> None:
-    bench.entries[name].take(delivered(tokens), bench.now_s)
+def add_usage(bench: Bench, name: str, tokens: int) -> None:
+    bench.entries[name].take(make_delivery(tokens), bench.now_s)
 
 
 class WindowTest(testtools.TestCase):
-    def test_two_reporters_in_every_order_of_steps_at_a_close(self) -> None:
-        """A reporter is paused anywhere between closing and reporting.
+    def test_two_reporters_in_all_interleavings_at_a_close(self) -> None:
+        """A reporter is paused at any step between closing and reporting.
 
-        Another one takes over while more usage comes in. If both reported
-        their own figures, a customer would be billed twice for one window.
+        Another one takes over while more usage arrives. If both reported
+        their own figures, an organisation would be billed twice.
         """
         for wait_s in (65.1, 65.4):
             bench = Bench(make_parts)
             start(bench)
-            count(bench, FIRST, 7)
+            add_usage(bench, FIRST, 7)
             bench.settle(wait_s, (FIRST,))
-            count(bench, SECOND, 5)
+            add_usage(bench, SECOND, 5)
             moves = trouble(FIRST, SECOND, 3.4)
-            states = explore(bench, moves, 5, _never_too_much)
+            states = explore(bench, moves, 5, _check_total)
             self.assertGreater(states, 200)
 
-    def test_a_holder_stopped_after_each_of_its_calls(self) -> None:
-        """The reporter stops at any one of its calls, for good or not.
+    def test_a_holder_that_stops_after_each_of_its_calls(self) -> None:
+        """A reporter stops at any of its calls, for good or temporarily.
 
-        What it closed but did not report is reported by its successor with
-        the same figures, and the bill is what callers received.
+        Its successor must report the windows that it closed with the same
+        figures, and the total must match what callers received.
         """
         for calls in range(14):
-            for returns in ('never', 'with an answer', 'before its call'):
+            for resumption in ('never', 'with an answer', 'before its call'):
                 bench = Bench(make_parts)
                 start(bench)
-                count(bench, FIRST, 7)
-                count(bench, SECOND, 5)
+                add_usage(bench, FIRST, 7)
+                add_usage(bench, SECOND, 5)
                 bench.settle(64.9, (FIRST,))
                 for _ in range(calls):
                     if not bench.answer(FIRST):
                         bench.tick(0.1, (FIRST,))
-                if returns == 'with an answer':
+                if resumption == 'with an answer':
                     bench.withhold(FIRST)
                 bench.settle(bench.now_s + 30, (SECOND,))
-                if returns == 'with an answer':
+                if resumption == 'with an answer':
                     bench.resume(FIRST)
-                if returns == 'before its call':
+                if resumption == 'before its call':
                     bench.answer(FIRST)
-                running = (SECOND,) if returns == 'never' else NAMES
+                running = (SECOND,) if resumption == 'never' else NAMES
                 bench.settle(200, running)
-                _never_too_much(bench, (str(calls),))
-                self.assertEqual(12, reported(bench.platform)['tokens'])
+                _check_total(bench, (str(calls),))
+                self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
-    def test_a_late_close_meets_every_step_of_the_successor(self) -> None:
-        """The reporter's write of a window is held up on its way.
+    def test_a_late_close_at_each_step_of_the_successor(self) -> None:
+        """A reporter's write of a window is delayed by the network.
 
-        It reaches the store at any moment of its successor's own closing.
-        Two windows for the same usage would bill it twice.
+        It reaches the store at any step of its successor's close. Two windows
+        for the same usage would bill it twice.
         """
         for steps in range(12):
             bench = Bench(make_parts)
             start(bench)
-            count(bench, FIRST, 7)
+            add_usage(bench, FIRST, 7)
             bench.settle(62, NAMES)
             while not _is_closing(bench, FIRST):
                 bench.tick(0.1, (FIRST,))
                 while not _is_closing(bench, FIRST) and bench.answer(FIRST):
                     continue
-            count(bench, SECOND, 5)
+            add_usage(bench, SECOND, 5)
             while bench.entries[SECOND].believes(REPORT_DUTY, 0) is None:
                 bench.tick(0.1, (SECOND,))
                 bench.answer(SECOND)
@@ -180,50 +180,50 @@
                 bench.answer(SECOND)
             bench.answer(FIRST)
             bench.settle(200, NAMES)
-            self.assertEqual(12, reported(bench.platform)['tokens'])
+            self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
-    def test_an_outage_across_a_windows_end_and_lost_answers(self) -> None:
-        """The store is out when a window ends, and then loses answers.
+    def test_a_store_outage_across_the_end_of_a_window(self) -> None:
+        """The store is down when a window ends, and then loses answers.
 
-        The window closes later; usage of the meantime is billed once.
+        The window must be closed later, and usage be billed once.
         """
         bench = Bench(make_parts)
         start(bench)
-        count(bench, FIRST, 7)
+        add_usage(bench, FIRST, 7)
         bench.settle(50, NAMES)
         bench.platform.faults.outage = True
-        count(bench, FIRST, 5)
+        add_usage(bench, FIRST, 5)
         bench.settle(150, NAMES)
-        count(bench, SECOND, 3)
+        add_usage(bench, SECOND, 3)
         bench.platform.faults.outage = False
         bench.platform.faults.lose_answers = 12
         bench.settle(320, NAMES)
-        self.assertEqual(15, reported(bench.platform)['tokens'])
+        self.assertEqual(15, sum_reported(bench.platform)['tokens'])
         self.assertGreaterEqual(len(bench.platform.record.usage), 4)
 
     def test_late_usage_falls_into_the_next_window(self) -> None:
         """Usage of a window reaches the store after the window was closed.
 
-        It is billed in the next one, and the closed one does not change.
+        It must be billed in the next window, and the closed one not change.
         """
         bench = Bench(make_parts)
         start(bench)
-        count(bench, FIRST, 7)
+        add_usage(bench, FIRST, 7)
         bench.settle(70, NAMES)
-        self.assertEqual(7, reported(bench.platform)['tokens'])
-        count(bench, SECOND, 5)
+        self.assertEqual(7, sum_reported(bench.platform)['tokens'])
+        add_usage(bench, SECOND, 5)
         bench.settle(130, NAMES)
-        self.assertEqual(12, reported(bench.platform)['tokens'])
+        self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
-    def test_a_leaving_entry_saves_its_counts_but_not_for_ever(self) -> None:
-        """An entry leaves while the store is out.
+    def test_a_leaving_entry_waits_a_limited_time_to_save(self) -> None:
+        """An entry leaves while the store is down.
 
-        It waits for the store so that its usage is billed, but not so long
-        that a replacement would never end.
+        It must wait for the store to save its usage, but not so long that it
+        delays its replacement indefinitely.
         """
         bench = Bench(make_parts)
         start(bench)
-        count(bench, FIRST, 7)
+        add_usage(bench, FIRST, 7)
         bench.platform.faults.outage = True
         bench.entries[FIRST].take(Leaving(), bench.now_s)
         usage = bench.entries[FIRST].parts[1]
@@ -241,22 +241,22 @@
     )
 
 
-def _never_too_much(bench: Bench, path: tuple[str, ...]) -> None:
-    total = reported(bench.platform)['tokens']
+def _check_total(bench: Bench, path: tuple[str, ...]) -> None:
+    total = sum_reported(bench.platform)['tokens']
     assert total <= 12, (total, path)
 
 
-def received(world: World) -> int:
-    """Count the tokens that callers received."""
+def count_received_tokens(world: World) -> int:
+    """Return the number of tokens that callers received."""
     return sum(len(call.tokens) for call in world.calls.values())
 
 
-class KilledTest(testtools.TestCase):
-    def test_reports_are_what_callers_received_after_kills(self) -> None:
-        """An owner of usage and the reporter are killed in one window.
+class CrashTest(testtools.TestCase):
+    def test_reports_match_received_tokens_after_kills(self) -> None:
+        """An entry with unsaved usage and the reporter are killed.
 
-        What callers received before is billed all the same: a peer saves
-        it, and another entry reports.
+        A peer must save the usage and another entry report it, all within
+        the billed total.
         """
         world, names = small_fleet(3, entries=6, engines=2)
         call_all(world, names, 1)
@@ -268,20 +268,24 @@
         world.kill(owner)
         world.kill(reporter)
         world.run(190)
-        self.assertGreater(received(world), 200)
-        self.assertEqual(received(world), reported(world.platform)['tokens'])
-        self.assertEqual(len(world.calls), reported(world.platform)['requests'])
-
-    def test_loss_is_bounded_when_owner_and_both_peers_die(self) -> None:
-        """An entry and both peers that hold its copies die at one moment.
-
-        At most what it counted since its last write is not billed, and
-        nothing is billed twice.
+        self.assertGreater(count_received_tokens(world), 200)
+        self.assertEqual(
+            count_received_tokens(world), sum_reported(world.platform)['tokens']
+        )
+        self.assertEqual(
+            len(world.calls), sum_reported(world.platform)['requests']
+        )
+
+    def test_loss_is_bounded_when_owner_and_both_peers_are_killed(self) -> None:
+        """An entry and both peers that hold its copies are killed at once.
+
+        At most the usage since its last save may be lost, and nothing may be
+        billed twice.
         """
         world, names = small_fleet(4, entries=6, engines=2)
         call_all(world, names, 1)
         world.run(50)
-        sure = received(world)
+        saved_tokens = count_received_tokens(world)
         call_all(world, names, 2)
         world.run(50.9)
         owner = names[0]
@@ -290,15 +294,15 @@
             world.kill(name)
         world.run(190)
         self.assertEqual(2, len(usage._counter._copy_holders))
-        total = reported(world.platform)['tokens']
-        self.assertGreaterEqual(total, sure)
-        self.assertLessEqual(total, received(world))
+        total = sum_reported(world.platform)['tokens']
+        self.assertGreaterEqual(total, saved_tokens)
+        self.assertLessEqual(total, count_received_tokens(world))
 
-    def test_a_paused_owner_whose_copy_was_written_is_not_doubled(self) -> None:
-        """An entry stops for half a minute and its links end.
+    def test_a_paused_owner_is_not_counted_twice(self) -> None:
+        """An entry is paused for half a minute and its links end.
 
-        Peers save its counts meanwhile. When it goes on and saves them
-        itself, nothing is billed twice.
+        Peers save its counts meanwhile. When it resumes and saves them
+        itself, nothing may be billed twice.
         """
         world, names = small_fleet(5, entries=6, engines=2)
         call_all(world, names, 1)
@@ -309,12 +313,14 @@
         world.run(75)
         call_all(world, names, 2)
         world.run(200)
-        self.assertEqual(received(world), reported(world.platform)['tokens'])
+        self.assertEqual(
+            count_received_tokens(world), sum_reported(world.platform)['tokens']
+        )
 
     def test_a_shutdown_saves_what_was_counted(self) -> None:
-        """An entry is replaced just after it has answered.
+        """An entry is shut down just after it has answered.
 
-        What it counted is in the store before it stops.
+        Its counts must be in the store before it stops.
         """
         world, names = small_fleet(6, entries=6, engines=2)
         call_all(world, names, 1)
@@ -323,4 +329,6 @@
         world.run(46)
         world.kill(names[0])
         world.run(140)
-        self.assertEqual(received(world), reported(world.platform)['tokens'])
+        self.assertEqual(
+            count_received_tokens(world), sum_reported(world.platform)['tokens']
+        )
