--- a/tests/core/test_once.py
+++ b/tests/core/test_once.py
@@ -511,7 +511,7 @@
     def test_three_entries_match_the_reference_model(
         self, calls: list[tuple[int, str, bytes, int, list[int]]]
     ) -> None:
-        """Sequential calls go to any of three entries of a faulty store.
+        """Sequential calls go to any of three entries with a faulty store.
 
         Store calls and their answers are lost. The results must match those
         of a single process that keeps a table of results.
