--- a/packages/core/dandelionyoke_core/_changes.py
+++ b/packages/core/dandelionyoke_core/_changes.py
@@ -1,4 +1,4 @@
-"""Changes to a configuration: applied, checked and worked out."""
+"""Applying, validating and computing changes to a configuration."""
 
 from collections.abc import Callable, Iterator, Mapping
 from types import MappingProxyType
@@ -24,7 +24,7 @@
 MAX_PRIORITY = 9
 KEY_HASH_LENGTH = 64
 
-_SECTIONS: Mapping[type[Any], Section] = MappingProxyType(
+_SECTION_BY_TYPE: Mapping[type[Any], Section] = MappingProxyType(
     {
         Organisation: Section.ORGANISATION,
         ApiKey: Section.KEY,
@@ -32,7 +32,7 @@
         Model: Section.MODEL,
     }
 )
-_FIELDS: Mapping[Section, str] = MappingProxyType(
+_SNAPSHOT_FIELDS: Mapping[Section, str] = MappingProxyType(
     {
         Section.ORGANISATION: 'organisations',
         Section.KEY: 'keys',
@@ -40,7 +40,7 @@
         Section.MODEL: 'models',
     }
 )
-_NAMES: Mapping[Section, str] = MappingProxyType(
+_NAME_FIELDS: Mapping[Section, str] = MappingProxyType(
     {
         Section.ORGANISATION: 'organisation_id',
         Section.KEY: 'key_hash',
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Problem:
-    """One thing that is wrong with a configuration, and the remedy."""
+    """A validation error in a configuration, with a suggested remedy."""
 
     subject: str
     detail: str
@@ -60,31 +60,33 @@
 
 
 def apply_change(snapshot: Snapshot, change: Change) -> Snapshot:
-    """Make the configuration that follows from a change.
+    """Return the configuration that results from a change.
 
     Raises:
-        ConfigurationError: the change does not follow on this revision, or
-            it removes what is not there.
+        ConfigurationError: the change is not for the next revision, or it
+            removes an entity that does not exist.
     """
     if change.revision != snapshot.revision + 1:
         raise ConfigurationError(
-            f'Change {change.revision} does not follow {snapshot.revision}',
-            'Read the changes between',
+            f'Change {change.revision} does not follow revision '
+            f'{snapshot.revision}',
+            'Read the changes in between first',
         )
     content = {
         section: dict(getattr(snapshot, field))
-        for section, field in _FIELDS.items()
+        for section, field in _SNAPSHOT_FIELDS.items()
     }
     for operation in change.operations:
         _apply_operation(content, operation)
     fields: dict[str, Any] = {
-        _FIELDS[section]: entities for section, entities in content.items()
+        _SNAPSHOT_FIELDS[section]: entities
+        for section, entities in content.items()
     }
     return Snapshot(revision=change.revision, **fields)
 
 
 def validate(snapshot: Snapshot) -> tuple[Problem, ...]:
-    """Check a configuration as a whole."""
+    """Check a whole configuration and return all problems found."""
     checks: tuple[Callable[[Snapshot], Iterator[Problem]], ...] = (
         _check_organisations,
         _check_keys,
@@ -95,9 +97,9 @@
 
 
 def difference(old: Snapshot, new: Snapshot) -> tuple[Operation, ...]:
-    """Find the operations that lead from one configuration to another."""
+    """Return the operations that turn `old` into `new`."""
     operations: list[Operation] = []
-    for section, field in _FIELDS.items():
+    for section, field in _SNAPSHOT_FIELDS.items():
         before = getattr(old, field)
         after = getattr(new, field)
         operations.extend(
@@ -112,19 +114,23 @@
 
 
 def withdrawn_keys(old: Snapshot, new: Snapshot) -> tuple[str, ...]:
-    """Find the keys that stopped standing for their organisation."""
+    """Return the hashes of keys in `old` that are no longer valid in `new`.
+
+    A key stops being valid when it is removed, moves to another
+    organisation, or its organisation is removed.
+    """
     return tuple(
         key_hash
         for key_hash, key in sorted(old.keys.items())
-        if not _stands(key, new)
+        if not _is_key_valid(key, new)
     )
 
 
-def _stands(key: ApiKey, snapshot: Snapshot) -> bool:
-    present = snapshot.keys.get(key.key_hash)
+def _is_key_valid(key: ApiKey, snapshot: Snapshot) -> bool:
+    current = snapshot.keys.get(key.key_hash)
     return (
-        present is not None
-        and present.organisation_id == key.organisation_id
+        current is not None
+        and current.organisation_id == key.organisation_id
         and key.organisation_id in snapshot.organisations
     )
 
@@ -133,14 +139,14 @@
     content: dict[Section, dict[str, Entity]], operation: Operation
 ) -> None:
     if isinstance(operation, Put):
-        section = _SECTIONS[type(operation.entity)]
-        name = getattr(operation.entity, _NAMES[section])
+        section = _SECTION_BY_TYPE[type(operation.entity)]
+        name = getattr(operation.entity, _NAME_FIELDS[section])
         content[section][name] = operation.entity
         return
     if operation.name not in content[operation.section]:
         raise ConfigurationError(
             f'There is no {operation.section.value} {operation.name!r}',
-            'Read the configuration again and plan the change anew',
+            'Read the configuration again and plan the change on it',
         )
     content[operation.section].pop(operation.name)
 
@@ -162,12 +168,16 @@
         )
         if min(limits) <= 0:
             yield Problem(
-                subject, 'a weight or limit is not above 0', 'Raise it'
+                subject,
+                'a weight or limit is not above 0',
+                'Set every weight and limit above 0',
             )
         age_limit_s = organisation.knowledge_age_limit_s
         if age_limit_s is not None and age_limit_s <= 0:
             yield Problem(
-                subject, 'knowledge_age_limit_s is not above 0', 'Raise it'
+                subject,
+                'knowledge_age_limit_s is not above 0',
+                'Set it above 0, or leave it out',
             )
 
 
@@ -178,17 +188,17 @@
             yield Problem(
                 subject,
                 f'there is no organisation {key.organisation_id}',
-                'Declare it, or remove its keys with it',
+                'Declare the organisation, or remove the key',
             )
-        if not _is_hash(key.key_hash):
+        if not _is_sha256_hex(key.key_hash):
             yield Problem(
                 subject,
-                'key_hash is no SHA-256 in lower-case hex',
-                'Store the hash of the key, never the key',
+                'key_hash is not a SHA-256 digest in lower-case hex',
+                'Store the hash of the key, never the key itself',
             )
 
 
-def _is_hash(text: str) -> bool:
+def _is_sha256_hex(text: str) -> bool:
     return len(text) == KEY_HASH_LENGTH and set(text) <= set('0123456789abcdef')
 
 
@@ -206,7 +216,7 @@
                 'Choose 0 <= min_targets <= max_targets',
             )
         for call in service.unrepeatable:
-            if not _is_call(call):
+            if not _is_method_and_path(call):
                 yield Problem(
                     subject,
                     f'unrepeatable call {call!r} is malformed',
@@ -214,7 +224,7 @@
                 )
 
 
-def _is_call(text: str) -> bool:
+def _is_method_and_path(text: str) -> bool:
     method, _, path = text.partition(' ')
     return method.isupper() and path.startswith('/')
 
@@ -226,7 +236,9 @@
             yield Problem(
                 subject,
                 f'there is no service {model.service_name}',
-                'Declare it, or remove its models with it',
+                'Declare the service, or remove the model',
             )
         if model.context_tokens <= 0:
-            yield Problem(subject, 'context_tokens is not above 0', 'Raise it')
+            yield Problem(
+                subject, 'context_tokens is not above 0', 'Set it above 0'
+            )
--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -1,9 +1,9 @@
-"""The configuration in force in this node, and how news of it travels.
+"""The configuration in force in this node, and its propagation.
 
-In each domain a few instances, the watchers, wait on the head in the store.
-All others hear of a change over the peer links, and read the head now and
-then in case that they missed one. A node that the store does not answer
-asks its peers what they know and how old that is.
+In each failure domain a few instances, the watchers, watch the head in the
+store. All others learn of a change over the peer links, and poll the head at
+long intervals in case they missed one. A node that cannot reach the store
+asks its peers for their configuration and its age.
 """
 
 import random as random_module
@@ -19,14 +19,14 @@
     ConfigurationWanted,
     make_news,
 )
-from dandelionyoke_core._configuration_questions import (
-    PeerQuestions,
-    QuestionSettings,
+from dandelionyoke_core._configuration_queries import (
+    PeerQueries,
+    PeerQuerySettings,
 )
 from dandelionyoke_core._configuration_reader import (
+    ConfirmedRead,
     HeadReader,
     ReaderSettings,
-    Reading,
 )
 from dandelionyoke_core._entities import Change, Snapshot
 from dandelionyoke_core._errors import DandelionyokeError
@@ -46,23 +46,23 @@
 from dandelionyoke_core._rendezvous import rendezvous
 
 WATCH_TOPIC = 'config/watch'
-# A node that lacks a change gives its peer's answer this long before it
-# reads the store, so that a gap in many nodes is no load on the store.
-GAP_PATIENCE_S = 2.0
+# A node that misses a change waits this long for a peer's answer before it
+# reads the store, so that a gap in many nodes does not load the store.
+GAP_READ_DELAY_S = 2.0
 
 
 @attrs.frozen
 class ConfigurationSettings:
-    """How news of the configuration travels."""
+    """Settings of how the configuration propagates."""
 
-    watchers_in_domain: int = 3
-    questions: QuestionSettings = attrs.field(factory=QuestionSettings)
+    watchers_per_domain: int = 3
+    queries: PeerQuerySettings = attrs.field(factory=PeerQuerySettings)
     reader: ReaderSettings = attrs.field(factory=ReaderSettings)
     knowledge: KnowledgeSettings = attrs.field(factory=KnowledgeSettings)
 
 
 class ConfigurationPart:
-    """Keeps the newest configuration that the node has heard of in force."""
+    """Keeps the newest configuration known to this node in force."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -88,39 +88,42 @@
         self._random = random
         self._instance_id = instance_id
         self._watch_topic = f'{WATCH_TOPIC}/{domain}'
-        self._watchers_of: tuple[InstanceId, ...] = ()
+        self._watcher_candidates: tuple[InstanceId, ...] = ()
         self._watchers: Sequence[InstanceId] = ()
         self._knowledge = Knowledge(settings.knowledge)
         self._reader = HeadReader(
             settings.reader, random, f'config/{instance_id}'
         )
         self._confirmed_s: float | None = None
-        self._heard_revision = 0
-        self._store_at = 0
-        self._questions = PeerQuestions(settings.questions, random)
+        self._announced_revision = 0
+        self._store_config_revision = 0
+        self._queries = PeerQueries(settings.queries, random)
 
     @property
     def snapshot(self) -> Snapshot:
-        """The whole configuration; revision 0 while nothing is known."""
+        """The whole configuration; revision 0 until one is known."""
         return self._knowledge.snapshot
 
     def knowledge_age_s(self, now_s: float) -> float | None:
-        """Seconds since it was last confirmed; None: never."""
+        """Return the seconds since the last confirmation; None if never."""
         if self._confirmed_s is None:
             return None
         return max(0, now_s - self._confirmed_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when this part has to be woken, or None."""
+        """Return when a read or a query is due, or None."""
         wakeups = (
             self._reader.next_wakeup_s(),
-            self._questions.next_wakeup_s(),
+            self._queries.next_wakeup_s(),
+        )
+        return min(
+            (wakeup_s for wakeup_s in wakeups if wakeup_s is not None),
+            default=None,
         )
-        return min((at_s for at_s in wakeups if at_s is not None), default=None)
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
-        outputs = self._take(event, now_s)
+        """Handle an event and return the resulting outputs."""
+        outputs = self._dispatch(event, now_s)
         outputs.extend(
             self._reader.advance(
                 self._knowledge.revision, self._is_watcher(), now_s
@@ -129,136 +132,146 @@
         outputs.extend(self._ask_when_due(now_s))
         return outputs
 
-    def _take(self, event: Event, now_s: float) -> list[Output]:
+    def _dispatch(self, event: Event, now_s: float) -> list[Output]:
         match event:
             case Started():
-                self._reader.hurry(now_s)
-                self._questions.start(now_s)
+                self._reader.schedule_read(now_s)
+                self._queries.start(now_s)
             case StoreAnswered():
-                return self._take_answer(event, now_s)
+                return self._handle_store_answer(event, now_s)
             case PeerConnected(peer_id=peer_id):
-                self._questions.linked(peer_id)
+                self._queries.add_link(peer_id)
                 return self._ask_new_peer(peer_id, now_s)
             case PeerDisconnected(peer_id=peer_id):
-                self._questions.unlinked(peer_id)
+                self._queries.remove_link(peer_id)
             case PeersKnown() if self._is_watcher():
-                self._reader.hurry(now_s)
+                self._reader.schedule_read(now_s)
             case PeerMessageArrived():
-                return self._take_message(event, now_s)
+                return self._handle_peer_message(event, now_s)
             case RecordLearned(
-                record=ConfigurationNews() as news, from_peer=peer_id
+                record=ConfigurationNews() as announcement, from_peer=peer_id
             ):
-                outputs = self._take_changes(news.changes)
-                return outputs + self._catch_up(news.version, peer_id, now_s)
+                outputs = self._apply_changes(announcement.changes)
+                return outputs + self._request_missing(
+                    announcement.version, peer_id, now_s
+                )
         return []
 
-    def _take_message(
+    def _handle_peer_message(
         self, arrived: PeerMessageArrived, now_s: float
     ) -> list[Output]:
         peer_id = arrived.peer_id
         if isinstance(arrived.message, ConfigurationWanted):
-            offer = self._offer(arrived.message, now_s)
+            offer = self._make_offer(arrived.message, now_s)
             return [SendPeer(peer_id, offer)]
         if isinstance(arrived.message, ConfigurationOffered):
-            return self._take_offer(peer_id, arrived.message, now_s)
+            return self._handle_offer(peer_id, arrived.message, now_s)
         return []
 
     def _is_watcher(self) -> bool:
         live = self._peers.live_in_domain
-        if live != self._watchers_of:
-            self._watchers_of = live
+        if live != self._watcher_candidates:
+            self._watcher_candidates = live
             self._watchers = rendezvous(
-                live, self._watch_topic, self._settings.watchers_in_domain
+                live, self._watch_topic, self._settings.watchers_per_domain
             )
         return self._instance_id in self._watchers
 
-    def _take_answer(self, event: StoreAnswered, now_s: float) -> list[Output]:
-        actions, reading = self._reader.take(event, self._is_watcher(), now_s)
-        news = [] if reading is None else self._take_reading(reading)
-        return [*actions, *news]
+    def _handle_store_answer(
+        self, event: StoreAnswered, now_s: float
+    ) -> list[Output]:
+        actions, reading = self._reader.handle_answer(
+            event, self._is_watcher(), now_s
+        )
+        outputs = [] if reading is None else self._apply_reading(reading)
+        return [*actions, *outputs]
 
-    def _take_reading(self, reading: Reading) -> list[Output]:
-        found = reading.found
+    def _apply_reading(self, reading: ConfirmedRead) -> list[Output]:
+        head_read = reading.head_read
         if (
-            found.revision is not None
-            and found.revision < self.snapshot.revision
+            head_read.revision is not None
+            and head_read.revision < self.snapshot.revision
         ):
-            # A read that was slower than a peer's news, or a store that lost
-            # writes; taking it would bring a withdrawn key back to life.
+            # The read was slower than a peer's announcement, or the store
+            # lost writes. Applying it would make a withdrawn key valid again.
             return [
                 WriteLog(
                     'configuration.store_behind',
                     str(self.snapshot.revision),
-                    f'the store is at {found.revision}',
+                    f'the store is at {head_read.revision}',
                 )
             ]
-        if found.snapshot is None:
-            outputs = self._take_changes(found.changes)
+        if head_read.snapshot is None:
+            outputs = self._apply_changes(head_read.changes)
         else:
             outputs = self._knowledge.take_snapshot(
-                found.snapshot, found.changes
+                head_read.snapshot, head_read.changes
             )
-        if found.revision is not None:
-            self._store_at = found.revision
-        if self._store_at >= self.snapshot.revision:
+        if head_read.revision is not None:
+            self._store_config_revision = head_read.revision
+        if self._store_config_revision >= self.snapshot.revision:
             self._confirm(reading.confirmed_s)
-        return self._with_news(outputs)
+        return self._with_announcement(outputs)
 
-    def _take_changes(self, changes: tuple[Change, ...]) -> list[Output]:
+    def _apply_changes(self, changes: tuple[Change, ...]) -> list[Output]:
         try:
             return self._knowledge.take_changes(changes)
-        except DandelionyokeError as wrong:
-            # Only a peer of another version can cause this; the store's
-            # snapshot, which the next read takes, is the way out.
-            return [WriteLog('configuration.unusable', '', str(wrong))]
+        except DandelionyokeError as error:
+            # Only a peer of another version can cause this. The next read
+            # recovers from it with the snapshot in the store.
+            return [WriteLog('configuration.unusable', '', str(error))]
 
-    def _with_news(self, outputs: list[Output]) -> list[Output]:
+    def _with_announcement(self, outputs: list[Output]) -> list[Output]:
         if not outputs:
             return []
-        news = make_news(self.snapshot.revision, self._knowledge.last_changes())
-        return [*outputs, ShareRecord(news, everywhere=True)]
+        announcement = make_news(
+            self.snapshot.revision, self._knowledge.last_changes()
+        )
+        return [*outputs, ShareRecord(announcement, everywhere=True)]
 
     def _confirm(self, confirmed_s: float) -> None:
         if self._confirmed_s is None or confirmed_s > self._confirmed_s:
             self._confirmed_s = confirmed_s
 
-    # Questions to peers.
+    # Queries to peers.
 
-    def _catch_up(
-        self, heard_revision: int, peer_id: InstanceId, now_s: float
+    def _request_missing(
+        self, announced_revision: int, peer_id: InstanceId, now_s: float
     ) -> list[Output]:
-        self._heard_revision = max(self._heard_revision, heard_revision)
-        if self._heard_revision <= self.snapshot.revision:
+        self._announced_revision = max(
+            self._announced_revision, announced_revision
+        )
+        if self._announced_revision <= self.snapshot.revision:
             return []
-        patience_s = self._random.uniform(0.5, 1) * GAP_PATIENCE_S
-        self._reader.hurry(now_s + patience_s)
-        if self._questions.is_waiting:
+        delay_s = self._random.uniform(0.5, 1) * GAP_READ_DELAY_S
+        self._reader.schedule_read(now_s + delay_s)
+        if self._queries.is_waiting:
             return []
         return [self._ask(peer_id, now_s)]
 
     def _ask_new_peer(self, peer_id: InstanceId, now_s: float) -> list[Output]:
-        if self._questions.is_waiting or self._reader.reaches_store:
+        if self._queries.is_waiting or self._reader.is_store_reachable:
             return []
-        if self._questions.is_fresh(self.knowledge_age_s(now_s)):
+        if self._queries.is_fresh(self.knowledge_age_s(now_s)):
             return []
         return [self._ask(peer_id, now_s)]
 
     def _ask_when_due(self, now_s: float) -> list[Output]:
-        peer_id = self._questions.choose(now_s)
+        peer_id = self._queries.choose(now_s)
         age_s = self.knowledge_age_s(now_s)
-        if peer_id is None or self._questions.is_fresh(age_s):
+        if peer_id is None or self._queries.is_fresh(age_s):
             return []
         return [self._ask(peer_id, now_s)]
 
     def _ask(self, peer_id: InstanceId, now_s: float) -> SendPeer:
-        return self._questions.ask(
+        return self._queries.ask(
             peer_id,
             revision=self.snapshot.revision,
-            whole=not self._reader.reaches_store,
+            whole=not self._reader.is_store_reachable,
             now_s=now_s,
         )
 
-    def _offer(
+    def _make_offer(
         self, wanted: ConfigurationWanted, now_s: float
     ) -> ConfigurationOffered:
         changes = self._knowledge.changes_after(wanted.revision)
@@ -271,20 +284,22 @@
             snapshot=snapshot,
         )
 
-    def _take_offer(
+    def _handle_offer(
         self, peer_id: InstanceId, offered: ConfigurationOffered, now_s: float
     ) -> list[Output]:
-        asked_s = self._questions.match(peer_id, offered, now_s)
+        asked_s = self._queries.match(peer_id, offered, now_s)
         if asked_s is None:
             return []
-        outputs = self._take_changes(offered.changes)
+        outputs = self._apply_changes(offered.changes)
         if offered.snapshot is not None:
             outputs.extend(self._knowledge.take_snapshot(offered.snapshot))
         is_same = offered.revision == self.snapshot.revision
         if is_same and offered.age_s is not None:
             self._confirm(asked_s - offered.age_s)
-        self._heard_revision = max(self._heard_revision, offered.revision)
-        if self._heard_revision > self.snapshot.revision:
-            patience_s = self._random.uniform(0, 1) * GAP_PATIENCE_S
-            self._reader.hurry(now_s + patience_s)
-        return self._with_news(outputs)
+        self._announced_revision = max(
+            self._announced_revision, offered.revision
+        )
+        if self._announced_revision > self.snapshot.revision:
+            delay_s = self._random.uniform(0, 1) * GAP_READ_DELAY_S
+            self._reader.schedule_read(now_s + delay_s)
+        return self._with_announcement(outputs)
--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -1,8 +1,9 @@
-"""Which roles the engines should have, and how many targets there should be.
+"""Decisions on the roles of engines and on the number of targets.
 
-It decides only; another part turns its wishes into journalled orders. It
-decides for its own failure domain and while this node holds the domain's
-duty of control, so that two nodes do not pull an engine both ways.
+This part only decides; another part turns its requests into journalled
+orders. It decides for its own failure domain, and only while this node holds
+the control duty of the domain, so that two nodes never give an engine
+conflicting roles.
 """
 
 from collections.abc import Sequence
@@ -29,13 +30,13 @@
 from dandelionyoke_core._work_mix import MixRow
 
 CONTROL_DUTY = 'control'
-# With more services than this the looks are further apart.
-SERVICES_PER_LOOK = 4
+# With more services than this, the decision interval grows in proportion.
+SERVICES_PER_INTERVAL = 4
 
 
 @attrs.frozen
-class Duty:
-    """The duty that this node holds."""
+class ControlDuty:
+    """The control duty held by this node, with its fencing token."""
 
     fence: int
     until_s: float
@@ -43,14 +44,14 @@
 
 @attrs.define
 class Deciders:
-    """The decisions for one service."""
+    """The deciders for one service."""
 
     roles: RoleDecider
     size: SizeDecider
 
 
 class FleetPart:
-    """Decides on roles and numbers of targets of its domain."""
+    """Decides on the roles and the number of targets of its domain."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -73,29 +74,31 @@
         self._targets = targets
         self._work = work
         self._domain = domain
-        self._duty: Duty | None = None
+        self._duty: ControlDuty | None = None
         self._deciders: dict[ServiceName, Deciders] = {}
-        self._next_s: float | None = None
+        self._next_decision_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         match event:
             case DutyGained() | DutyExtended() if event.duty == CONTROL_DUTY:
-                self._duty = Duty(event.fence, event.until_s)
-                if self._next_s is None:
-                    self._next_s = now_s + self._settings.look_interval_s
+                self._duty = ControlDuty(event.fence, event.until_s)
+                if self._next_decision_s is None:
+                    self._next_decision_s = (
+                        now_s + self._settings.decision_interval_s
+                    )
             case DutyLost() if event.duty == CONTROL_DUTY:
                 self._stop()
             case Woken():
-                return self._wake(now_s)
+                return self._handle_wakeup(now_s)
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next look is due."""
-        return self._next_s
+        """Return when the next decision is due, or None."""
+        return self._next_decision_s
 
-    def _wake(self, now_s: float) -> list[Output]:
-        if self._next_s is None or now_s < self._next_s:
+    def _handle_wakeup(self, now_s: float) -> list[Output]:
+        if self._next_decision_s is None or now_s < self._next_decision_s:
             return []
         duty = self._duty
         if duty is None or now_s >= duty.until_s:
@@ -106,9 +109,11 @@
             for service in self._directory.snapshot.services.values()
             if service.kind is ServiceKind.ENGINE
         ]
-        # A look costs about a millisecond for each service.
-        slower = max(1, len(services) / SERVICES_PER_LOOK)
-        self._next_s = now_s + self._settings.look_interval_s * slower
+        # Deciding takes about a millisecond per service.
+        interval_factor = max(1, len(services) / SERVICES_PER_INTERVAL)
+        self._next_decision_s = (
+            now_s + self._settings.decision_interval_s * interval_factor
+        )
         return [
             output
             for service in services
@@ -117,11 +122,11 @@
 
     def _stop(self) -> None:
         self._duty = None
-        self._next_s = None
+        self._next_decision_s = None
         self._deciders.clear()
 
     def _decide(
-        self, service: Service, duty: Duty, now_s: float
+        self, service: Service, duty: ControlDuty, now_s: float
     ) -> list[Output]:
         name = service.service_name
         place = FleetPlace(self._domain, name, duty.fence)
@@ -129,19 +134,23 @@
         fresh_share = self._targets.fresh_share(name)
         deciders = self._deciders_of(name)
         sights = self._targets.sights(name, now_s)
-        here = [one for one in sights if one.target.domain == self._domain]
+        domain_sights = [
+            sight for sight in sights if sight.target.domain == self._domain
+        ]
         outputs: list[Output] = []
         outputs.extend(
             deciders.roles.decide(
                 place,
-                _fast_rows(mix, fresh_share, _part(here, sights)),
-                here,
+                _short_term_rows(
+                    mix, fresh_share, _domain_share(domain_sights, sights)
+                ),
+                domain_sights,
                 now_s,
             )
         )
         outputs.extend(
             deciders.size.decide(
-                place, service, _slow_rows(mix, fresh_share), sights, now_s
+                place, service, _long_term_rows(mix, fresh_share), sights, now_s
             )
         )
         return outputs
@@ -158,33 +167,44 @@
         return deciders
 
 
-def _part(here: Sequence[TargetSight], sights: Sequence[TargetSight]) -> float:
-    """Tell a domain's part of the targets that answer.
+def _domain_share(
+    domain_sights: Sequence[TargetSight], sights: Sequence[TargetSight]
+) -> float:
+    """Return the domain's share of all targets that answer their polls.
 
-    In a cut the far ones do not, and this side has all of its work to do.
-    One that drains for a change still counts: its domain's part would else
-    go to the others, who would change roles for it.
+    During a network partition the targets on the far side do not answer, and
+    this side has to do all of its work. A target that drains for a role
+    change still counts. Otherwise its share would pass to the other domains,
+    which would change roles for it.
     """
-    reached = sum(sight.is_reached for sight in sights)
-    return sum(sight.is_reached for sight in here) / max(1, reached)
+    reached_count = sum(sight.is_reached for sight in sights)
+    return sum(sight.is_reached for sight in domain_sights) / max(
+        1, reached_count
+    )
 
 
-def _fast_rows(
-    mix: tuple[MixRow, ...], fresh_share: float, part: float
+def _short_term_rows(
+    mix: tuple[MixRow, ...], fresh_share: float, domain_share: float
 ) -> list[WorkRow]:
-    """Give a domain its part of the work, by its part of the targets.
+    """Return the domain's share of the work, by its share of the targets.
 
-    Work flows between domains. A domain that took its own entries' calls for
-    its work would change roles for calls that others serve; one that took
-    all the work would change along with every other domain, and back.
+    Calls are routed across domains. A domain that counted the calls of its
+    own entries would change roles for calls that other domains serve. One
+    that counted all the work would change roles in step with every other
+    domain, and back again.
     """
     return [
-        WorkRow(row.prompt_per_s * fresh_share * part, row.output_per_s * part)
+        WorkRow(
+            row.prompt_per_s * fresh_share * domain_share,
+            row.output_per_s * domain_share,
+        )
         for row in mix
     ]
 
 
-def _slow_rows(mix: tuple[MixRow, ...], fresh_share: float) -> list[WorkRow]:
+def _long_term_rows(
+    mix: tuple[MixRow, ...], fresh_share: float
+) -> list[WorkRow]:
     return [
         WorkRow(row.slow_prompt_per_s * fresh_share, row.slow_output_per_s)
         for row in mix
--- a/packages/core/dandelionyoke_core/_store_layout.py
+++ b/packages/core/dandelionyoke_core/_store_layout.py
@@ -1,9 +1,9 @@
-"""How a configuration lies in the store, and how it is read.
+"""The layout of the configuration in the store, and reading it.
 
-`config/head` holds the revision, the last changes and the revision of the
-snapshot to start from. Everything else is immutable:
+`config/head` holds the revision, the newest changes and the revision of the
+snapshot to start from. All other keys are immutable:
 `config/snapshot/<revision>`, and `config/change/<revision>` for the changes
-that left the head.
+that the head no longer holds.
 """
 
 import itertools
@@ -22,7 +22,7 @@
     StoreItem,
     StoreWritten,
 )
-from dandelionyoke_core._store_dialogue import Steps, StoreDialogue
+from dandelionyoke_core._store_task import StoreGenerator, StoreTask
 
 HEAD_KEY = 'config/head'
 SNAPSHOT_PREFIX = 'config/snapshot/'
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class StoreLayoutSettings:
-    """How much the head holds, and when a snapshot is cut."""
+    """Size limits of the head, the snapshot interval and retry limits."""
 
     head_changes: int = 32
     head_bytes: int = 65_536
@@ -44,7 +44,8 @@
 class Head:
     """The content of `config/head`; its changes end at its revision.
 
-    The snapshot before the present one stays for those who read it now.
+    The snapshot before the current one is kept for readers that are still
+    reading it.
     """
 
     revision: int = 0
@@ -55,10 +56,10 @@
 
 @attrs.frozen
 class Unsettled:
-    """The store did not answer.
+    """The task ended without an outcome, for example by a store failure.
 
-    Where the change may have happened, the same proposal, with the same
-    change id, finds out and is safe.
+    If the change may have happened, it is safe to submit the same proposal
+    with the same change id again, which determines the outcome.
     """
 
     cause: str
@@ -78,47 +79,49 @@
 LoadOutcome = Loaded | Unsettled
 
 
-class StoreSteps:
-    """The store calls of reading and changing a configuration."""
+class ConfigurationStore:
+    """The store calls that read and change a configuration."""
 
     def __init__(self, prefix: str, settings: StoreLayoutSettings) -> None:
         self._prefix = prefix
         self._settings = settings
-        self._numbers = itertools.count(1)
+        self._operation_numbers = itertools.count(1)
 
-    def load(self, history_from: int | None = None) -> Steps[LoadOutcome]:
-        """Read all of a configuration.
+    def load(
+        self, history_from: int | None = None
+    ) -> StoreGenerator[LoadOutcome]:
+        """Read a whole configuration.
 
-        The snapshot can be gone by the time that it is read, because newer
-        ones have followed; then the head is read again.
+        A newer snapshot may have replaced the one that the head names before
+        it is read; then the head is read again.
         """
         cause = ''
         for _ in range(self._settings.max_tries):
-            head_item = yield from self.get(HEAD_KEY)
+            head_item = yield from self.read(HEAD_KEY)
             if isinstance(head_item, Unsettled):
                 return head_item
             try:
-                loaded = yield from self.load_from(head_item, history_from)
-            except DandelionyokeError as wrong:
-                return Unsettled(str(wrong))
+                loaded = yield from self.load_from_head(head_item, history_from)
+            except DandelionyokeError as error:
+                return Unsettled(str(error))
             if isinstance(loaded, Loaded):
                 return loaded
             cause = loaded.cause
         return Unsettled(cause)
 
-    def load_from(
+    def load_from_head(
         self, head_item: StoreItem, history_from: int | None = None
-    ) -> Steps[LoadOutcome]:
-        """Read what a head rests on."""
-        head = read_head(head_item)
-        base = yield from self._get_snapshot(head.snapshot_revision)
+    ) -> StoreGenerator[LoadOutcome]:
+        """Read the snapshot and the changes that a head refers to."""
+        head = decode_head(head_item)
+        base = yield from self._read_snapshot(head.snapshot_revision)
         if isinstance(base, Unsettled):
             return base
         first = head.snapshot_revision + 1
         if history_from is not None:
             oldest = head.revision - self._settings.max_changes_since
             first = max(1, oldest, min(first, history_from))
-        changes = yield from self.get_changes(head, first)
+        changes = yield from self.read_changes(head, first)
         if isinstance(changes, Unsettled):
             return changes
         snapshot = base
@@ -127,14 +130,14 @@
                 snapshot = apply_change(snapshot, change)
         return Loaded(snapshot, changes, head, head_item.revision)
 
-    def get_changes(
+    def read_changes(
         self, head: Head, first: int
-    ) -> Steps[tuple[Change, ...] | Unsettled]:
-        """Read the changes from a revision up to the head's."""
-        kept_from = head.revision - len(head.changes) + 1
+    ) -> StoreGenerator[tuple[Change, ...] | Unsettled]:
+        """Read the changes from revision `first` up to that of the head."""
+        first_kept = head.revision - len(head.changes) + 1
         found: list[Change] = []
-        for revision in range(first, kept_from):
-            text = yield from self._get_text(change_key(revision))
+        for revision in range(first, first_kept):
+            text = yield from self._read_text(change_key(revision))
             if isinstance(text, Unsettled):
                 return text
             found.append(record_from_json(text, Change))
@@ -143,72 +146,76 @@
         )
         return tuple(found)
 
-    def get(self, key: str) -> Steps[StoreItem | Unsettled]:
-        """Read a key, with a bounded number of tries."""
+    def read(self, key: str) -> StoreGenerator[StoreItem | Unsettled]:
+        """Read a key, with up to `max_tries` tries."""
         found: StoreItem | Unsettled = Unsettled('')
         for _ in range(self._settings.max_tries):
-            found = yield from self.get_once(key)
+            found = yield from self.read_once(key)
             if isinstance(found, StoreItem):
                 return found
         return found
 
-    def get_once(self, key: str) -> Steps[StoreItem | Unsettled]:
+    def read_once(self, key: str) -> StoreGenerator[StoreItem | Unsettled]:
         """Read a key, with one try."""
-        answer = yield StoreGet(self.next_id(), key)
+        answer = yield StoreGet(self.next_operation_id(), key)
         if isinstance(answer, StoreItem):
             return answer
-        return Unsettled(_cause_of(answer))
+        return Unsettled(_failure_cause(answer))
 
-    def create(self, key: str, text: str) -> Steps[Unsettled | None]:
-        """Write an immutable key; it is fine if it is there already."""
+    def create(self, key: str, text: str) -> StoreGenerator[Unsettled | None]:
+        """Write an immutable key; succeed if it exists already."""
         cause = ''
         for _ in range(self._settings.max_tries):
-            answer = yield StorePut(self.next_id(), key, text, 0)
+            answer = yield StorePut(self.next_operation_id(), key, text, 0)
             if isinstance(answer, StoreWritten | StoreConflict):
                 return None
-            cause = _cause_of(answer)
+            cause = _failure_cause(answer)
         return Unsettled(cause)
 
-    def swap(
+    def compare_and_swap(
         self, key: str, text: str, expected_revision: int
-    ) -> Steps[StoreWritten | StoreConflict | StoreFailed]:
+    ) -> StoreGenerator[StoreWritten | StoreConflict | StoreFailed]:
         """Write a key by compare-and-swap, once."""
-        answer = yield StorePut(self.next_id(), key, text, expected_revision)
+        answer = yield StorePut(
+            self.next_operation_id(), key, text, expected_revision
+        )
         if isinstance(answer, StoreWritten | StoreConflict):
             return answer
         if isinstance(answer, StoreFailed):
             return answer
-        return StoreFailed(_cause_of(answer), may_have_happened=True)
+        return StoreFailed(_failure_cause(answer), may_have_happened=True)
 
-    def drop(self, key: str) -> Steps[None]:
-        """Remove a key that nothing names any more, with one try."""
-        found = yield from self.get_once(key)
+    def delete(self, key: str) -> StoreGenerator[None]:
+        """Delete a key that is no longer referenced, with one try."""
+        found = yield from self.read_once(key)
         if isinstance(found, StoreItem) and found.value is not None:
-            yield StoreDelete(self.next_id(), key, found.revision)
+            yield StoreDelete(self.next_operation_id(), key, found.revision)
 
-    def _get_snapshot(self, revision: int) -> Steps[Snapshot | Unsettled]:
+    def _read_snapshot(
+        self, revision: int
+    ) -> StoreGenerator[Snapshot | Unsettled]:
         if revision == 0:
             return Snapshot()
-        text = yield from self._get_text(snapshot_key(revision))
+        text = yield from self._read_text(snapshot_key(revision))
         if isinstance(text, Unsettled):
             return text
         return record_from_json(text, Snapshot)
 
-    def _get_text(self, key: str) -> Steps[str | Unsettled]:
-        found = yield from self.get(key)
+    def _read_text(self, key: str) -> StoreGenerator[str | Unsettled]:
+        found = yield from self.read(key)
         if isinstance(found, Unsettled):
             return found
         if found.value is None:
-            return Unsettled(f'{key} is gone')
+            return Unsettled(f'{key} does not exist')
         return found.value
 
-    def next_id(self) -> OperationId:
-        """Name the next call."""
-        return OperationId(f'{self._prefix}/{next(self._numbers)}')
+    def next_operation_id(self) -> OperationId:
+        """Return the operation id of the next call."""
+        return OperationId(f'{self._prefix}/{next(self._operation_numbers)}')
 
 
-class ConfigurationLoader(StoreDialogue[LoadOutcome]):
-    """Reads a configuration, and its changes from a revision on."""
+class ConfigurationLoader(StoreTask[LoadOutcome]):
+    """The store task that reads a configuration and its recent changes."""
 
     def __init__(
         self,
@@ -216,42 +223,42 @@
         settings: StoreLayoutSettings | None = None,
         prefix: str = 'config-load',
     ) -> None:
-        steps = StoreSteps(prefix, settings or StoreLayoutSettings())
-        super().__init__(steps.load(history_from))
+        store = ConfigurationStore(prefix, settings or StoreLayoutSettings())
+        super().__init__(store.load(history_from))
 
     @property
     def snapshot(self) -> Snapshot:
-        """The configuration as read; the empty one before."""
+        """The configuration; empty until it has been read."""
         if isinstance(self.outcome, Loaded):
             return self.outcome.snapshot
         return Snapshot()
 
     @property
     def changes(self) -> tuple[Change, ...]:
-        """The changes as read, oldest first."""
+        """The changes, oldest first; empty until they have been read."""
         if isinstance(self.outcome, Loaded):
             return self.outcome.changes
         return ()
 
 
 def change_key(revision: int) -> str:
-    """Name the key of a change."""
+    """Return the store key of a change."""
     return f'{CHANGE_PREFIX}{revision}'
 
 
 def snapshot_key(revision: int) -> str:
-    """Name the key of a snapshot."""
+    """Return the store key of a snapshot."""
     return f'{SNAPSHOT_PREFIX}{revision}'
 
 
-def read_head(item: StoreItem) -> Head:
-    """Read the head; a store without one holds the empty configuration."""
+def decode_head(item: StoreItem) -> Head:
+    """Decode the head; a missing head means the empty configuration."""
     if item.value is None:
         return Head()
     return record_from_json(item.value, Head)
 
 
-def _cause_of(answer: object) -> str:
+def _failure_cause(answer: object) -> str:
     if isinstance(answer, StoreFailed):
         return answer.cause
-    return f'the store answered with {type(answer).__name__}'
+    return f'unexpected answer of the store: {type(answer).__name__}'
