--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -107,8 +107,8 @@
     SourceSettings as SourceSettings,
 )
 from dandelionyoke_dispatch._strain import (
+    OverloadSettings as OverloadSettings,
     Strain as Strain,
-    StrainSettings as StrainSettings,
 )
 from dandelionyoke_dispatch._target_listing import (
     ListingChanges as ListingChanges,
--- a/packages/dispatch/dandelionyoke_dispatch/_strain.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_strain.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class StrainSettings:
+class OverloadSettings:
     """When a service counts as overloaded, and for how long.
 
     A first token is slow if it takes more than `slow_goal_share` of its goal.
@@ -26,7 +26,7 @@
 class Strain:
     """Tracks the time to first token of the calls to a service at this node."""
 
-    def __init__(self, settings: StrainSettings) -> None:
+    def __init__(self, settings: OverloadSettings) -> None:
         self._settings = settings
         self._calls: deque[tuple[float, bool]] = deque()
         self._overloaded_s: float | None = None
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -25,6 +25,7 @@
     Freshness,
     FreshnessSettings,
     LineSettings,
+    OverloadSettings,
     Phase,
     Placement,
     PromptPace,
@@ -35,7 +36,6 @@
     SourceChoice,
     SourceSettings,
     Strain,
-    StrainSettings,
     SuspicionSettings,
     TargetListing,
     TargetLoads,
@@ -70,7 +70,7 @@
 class ServiceState:
     """One service's prefill queue, prefill speed and overload signals."""
 
-    strain: Strain = attrs.field(factory=lambda: Strain(StrainSettings()))
+    strain: Strain = attrs.field(factory=lambda: Strain(OverloadSettings()))
     pace: PromptPace = attrs.field(
         factory=lambda: PromptPace(ReadingPaceSettings())
     )
--- a/tests/dispatch/test_fleet_demand.py
+++ b/tests/dispatch/test_fleet_demand.py
@@ -6,9 +6,9 @@
     DemandSample,
     FleetDemand,
     FleetDemandSettings,
+    OverloadSettings,
     ServiceDemand,
     Strain,
-    StrainSettings,
 )
 
 
@@ -27,7 +27,7 @@
         With few calls of its own, the node would never leave the initial state,
         which counts as overload.
         """
-        strain = Strain(StrainSettings(min_calls=5))
+        strain = Strain(OverloadSettings(min_calls=5))
         strain.began(0.1, 1.0, 0)
         self.assertTrue(strain.holds(0))
         for node in range(39):
@@ -41,7 +41,7 @@
 
         Callers would wait while no single node sees enough slow calls.
         """
-        strain = Strain(StrainSettings(min_calls=5, max_slow_share=0.2))
+        strain = Strain(OverloadSettings(min_calls=5, max_slow_share=0.2))
         strain.judge(39, 0, 0)
         for node in range(39):
             self.demand.take(f'n-{node}', sample(0, 1, node % 3 == 0), 1)
--- a/tests/dispatch/test_strain.py
+++ b/tests/dispatch/test_strain.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from dandelionyoke_dispatch import Strain, StrainSettings
+from dandelionyoke_dispatch import OverloadSettings, Strain
 
 GOAL_S = 0.2
 
@@ -10,7 +10,7 @@
 class StrainTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.strain = Strain(StrainSettings(hold_s=10))
+        self.strain = Strain(OverloadSettings(hold_s=10))
 
     def add_calls(self, took_s: float, *, at_s: float, count: int = 10) -> None:
         for number in range(count):
