--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -107,8 +107,8 @@
     SourceSettings as SourceSettings,
 )
 from dandelionyoke_dispatch._strain import (
+    OverloadDetector as OverloadDetector,
     OverloadSettings as OverloadSettings,
-    Strain as Strain,
 )
 from dandelionyoke_dispatch._target_listing import (
     ListingChanges as ListingChanges,
--- a/packages/dispatch/dandelionyoke_dispatch/_strain.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_strain.py
@@ -23,7 +23,7 @@
     hold_s: float = 30.0
 
 
-class Strain:
+class OverloadDetector:
     """Tracks the time to first token of the calls to a service at this node."""
 
     def __init__(self, settings: OverloadSettings) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -10,8 +10,8 @@
     EnginePlan,
     EnginePlanSettings,
     FleetNeed,
+    OverloadDetector,
     Service,
-    Strain,
     WantedCount,
 )
 from dandelionyoke_gateway._clock import clock_s
@@ -119,11 +119,11 @@
             if name == service and now_s < expires_s
         ]
         demand = self._knowledge.demand.of_service(service, now_s)
-        strain = self._strain(service)
-        strain.judge(demand.begun, demand.slow, now_s)
-        return FleetNeed(strain.holds(now_s), refusing)
+        overload = self._overload(service)
+        overload.judge(demand.begun, demand.slow, now_s)
+        return FleetNeed(overload.holds(now_s), refusing)
 
-    def _strain(self, service: str) -> Strain:
+    def _overload(self, service: str) -> OverloadDetector:
         return self._knowledge.watch_of(service).strain
 
     def _record_first_listing(self) -> None:
@@ -202,6 +202,6 @@
             count=wanted.count,
             present=present,
             reclaimable=str(wanted.is_reclaimable),
-            strained=str(self._strain(service.name).holds(clock_s())),
+            strained=str(self._overload(service.name).holds(clock_s())),
             fence=stamp.fence,
         )
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -25,6 +25,7 @@
     Freshness,
     FreshnessSettings,
     LineSettings,
+    OverloadDetector,
     OverloadSettings,
     Phase,
     Placement,
@@ -35,7 +36,6 @@
     ServiceDemand,
     SourceChoice,
     SourceSettings,
-    Strain,
     SuspicionSettings,
     TargetListing,
     TargetLoads,
@@ -70,7 +70,9 @@
 class ServiceState:
     """One service's prefill queue, prefill speed and overload signals."""
 
-    strain: Strain = attrs.field(factory=lambda: Strain(OverloadSettings()))
+    strain: OverloadDetector = attrs.field(
+        factory=lambda: OverloadDetector(OverloadSettings())
+    )
     pace: PromptPace = attrs.field(
         factory=lambda: PromptPace(ReadingPaceSettings())
     )
--- a/tests/dispatch/test_fleet_demand.py
+++ b/tests/dispatch/test_fleet_demand.py
@@ -6,9 +6,9 @@
     DemandSample,
     FleetDemand,
     FleetDemandSettings,
+    OverloadDetector,
     OverloadSettings,
     ServiceDemand,
-    Strain,
 )
 
 
@@ -27,27 +27,29 @@
         With few calls of its own, the node would never leave the initial state,
         which counts as overload.
         """
-        strain = Strain(OverloadSettings(min_calls=5))
-        strain.began(0.1, 1.0, 0)
-        self.assertTrue(strain.holds(0))
+        overload = OverloadDetector(OverloadSettings(min_calls=5))
+        overload.began(0.1, 1.0, 0)
+        self.assertTrue(overload.holds(0))
         for node in range(39):
             self.demand.take(f'n-{node}', sample(1, begun=1), 0)
         known = self.demand.of_service('lm', 0)
-        strain.judge(known.begun, known.slow, 0)
-        self.assertFalse(strain.holds(0))
+        overload.judge(known.begun, known.slow, 0)
+        self.assertFalse(overload.holds(0))
 
     def test_slow_calls_spread_over_many_nodes_are_overload(self) -> None:
         """Guards against undetected overload.
 
         Callers would wait while no single node sees enough slow calls.
         """
-        strain = Strain(OverloadSettings(min_calls=5, max_slow_share=0.2))
-        strain.judge(39, 0, 0)
+        overload = OverloadDetector(
+            OverloadSettings(min_calls=5, max_slow_share=0.2)
+        )
+        overload.judge(39, 0, 0)
         for node in range(39):
             self.demand.take(f'n-{node}', sample(0, 1, node % 3 == 0), 1)
         known = self.demand.of_service('lm', 1)
-        strain.judge(known.begun, known.slow, 1)
-        self.assertTrue(strain.holds(1))
+        overload.judge(known.begun, known.slow, 1)
+        self.assertTrue(overload.holds(1))
 
     def test_streams_of_unknown_nodes_are_extrapolated(self) -> None:
         """Guards against planning for the streams of one domain in five."""
--- a/tests/dispatch/test_strain.py
+++ b/tests/dispatch/test_strain.py
@@ -2,19 +2,19 @@
 
 import testtools
 
-from dandelionyoke_dispatch import OverloadSettings, Strain
+from dandelionyoke_dispatch import OverloadDetector, OverloadSettings
 
 GOAL_S = 0.2
 
 
-class StrainTest(testtools.TestCase):
+class OverloadDetectorTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.strain = Strain(OverloadSettings(hold_s=10))
+        self.overload = OverloadDetector(OverloadSettings(hold_s=10))
 
     def add_calls(self, took_s: float, *, at_s: float, count: int = 10) -> None:
         for number in range(count):
-            self.strain.began(took_s, GOAL_S, at_s + number / 100)
+            self.overload.began(took_s, GOAL_S, at_s + number / 100)
 
     def test_missing_data_counts_as_overload(self) -> None:
         """A process becomes the planner right after its start.
@@ -22,27 +22,27 @@
         If missing data counted as no overload, it would return engines in the
         middle of a burst that it has not observed yet.
         """
-        self.assertTrue(self.strain.holds(0))
+        self.assertTrue(self.overload.holds(0))
         self.add_calls(0.01, at_s=0, count=2)
-        self.assertTrue(self.strain.holds(1))
+        self.assertTrue(self.overload.holds(1))
 
     def test_fast_first_tokens_are_no_overload(self) -> None:
         self.add_calls(0.05, at_s=0)
-        self.assertFalse(self.strain.holds(1))
+        self.assertFalse(self.overload.holds(1))
 
     def test_slow_first_tokens_are_overload_for_the_hold_time(self) -> None:
         self.add_calls(0.19, at_s=0)
         self.add_calls(0.05, at_s=5)
-        self.assertTrue(self.strain.holds(6))
-        self.assertFalse(self.strain.holds(11))
+        self.assertTrue(self.overload.holds(6))
+        self.assertFalse(self.overload.holds(11))
 
     def test_refused_calls_are_overload(self) -> None:
         self.add_calls(0.05, at_s=0)
         for number in range(3):
-            self.strain.turned_away(0.2 + number / 100)
-        self.assertTrue(self.strain.holds(1))
+            self.overload.turned_away(0.2 + number / 100)
+        self.assertTrue(self.overload.holds(1))
 
     def test_a_single_slow_call_is_no_overload(self) -> None:
         self.add_calls(0.05, at_s=0)
         self.add_calls(0.19, at_s=0.5, count=1)
-        self.assertFalse(self.strain.holds(1))
+        self.assertFalse(self.overload.holds(1))
