--- a/packages/dispatch/dandelionyoke_dispatch/_strain.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_strain.py
@@ -32,7 +32,9 @@
         self._overloaded_s: float | None = None
         self._is_known = False
 
-    def began(self, took_s: float, goal_s: float, now_s: float) -> None:
+    def record_first_token(
+        self, took_s: float, goal_s: float, now_s: float
+    ) -> None:
         """Add the time to first token of a call."""
         self._take(took_s > self._settings.slow_goal_share * goal_s, now_s)
 
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -183,7 +183,9 @@
         self._prompt = None
         since_arrival_s = clock_s() - self._context.request.arrived_s
         self._tools.log.observe('stream.begin', since_arrival_s)
-        self._knowledge.watch_of(self._context.service.name).strain.began(
+        self._knowledge.watch_of(
+            self._context.service.name
+        ).strain.record_first_token(
             since_arrival_s, self._context.route.goal_s, clock_s()
         )
         self._state.log_decision(
--- a/tests/dispatch/test_fleet_demand.py
+++ b/tests/dispatch/test_fleet_demand.py
@@ -28,7 +28,7 @@
         which counts as overload.
         """
         overload = OverloadDetector(OverloadSettings(min_calls=5))
-        overload.began(0.1, 1.0, 0)
+        overload.record_first_token(0.1, 1.0, 0)
         self.assertTrue(overload.holds(0))
         for node in range(39):
             self.demand.take(f'n-{node}', sample(1, begun=1), 0)
--- a/tests/dispatch/test_strain.py
+++ b/tests/dispatch/test_strain.py
@@ -14,7 +14,9 @@
 
     def add_calls(self, took_s: float, *, at_s: float, count: int = 10) -> None:
         for number in range(count):
-            self.overload.began(took_s, GOAL_S, at_s + number / 100)
+            self.overload.record_first_token(
+                took_s, GOAL_S, at_s + number / 100
+            )
 
     def test_missing_data_counts_as_overload(self) -> None:
         """A process becomes the planner right after its start.
