--- a/packages/dispatch/dandelionyoke_dispatch/_strain.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_strain.py
@@ -38,7 +38,7 @@
         """Add the time to first token of a call."""
         self._take(took_s > self._settings.slow_goal_share * goal_s, now_s)
 
-    def turned_away(self, now_s: float) -> None:
+    def record_refusal(self, now_s: float) -> None:
         """Record a call that was refused since it could not start in time."""
         self._take(is_slow=True, now_s=now_s)
 
--- a/tests/dispatch/test_strain.py
+++ b/tests/dispatch/test_strain.py
@@ -41,7 +41,7 @@
     def test_refused_calls_are_overload(self) -> None:
         self.add_calls(0.05, at_s=0)
         for number in range(3):
-            self.overload.turned_away(0.2 + number / 100)
+            self.overload.record_refusal(0.2 + number / 100)
         self.assertTrue(self.overload.holds(1))
 
     def test_a_single_slow_call_is_no_overload(self) -> None:
