--- a/packages/dispatch/dandelionyoke_dispatch/_strain.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_strain.py
@@ -42,7 +42,7 @@
         """Record a call that was refused since it could not start in time."""
         self._take(is_slow=True, now_s=now_s)
 
-    def holds(self, now_s: float) -> bool:
+    def is_overloaded(self, now_s: float) -> bool:
         """Whether the service is overloaded, or nothing is known yet."""
         if not self._is_known:
             return True
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -121,7 +121,7 @@
         demand = self._knowledge.demand.of_service(service, now_s)
         overload = self._overload(service)
         overload.judge(demand.begun, demand.slow, now_s)
-        return FleetNeed(overload.holds(now_s), refusing)
+        return FleetNeed(overload.is_overloaded(now_s), refusing)
 
     def _overload(self, service: str) -> OverloadDetector:
         return self._knowledge.watch_of(service).strain
@@ -202,6 +202,6 @@
             count=wanted.count,
             present=present,
             reclaimable=str(wanted.is_reclaimable),
-            strained=str(self._overload(service.name).holds(clock_s())),
+            strained=str(self._overload(service.name).is_overloaded(clock_s())),
             fence=stamp.fence,
         )
--- a/tests/dispatch/test_fleet_demand.py
+++ b/tests/dispatch/test_fleet_demand.py
@@ -29,12 +29,12 @@
         """
         overload = OverloadDetector(OverloadSettings(min_calls=5))
         overload.record_first_token(0.1, 1.0, 0)
-        self.assertTrue(overload.holds(0))
+        self.assertTrue(overload.is_overloaded(0))
         for node in range(39):
             self.demand.take(f'n-{node}', sample(1, begun=1), 0)
         known = self.demand.of_service('lm', 0)
         overload.judge(known.begun, known.slow, 0)
-        self.assertFalse(overload.holds(0))
+        self.assertFalse(overload.is_overloaded(0))
 
     def test_slow_calls_spread_over_many_nodes_are_overload(self) -> None:
         """Guards against undetected overload.
@@ -49,7 +49,7 @@
             self.demand.take(f'n-{node}', sample(0, 1, node % 3 == 0), 1)
         known = self.demand.of_service('lm', 1)
         overload.judge(known.begun, known.slow, 1)
-        self.assertTrue(overload.holds(1))
+        self.assertTrue(overload.is_overloaded(1))
 
     def test_streams_of_unknown_nodes_are_extrapolated(self) -> None:
         """Guards against planning for the streams of one domain in five."""
--- a/tests/dispatch/test_strain.py
+++ b/tests/dispatch/test_strain.py
@@ -24,27 +24,27 @@
         If missing data counted as no overload, it would return engines in the
         middle of a burst that it has not observed yet.
         """
-        self.assertTrue(self.overload.holds(0))
+        self.assertTrue(self.overload.is_overloaded(0))
         self.add_calls(0.01, at_s=0, count=2)
-        self.assertTrue(self.overload.holds(1))
+        self.assertTrue(self.overload.is_overloaded(1))
 
     def test_fast_first_tokens_are_no_overload(self) -> None:
         self.add_calls(0.05, at_s=0)
-        self.assertFalse(self.overload.holds(1))
+        self.assertFalse(self.overload.is_overloaded(1))
 
     def test_slow_first_tokens_are_overload_for_the_hold_time(self) -> None:
         self.add_calls(0.19, at_s=0)
         self.add_calls(0.05, at_s=5)
-        self.assertTrue(self.overload.holds(6))
-        self.assertFalse(self.overload.holds(11))
+        self.assertTrue(self.overload.is_overloaded(6))
+        self.assertFalse(self.overload.is_overloaded(11))
 
     def test_refused_calls_are_overload(self) -> None:
         self.add_calls(0.05, at_s=0)
         for number in range(3):
             self.overload.record_refusal(0.2 + number / 100)
-        self.assertTrue(self.overload.holds(1))
+        self.assertTrue(self.overload.is_overloaded(1))
 
     def test_a_single_slow_call_is_no_overload(self) -> None:
         self.add_calls(0.05, at_s=0)
         self.add_calls(0.19, at_s=0.5, count=1)
-        self.assertFalse(self.overload.holds(1))
+        self.assertFalse(self.overload.is_overloaded(1))
