--- a/packages/dispatch/dandelionyoke_dispatch/_strain.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_strain.py
@@ -57,7 +57,7 @@
             self._calls.popleft()
         return len(self._calls), sum(is_slow for _, is_slow in self._calls)
 
-    def judge(self, calls: int, slow: int, now_s: float) -> None:
+    def update(self, calls: int, slow: int, now_s: float) -> None:
         """Update the state from the calls in a window, also of other nodes."""
         if calls < self._settings.min_calls:
             return
@@ -67,4 +67,4 @@
 
     def _take(self, is_slow: bool, now_s: float) -> None:
         self._calls.append((now_s, is_slow))
-        self.judge(*self.recent(now_s), now_s)
+        self.update(*self.recent(now_s), now_s)
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -120,7 +120,7 @@
         ]
         demand = self._knowledge.demand.of_service(service, now_s)
         overload = self._overload(service)
-        overload.judge(demand.begun, demand.slow, now_s)
+        overload.update(demand.begun, demand.slow, now_s)
         return FleetNeed(overload.is_overloaded(now_s), refusing)
 
     def _overload(self, service: str) -> OverloadDetector:
--- a/tests/dispatch/test_fleet_demand.py
+++ b/tests/dispatch/test_fleet_demand.py
@@ -33,7 +33,7 @@
         for node in range(39):
             self.demand.take(f'n-{node}', sample(1, begun=1), 0)
         known = self.demand.of_service('lm', 0)
-        overload.judge(known.begun, known.slow, 0)
+        overload.update(known.begun, known.slow, 0)
         self.assertFalse(overload.is_overloaded(0))
 
     def test_slow_calls_spread_over_many_nodes_are_overload(self) -> None:
@@ -44,11 +44,11 @@
         overload = OverloadDetector(
             OverloadSettings(min_calls=5, max_slow_share=0.2)
         )
-        overload.judge(39, 0, 0)
+        overload.update(39, 0, 0)
         for node in range(39):
             self.demand.take(f'n-{node}', sample(0, 1, node % 3 == 0), 1)
         known = self.demand.of_service('lm', 1)
-        overload.judge(known.begun, known.slow, 1)
+        overload.update(known.begun, known.slow, 1)
         self.assertTrue(overload.is_overloaded(1))
 
     def test_streams_of_unknown_nodes_are_extrapolated(self) -> None:
