--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -57,6 +57,10 @@
     Freshness as Freshness,
     FreshnessSettings as FreshnessSettings,
 )
+from dandelionyoke_dispatch._overload import (
+    OverloadDetector as OverloadDetector,
+    OverloadSettings as OverloadSettings,
+)
 from dandelionyoke_dispatch._phase_plan import (
     PhaseChange as PhaseChange,
     PhasePlan as PhasePlan,
@@ -106,10 +110,6 @@
     SourceChoice as SourceChoice,
     SourceSettings as SourceSettings,
 )
-from dandelionyoke_dispatch._strain import (
-    OverloadDetector as OverloadDetector,
-    OverloadSettings as OverloadSettings,
-)
 from dandelionyoke_dispatch._target_listing import (
     ListingChanges as ListingChanges,
     ListingMark as ListingMark,
