--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class LineSettings:
+class PromptQueueSettings:
     """Limits on the prompts that one node prefills concurrently.
 
     `max_prompts_per_engine` in flight keep an engine busy during the round trip
@@ -70,7 +70,7 @@
 class ReadingLine:
     """The prompts of one node and service, in flight and queued."""
 
-    def __init__(self, settings: LineSettings) -> None:
+    def __init__(self, settings: PromptQueueSettings) -> None:
         self._settings = settings
         self._max_in_flight = 1
         # The moving average of recent prefill times.
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -24,12 +24,12 @@
     FleetLimiterSettings,
     Freshness,
     FreshnessSettings,
-    LineSettings,
     OverloadDetector,
     OverloadSettings,
     Phase,
     Placement,
     PromptPace,
+    PromptQueueSettings,
     ReadingLine,
     ReadingPaceSettings,
     RegistrySettings,
@@ -76,7 +76,9 @@
     pace: PromptPace = attrs.field(
         factory=lambda: PromptPace(ReadingPaceSettings())
     )
-    line: ReadingLine = attrs.field(factory=lambda: ReadingLine(LineSettings()))
+    line: ReadingLine = attrs.field(
+        factory=lambda: ReadingLine(PromptQueueSettings())
+    )
 
 
 @attrs.define
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -5,7 +5,6 @@
 import testtools
 
 from dandelionyoke_dispatch import (
-    LineSettings,
     LineTicket,
     Phase,
     Placement,
@@ -13,6 +12,7 @@
     Prompt,
     PromptPace,
     PromptPart,
+    PromptQueueSettings,
     ReadingLine,
     ReadingPaceSettings,
     RegisteredTarget,
@@ -47,7 +47,7 @@
         loads = TargetLoads(SuspicionSettings())
         self.fetches = TargetLoads(SuspicionSettings(failures_in_a_row=1))
         self.placement = Placement(registry, loads, self.fetches, 'a', 'n-1')
-        self.line = ReadingLine(LineSettings(max_prompts_per_engine=99))
+        self.line = ReadingLine(PromptQueueSettings(max_prompts_per_engine=99))
         self.pace = PromptPace(ReadingPaceSettings())
         self.pace.took(prompt('y'), 9000 * TOKEN_S)
         self.count = 0
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -6,8 +6,8 @@
 
 from dandelionyoke_dispatch import (
     Entry,
-    LineSettings,
     LineTicket,
+    PromptQueueSettings,
     ReadingLine,
 )
 
@@ -36,7 +36,7 @@
 class ReadingLineTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.line = ReadingLine(LineSettings(max_prompts_per_engine=2))
+        self.line = ReadingLine(PromptQueueSettings(max_prompts_per_engine=2))
 
     def fill(self, names: str = 'ab') -> None:
         for name in names:
