--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -84,8 +84,8 @@
 )
 from dandelionyoke_dispatch._reading_line import (
     Entry as Entry,
-    LineTicket as LineTicket,
     PromptQueueSettings as PromptQueueSettings,
+    QueuedPrompt as QueuedPrompt,
     ReadingLine as ReadingLine,
 )
 from dandelionyoke_dispatch._reading_pace import (
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class LineTicket:
+class QueuedPrompt:
     """A call that requests an engine; a lower rank has precedence.
 
     If it starts after `in_time_until_s`, its first token misses its goal. After
@@ -63,7 +63,7 @@
 
 @attrs.define
 class _InFlight:
-    ticket: LineTicket
+    queued_prompt: QueuedPrompt
     target_id: str = ''
 
 
@@ -76,7 +76,7 @@
         # The moving average of recent prefill times.
         self.mean_s = 0.0
         self._in_flight: dict[str, _InFlight] = {}
-        self._queued: list[LineTicket] = []
+        self._queued: list[QueuedPrompt] = []
         self._placed_s: dict[str, float] = {}
         self._unreachable: frozenset[str] = frozenset()
         self._peer_backlogs: dict[str, tuple[Mapping[str, int], float]] = {}
@@ -90,24 +90,27 @@
         """
         self._unreachable = target_ids
 
-    def enter(self, ticket: LineTicket, engines: int, now_s: float) -> Entry:
+    def enter(
+        self, queued_prompt: QueuedPrompt, engines: int, now_s: float
+    ) -> Entry:
         """Decide on an arriving call, with `engines` available for prefill."""
         self._max_in_flight = max(
             1, self._settings.max_prompts_per_engine * engines
         )
         if self._has_capacity():
-            self._in_flight[ticket.turn_id] = _InFlight(ticket)
+            self._in_flight[queued_prompt.turn_id] = _InFlight(queued_prompt)
             return Entry.GO
         ahead = sum(
-            _priority(other, now_s) <= _priority(ticket, now_s)
+            _priority(other, now_s) <= _priority(queued_prompt, now_s)
             for other in self._queued
         )
         start_s = now_s + self._wait_s(ahead + 1)
-        if start_s > ticket.in_time_until_s and not self._is_worth_queueing(
-            ticket, now_s
+        if (
+            start_s > queued_prompt.in_time_until_s
+            and not self._is_worth_queueing(queued_prompt, now_s)
         ):
             return Entry.TOO_LATE
-        self._queued.append(ticket)
+        self._queued.append(queued_prompt)
         return Entry.WAIT
 
     @property
@@ -162,7 +165,7 @@
         tokens: Counter[str] = Counter()
         for prompt in self._in_flight.values():
             if prompt.target_id:
-                tokens[prompt.target_id] += prompt.ticket.tokens
+                tokens[prompt.target_id] += prompt.queued_prompt.tokens
         return tokens
 
     def told(
@@ -212,14 +215,16 @@
         )
         return in_flight < self._max_in_flight
 
-    def _is_worth_queueing(self, ticket: LineTicket, now_s: float) -> bool:
+    def _is_worth_queueing(
+        self, queued_prompt: QueuedPrompt, now_s: float
+    ) -> bool:
         """Whether a late call would be served before it is of no use.
 
         It waits for all other queued calls, and for some that arrive in the
         meantime.
         """
         wait_s = LATE_WAIT_FACTOR * self._wait_s(len(self._queued) + 1)
-        return now_s + wait_s < ticket.useful_until_s
+        return now_s + wait_s < queued_prompt.useful_until_s
 
     def _wait_s(self, position: int) -> float:
         return position * self.mean_s / self._max_in_flight
@@ -232,16 +237,21 @@
     def _admit_queued(self, now_s: float) -> list[str]:
         admitted = []
         while self._queued and self._has_capacity():
-            ticket = self._next_queued(now_s)
-            self._queued.remove(ticket)
-            self._in_flight[ticket.turn_id] = _InFlight(ticket)
-            admitted.append(ticket.turn_id)
+            queued_prompt = self._next_queued(now_s)
+            self._queued.remove(queued_prompt)
+            self._in_flight[queued_prompt.turn_id] = _InFlight(queued_prompt)
+            admitted.append(queued_prompt.turn_id)
         return admitted
 
-    def _next_queued(self, now_s: float) -> LineTicket:
-        return min(self._queued, key=lambda ticket: _priority(ticket, now_s))
+    def _next_queued(self, now_s: float) -> QueuedPrompt:
+        return min(
+            self._queued,
+            key=lambda queued_prompt: _priority(queued_prompt, now_s),
+        )
 
 
-def _priority(ticket: LineTicket, now_s: float) -> tuple[bool, int, float]:
-    is_late = now_s > ticket.in_time_until_s
-    return is_late, ticket.rank, ticket.arrived_s
+def _priority(
+    queued_prompt: QueuedPrompt, now_s: float
+) -> tuple[bool, int, float]:
+    is_late = now_s > queued_prompt.in_time_until_s
+    return is_late, queued_prompt.rank, queued_prompt.arrived_s
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -7,9 +7,9 @@
 
 from dandelionyoke_dispatch import (
     Entry,
-    LineTicket,
     PrefillHome,
     Prompt,
+    QueuedPrompt,
     ReadingLine,
 )
 from dandelionyoke_gateway._clock import clock_s
@@ -88,7 +88,7 @@
     """A request in the queue; `entry` is whether it has to wait."""
 
     request: PrefillRequest
-    ticket: LineTicket
+    queued_prompt: QueuedPrompt
     entry: Entry
 
 
@@ -116,12 +116,15 @@
         engines = self._knowledge.placement.readers(
             request.service, request.avoid, clock_s()
         )
-        ticket, queue = self._build_ticket(request), self._queue(request)
+        queued_prompt, queue = (
+            self._build_queued_prompt(request),
+            self._queue(request),
+        )
         queue.lost(self._lost_targets())
-        entry = queue.enter(ticket, engines, clock_s())
+        entry = queue.enter(queued_prompt, engines, clock_s())
         if entry is Entry.TOO_LATE:
             raise self._too_late(request)
-        return QueuedPrefill(request, ticket, entry)
+        return QueuedPrefill(request, queued_prompt, entry)
 
     def await_grant(self, queued: QueuedPrefill) -> PrefillGrant:
         """Wait for a request's turn, then choose its engine.
@@ -131,7 +134,7 @@
         Raises:
             TooLateError: its turn did not come before the deadline.
         """
-        ticket, request = queued.ticket, queued.request
+        queued_prompt, request = queued.queued_prompt, queued.request
         try:
             is_admitted = queued.entry is Entry.GO or self._await_turn(queued)
         except BaseException:
@@ -141,12 +144,12 @@
             self.cancel(queued)
             raise self._too_late(request)
         return PrefillGrant(
-            request, ticket.turn_id, self._choose_engine(queued)
+            request, queued_prompt.turn_id, self._choose_engine(queued)
         )
 
     def cancel(self, queued: QueuedPrefill) -> None:
         """Remove a request from the queue without a prefill."""
-        self._release(queued.request, queued.ticket.turn_id, None)
+        self._release(queued.request, queued.queued_prompt.turn_id, None)
 
     def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant, and record how long the prefill took."""
@@ -157,19 +160,23 @@
 
     def _await_turn(self, queued: QueuedPrefill) -> bool:
         """Wait; return False if the turn will not come before the deadline."""
-        ticket, waiters = queued.ticket, self._knowledge.waiters
+        queued_prompt, waiters = queued.queued_prompt, self._knowledge.waiters
         queue = self._queue(queued.request)
         if (
-            waiters.wait(ticket.turn_id, ticket.in_time_until_s)
+            waiters.wait(queued_prompt.turn_id, queued_prompt.in_time_until_s)
             is WaitResult.ADMITTED
         ):
             return True
-        if queue.is_reading(ticket.turn_id):
+        if queue.is_reading(queued_prompt.turn_id):
             return True
-        if not queue.stays(ticket.turn_id, clock_s()):
+        if not queue.stays(queued_prompt.turn_id, clock_s()):
             return False
-        result = waiters.wait(ticket.turn_id, ticket.useful_until_s)
-        return result is WaitResult.ADMITTED or queue.is_reading(ticket.turn_id)
+        result = waiters.wait(
+            queued_prompt.turn_id, queued_prompt.useful_until_s
+        )
+        return result is WaitResult.ADMITTED or queue.is_reading(
+            queued_prompt.turn_id
+        )
 
     def _choose_engine(self, queued: QueuedPrefill) -> PrefillHome | None:
         request, state = queued.request, self._service_state(queued.request)
@@ -183,10 +190,12 @@
         )
         if home is not None:
             target_id = home.target.target_id
-            state.line.placed(queued.ticket.turn_id, target_id, clock_s())
+            state.line.placed(
+                queued.queued_prompt.turn_id, target_id, clock_s()
+            )
         return home
 
-    def _build_ticket(self, request: PrefillRequest) -> LineTicket:
+    def _build_queued_prompt(self, request: PrefillRequest) -> QueuedPrompt:
         tokens = request.prompt.token_count
         pace = self._service_state(request).pace
         read_s = pace.found.expected_s(tokens) or 0.0
@@ -194,7 +203,7 @@
             PREFILL_GOAL_SHARE * request.goal_s - read_s,
             LARGE_PROMPT_GOAL_SHARE * request.goal_s,
         )
-        return LineTicket(
+        return QueuedPrompt(
             turn_id=str(next(self._ticket_numbers)),
             rank=request.rank,
             arrived_s=request.arrived_s,
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -5,7 +5,6 @@
 import testtools
 
 from dandelionyoke_dispatch import (
-    LineTicket,
     Phase,
     Placement,
     PrefillHome,
@@ -13,6 +12,7 @@
     PromptPace,
     PromptPart,
     PromptQueueSettings,
+    QueuedPrompt,
     ReadingLine,
     ReadingPaceSettings,
     RegisteredTarget,
@@ -66,8 +66,8 @@
         chosen = self.place(request, now_s)
         self.count += 1
         name = str(self.count)
-        ticket = LineTicket(name, 0, 0, 1, 1, request.token_count)
-        self.line.enter(ticket, len(ENGINES), now_s)
+        queued_prompt = QueuedPrompt(name, 0, 0, 1, 1, request.token_count)
+        self.line.enter(queued_prompt, len(ENGINES), now_s)
         self.line.placed(name, chosen, now_s)
         return chosen
 
@@ -117,7 +117,7 @@
     ) -> None:
         long_prompt = prompt('x', shared=20000, own=100)
         first = self.place(long_prompt)
-        self.line.enter(LineTicket('short', 0, 0, 1, 1, 500), 4, 0)
+        self.line.enter(QueuedPrompt('short', 0, 0, 1, 1, 500), 4, 0)
         self.line.placed('short', first, 0)
         self.assertEqual(first, self.place(long_prompt))
 
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -6,8 +6,8 @@
 
 from dandelionyoke_dispatch import (
     Entry,
-    LineTicket,
     PromptQueueSettings,
+    QueuedPrompt,
     ReadingLine,
 )
 
@@ -15,15 +15,15 @@
 GOAL_S = 0.15
 
 
-def ticket(
+def queued_prompt(
     turn_id: str,
     *,
     rank: int = 1,
     arrived_s: float = 0,
     goal_s: float = GOAL_S,
     patience_s: float = 2,
-) -> LineTicket:
-    return LineTicket(
+) -> QueuedPrompt:
+    return QueuedPrompt(
         turn_id=turn_id,
         rank=rank,
         arrived_s=arrived_s,
@@ -40,20 +40,24 @@
 
     def fill(self, names: str = 'ab') -> None:
         for name in names:
-            self.line.enter(ticket(name), 1, 0)
+            self.line.enter(queued_prompt(name), 1, 0)
 
     def test_prompts_beyond_the_limit_are_queued(self) -> None:
-        entries = [self.line.enter(ticket(name), 1, 0) for name in 'abc']
+        entries = [self.line.enter(queued_prompt(name), 1, 0) for name in 'abc']
         self.assertEqual([Entry.GO, Entry.GO, Entry.WAIT], entries)
 
     def test_the_limit_grows_with_the_engines(self) -> None:
-        entries = [self.line.enter(ticket(name), 3, 0) for name in 'abcdef']
+        entries = [
+            self.line.enter(queued_prompt(name), 3, 0) for name in 'abcdef'
+        ]
         self.assertEqual([Entry.GO] * 6, entries)
 
     def test_a_lower_rank_goes_first(self) -> None:
         self.fill()
-        self.line.enter(ticket('later', rank=2), 1, 0)
-        self.line.enter(ticket('urgent', rank=0, arrived_s=0.01), 1, 0.01)
+        self.line.enter(queued_prompt('later', rank=2), 1, 0)
+        self.line.enter(
+            queued_prompt('urgent', rank=0, arrived_s=0.01), 1, 0.01
+        )
         self.assertEqual(['urgent'], self.line.leave('a', PREFILL_S, 0.02))
         self.assertEqual(['later'], self.line.leave('b', PREFILL_S, 0.02))
 
@@ -65,8 +69,8 @@
         instead of one.
         """
         self.fill()
-        self.line.enter(ticket('late'), 1, 0)
-        self.line.enter(ticket('fresh', arrived_s=0.2), 1, 0.2)
+        self.line.enter(queued_prompt('late'), 1, 0)
+        self.line.enter(queued_prompt('fresh', arrived_s=0.2), 1, 0.2)
         self.assertEqual(['fresh'], self.line.leave('a', PREFILL_S, 0.25))
         self.assertEqual(['late'], self.line.leave('b', PREFILL_S, 0.25))
 
@@ -75,9 +79,9 @@
         self.fill()
         for name in 'ab':
             self.line.placed(name, 'lost', 0)
-        self.assertEqual(Entry.WAIT, self.line.enter(ticket('c'), 1, 0))
+        self.assertEqual(Entry.WAIT, self.line.enter(queued_prompt('c'), 1, 0))
         self.line.lost(frozenset({'lost'}))
-        self.assertEqual(Entry.GO, self.line.enter(ticket('d'), 1, 0.1))
+        self.assertEqual(Entry.GO, self.line.enter(queued_prompt('d'), 1, 0.1))
         self.assertEqual(['c'], self.line.leave('x', None, 0.1))
 
     def test_a_call_that_left_the_queue_is_not_started(self) -> None:
@@ -134,34 +138,34 @@
         self.max_held_s = 0.0
         arrivals = [number * every_s for number in range(600)]
         events: list[tuple[float, int, str]] = []
-        tickets: dict[str, LineTicket] = {}
+        queued_prompts: dict[str, QueuedPrompt] = {}
         for number, at_s in enumerate(arrivals):
             name = f'call {number}'
-            tickets[name] = ticket(name, arrived_s=at_s)
+            queued_prompts[name] = queued_prompt(name, arrived_s=at_s)
             heapq.heappush(events, (at_s, 0, name))
 
         def start(name: str, now_s: float) -> None:
-            is_late = now_s > tickets[name].in_time_until_s
+            is_late = now_s > queued_prompts[name].in_time_until_s
             counts['late' if is_late else 'in time'] += 1
             heapq.heappush(events, (now_s + PREFILL_S, 1, name))
 
         def refuse(name: str, now_s: float) -> None:
             counts['refused'] += 1
-            held_s = now_s - tickets[name].arrived_s
+            held_s = now_s - queued_prompts[name].arrived_s
             self.max_held_s = max(self.max_held_s, held_s)
 
         waiting: set[str] = set()
         while events:
             now_s, kind, name = heapq.heappop(events)
             if kind == 0:
-                entry = self.line.enter(tickets[name], 1, now_s)
+                entry = self.line.enter(queued_prompts[name], 1, now_s)
                 if entry is Entry.GO:
                     start(name, now_s)
                 elif entry is Entry.TOO_LATE:
                     refuse(name, now_s)
                 else:
                     waiting.add(name)
-                    until_s = tickets[name].in_time_until_s
+                    until_s = queued_prompts[name].in_time_until_s
                     heapq.heappush(events, (until_s, 2, name))
             elif kind == 1:
                 for next_name in self.line.leave(name, PREFILL_S, now_s):
