--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -44,7 +44,7 @@
     `useful_until_s`, the first token is too late to be of use.
     """
 
-    turn_id: str
+    ticket_id: str
     rank: int
     arrived_s: float
     in_time_until_s: float
@@ -98,7 +98,7 @@
             1, self._settings.max_prompts_per_engine * engines
         )
         if self._has_capacity():
-            self._in_flight[queued_prompt.turn_id] = _InFlight(queued_prompt)
+            self._in_flight[queued_prompt.ticket_id] = _InFlight(queued_prompt)
             return Entry.GO
         ahead = sum(
             _priority(other, now_s) <= _priority(queued_prompt, now_s)
@@ -118,30 +118,30 @@
         """The number of prompts in flight or queued."""
         return len(self._in_flight) + len(self._queued)
 
-    def is_reading(self, turn_id: str) -> bool:
+    def is_reading(self, ticket_id: str) -> bool:
         """Whether the prompt of a call is in flight."""
-        return turn_id in self._in_flight
+        return ticket_id in self._in_flight
 
-    def stays(self, turn_id: str, now_s: float) -> bool:
+    def stays(self, ticket_id: str, now_s: float) -> bool:
         """Whether a call that is now late stays queued; if not, remove it."""
         matching = [
-            queued for queued in self._queued if queued.turn_id == turn_id
+            queued for queued in self._queued if queued.ticket_id == ticket_id
         ]
         self._queued = [
-            queued for queued in self._queued if queued.turn_id != turn_id
+            queued for queued in self._queued if queued.ticket_id != ticket_id
         ]
         if not matching or not self._is_worth_queueing(matching[0], now_s):
             return False
         self._queued.extend(matching)
         return True
 
-    def placed(self, turn_id: str, target_id: str, now_s: float) -> None:
+    def placed(self, ticket_id: str, target_id: str, now_s: float) -> None:
         """Record the engine that prefills the prompt of a call."""
-        self._in_flight[turn_id].target_id = target_id
+        self._in_flight[ticket_id].target_id = target_id
         self._placed_s[target_id] = now_s
 
     def leave(
-        self, turn_id: str, read_s: float | None, now_s: float
+        self, ticket_id: str, read_s: float | None, now_s: float
     ) -> list[str]:
         """Remove a call; return the ids of queued calls that may start now.
 
@@ -149,9 +149,9 @@
         prefilled.
         """
         self._queued = [
-            queued for queued in self._queued if queued.turn_id != turn_id
+            queued for queued in self._queued if queued.ticket_id != ticket_id
         ]
-        in_flight = self._in_flight.pop(turn_id, None)
+        in_flight = self._in_flight.pop(ticket_id, None)
         if in_flight is not None and read_s is not None:
             self._update_mean(read_s)
         return self._admit_queued(now_s)
@@ -239,8 +239,8 @@
         while self._queued and self._has_capacity():
             queued_prompt = self._next_queued(now_s)
             self._queued.remove(queued_prompt)
-            self._in_flight[queued_prompt.turn_id] = _InFlight(queued_prompt)
-            admitted.append(queued_prompt.turn_id)
+            self._in_flight[queued_prompt.ticket_id] = _InFlight(queued_prompt)
+            admitted.append(queued_prompt.ticket_id)
         return admitted
 
     def _next_queued(self, now_s: float) -> QueuedPrompt:
--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -85,7 +85,7 @@
 
     def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant at the node that issued it."""
-        pending = self._pending.pop(grant.turn_id, None)
+        pending = self._pending.pop(grant.ticket_id, None)
         if pending is None:
             self._local_queue.leave(grant, result)
             return
@@ -96,7 +96,7 @@
 
     def handle_response(self, response: PrefillTold) -> None:
         """Pass an answer on to the request that waits for it."""
-        pending = self._pending.get(_turn_id(response.number))
+        pending = self._pending.get(_ticket_id(response.number))
         if pending is not None:
             pending.responses.put(response)
 
@@ -115,17 +115,17 @@
             TooLateError: no engine could start before the deadline.
         """
         pending = _PendingRequest(next(self._request_numbers), peer_id)
-        turn_id = _turn_id(pending.number)
-        self._pending[turn_id] = pending
+        ticket_id = _ticket_id(pending.number)
+        self._pending[ticket_id] = pending
         try:
             home = self._await_placement(pending, request)
         except BaseException:
-            self._cancel(turn_id)
+            self._cancel(ticket_id)
             raise
         if home is None:
-            self._cancel(turn_id)
+            self._cancel(ticket_id)
             return None
-        return PrefillGrant(request, turn_id, home, peer_id)
+        return PrefillGrant(request, ticket_id, home, peer_id)
 
     def _await_placement(
         self, pending: _PendingRequest, request: PrefillRequest
@@ -183,8 +183,8 @@
         if peer_id is not None:
             self._source.send(peer_id, TargetFailed(target_id, failure))
 
-    def _cancel(self, turn_id: str) -> None:
-        pending = self._pending.pop(turn_id, None)
+    def _cancel(self, ticket_id: str) -> None:
+        pending = self._pending.pop(ticket_id, None)
         if pending is not None:
             self._send_end(pending, PrefillResult())
 
@@ -228,5 +228,5 @@
     return response
 
 
-def _turn_id(number: int) -> str:
+def _ticket_id(number: int) -> str:
     return f'asked.{number}'
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -57,7 +57,7 @@
     """
 
     request: PrefillRequest
-    turn_id: str
+    ticket_id: str
     home: PrefillHome | None
     placed_by: str | None = None
 
@@ -144,16 +144,16 @@
             self.cancel(queued)
             raise self._too_late(request)
         return PrefillGrant(
-            request, queued_prompt.turn_id, self._choose_engine(queued)
+            request, queued_prompt.ticket_id, self._choose_engine(queued)
         )
 
     def cancel(self, queued: QueuedPrefill) -> None:
         """Remove a request from the queue without a prefill."""
-        self._release(queued.request, queued.queued_prompt.turn_id, None)
+        self._release(queued.request, queued.queued_prompt.ticket_id, None)
 
     def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant, and record how long the prefill took."""
-        self._release(grant.request, grant.turn_id, result.read_s)
+        self._release(grant.request, grant.ticket_id, result.read_s)
         if result.read_s is not None:
             pace = self._service_state(grant.request).pace
             pace.took(grant.request.prompt, result.read_s)
@@ -163,19 +163,19 @@
         queued_prompt, waiters = queued.queued_prompt, self._knowledge.waiters
         queue = self._queue(queued.request)
         if (
-            waiters.wait(queued_prompt.turn_id, queued_prompt.in_time_until_s)
+            waiters.wait(queued_prompt.ticket_id, queued_prompt.in_time_until_s)
             is WaitResult.ADMITTED
         ):
             return True
-        if queue.is_reading(queued_prompt.turn_id):
+        if queue.is_reading(queued_prompt.ticket_id):
             return True
-        if not queue.stays(queued_prompt.turn_id, clock_s()):
+        if not queue.stays(queued_prompt.ticket_id, clock_s()):
             return False
         result = waiters.wait(
-            queued_prompt.turn_id, queued_prompt.useful_until_s
+            queued_prompt.ticket_id, queued_prompt.useful_until_s
         )
         return result is WaitResult.ADMITTED or queue.is_reading(
-            queued_prompt.turn_id
+            queued_prompt.ticket_id
         )
 
     def _choose_engine(self, queued: QueuedPrefill) -> PrefillHome | None:
@@ -191,7 +191,7 @@
         if home is not None:
             target_id = home.target.target_id
             state.line.placed(
-                queued.queued_prompt.turn_id, target_id, clock_s()
+                queued.queued_prompt.ticket_id, target_id, clock_s()
             )
         return home
 
@@ -204,7 +204,7 @@
             LARGE_PROMPT_GOAL_SHARE * request.goal_s,
         )
         return QueuedPrompt(
-            turn_id=str(next(self._ticket_numbers)),
+            ticket_id=str(next(self._ticket_numbers)),
             rank=request.rank,
             arrived_s=request.arrived_s,
             in_time_until_s=request.arrived_s + max_wait_s,
@@ -213,11 +213,11 @@
         )
 
     def _release(
-        self, request: PrefillRequest, turn_id: str, read_s: float | None
+        self, request: PrefillRequest, ticket_id: str, read_s: float | None
     ) -> None:
         queue = self._queue(request)
         queue.lost(self._lost_targets())
-        for admitted_id in queue.leave(turn_id, read_s, clock_s()):
+        for admitted_id in queue.leave(ticket_id, read_s, clock_s()):
             self._knowledge.waiters.admit(admitted_id)
 
     def _lost_targets(self) -> frozenset[str]:
--- a/packages/gateway/dandelionyoke_gateway/_queue_waiters.py
+++ b/packages/gateway/dandelionyoke_gateway/_queue_waiters.py
@@ -22,10 +22,10 @@
     def __init__(self) -> None:
         self._waiters: dict[str, GreenEvent] = {}
 
-    def wait(self, turn_id: str, deadline_s: float) -> WaitResult:
+    def wait(self, ticket_id: str, deadline_s: float) -> WaitResult:
         """Wait to be admitted until a deadline."""
         waiter = GreenEvent()
-        self._waiters[turn_id] = waiter
+        self._waiters[ticket_id] = waiter
         timer = eventlet.spawn_after(
             max(0, deadline_s - clock_s()),
             _finish,
@@ -36,12 +36,12 @@
             result: WaitResult = waiter.wait()
         finally:
             timer.cancel()
-            self._waiters.pop(turn_id, None)
+            self._waiters.pop(ticket_id, None)
         return result
 
-    def admit(self, turn_id: str) -> None:
+    def admit(self, ticket_id: str) -> None:
         """Wake a call that has been admitted."""
-        waiter = self._waiters.get(turn_id)
+        waiter = self._waiters.get(ticket_id)
         if waiter is not None:
             _finish(waiter, WaitResult.ADMITTED)
 
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -16,7 +16,7 @@
 
 
 def queued_prompt(
-    turn_id: str,
+    ticket_id: str,
     *,
     rank: int = 1,
     arrived_s: float = 0,
@@ -24,7 +24,7 @@
     patience_s: float = 2,
 ) -> QueuedPrompt:
     return QueuedPrompt(
-        turn_id=turn_id,
+        ticket_id=ticket_id,
         rank=rank,
         arrived_s=arrived_s,
         in_time_until_s=arrived_s + 0.8 * goal_s - PREFILL_S,
