--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -41,14 +41,14 @@
     """A call that requests an engine; a lower rank has precedence.
 
     If it starts after `in_time_until_s`, its first token misses its goal. After
-    `useful_until_s`, the first token is too late to be of use.
+    `deadline_s`, the first token is too late to be of use.
     """
 
     ticket_id: str
     rank: int
     arrived_s: float
     in_time_until_s: float
-    useful_until_s: float
+    deadline_s: float
     tokens: int
 
 
@@ -224,7 +224,7 @@
         meantime.
         """
         wait_s = LATE_WAIT_FACTOR * self._wait_s(len(self._queued) + 1)
-        return now_s + wait_s < queued_prompt.useful_until_s
+        return now_s + wait_s < queued_prompt.deadline_s
 
     def _wait_s(self, position: int) -> float:
         return position * self.mean_s / self._max_in_flight
--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -211,7 +211,7 @@
         request.rank,
         now_s - request.arrived_s,
         request.goal_s,
-        request.useful_until_s - now_s,
+        request.deadline_s - now_s,
         tuple(sorted(request.avoid)),
     )
 
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -37,7 +37,7 @@
     """A prompt that needs an engine; a lower rank goes first.
 
     Its call arrived at `arrived_s`. The goal for its time to first token is
-    `goal_s`, and its deadline is `useful_until_s`.
+    `goal_s`, and its deadline is `deadline_s`.
     """
 
     service: str
@@ -45,7 +45,7 @@
     rank: int
     arrived_s: float
     goal_s: float
-    useful_until_s: float
+    deadline_s: float
     avoid: frozenset[str] = frozenset()
 
 
@@ -171,9 +171,7 @@
             return True
         if not queue.stays(queued_prompt.ticket_id, clock_s()):
             return False
-        result = waiters.wait(
-            queued_prompt.ticket_id, queued_prompt.useful_until_s
-        )
+        result = waiters.wait(queued_prompt.ticket_id, queued_prompt.deadline_s)
         return result is WaitResult.ADMITTED or queue.is_reading(
             queued_prompt.ticket_id
         )
@@ -208,7 +206,7 @@
             rank=request.rank,
             arrived_s=request.arrived_s,
             in_time_until_s=request.arrived_s + max_wait_s,
-            useful_until_s=request.useful_until_s,
+            deadline_s=request.deadline_s,
             tokens=tokens,
         )
 
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -144,7 +144,7 @@
         if not self._send(peer_id, response):
             self._release(key, PrefillResult())
             return
-        expires_s = grant.request.useful_until_s + RELEASE_MARGIN_S
+        expires_s = grant.request.deadline_s + RELEASE_MARGIN_S
         eventlet.spawn_after(
             max(0, expires_s - clock_s()), self._release, key, PrefillResult()
         )
@@ -184,6 +184,6 @@
         rank=request.rank,
         arrived_s=now_s - request.age_s,
         goal_s=request.goal_s,
-        useful_until_s=now_s + request.useful_s,
+        deadline_s=now_s + request.useful_s,
         avoid=frozenset(request.avoid),
     )
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -104,7 +104,7 @@
             rank=self._context.priority,
             arrived_s=self._context.request.arrived_s,
             goal_s=self._context.route.goal_s,
-            useful_until_s=self._deadline_s(),
+            deadline_s=self._deadline_s(),
             avoid=frozenset(self._state.tried_ids),
         )
         try:
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -28,7 +28,7 @@
         rank=rank,
         arrived_s=arrived_s,
         in_time_until_s=arrived_s + 0.8 * goal_s - PREFILL_S,
-        useful_until_s=arrived_s + patience_s,
+        deadline_s=arrived_s + patience_s,
         tokens=1000,
     )
 
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -106,7 +106,7 @@
         rank=1,
         arrived_s=now_s,
         goal_s=goal_s,
-        useful_until_s=now_s + patience_s,
+        deadline_s=now_s + patience_s,
     )
 
 
