--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -83,8 +83,8 @@
     RateLimiter as RateLimiter,
 )
 from dandelionyoke_dispatch._reading_line import (
-    Entry as Entry,
     PromptQueueSettings as PromptQueueSettings,
+    QueueDecision as QueueDecision,
     QueuedPrompt as QueuedPrompt,
     ReadingLine as ReadingLine,
 )
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -53,10 +53,10 @@
 
 
 @enum.unique
-class Entry(enum.Enum):
+class QueueDecision(enum.Enum):
     """The decision of the queue on an arriving call."""
 
-    GO = 'go'
+    START = 'go'
     WAIT = 'wait'
     TOO_LATE = 'too late'
 
@@ -92,14 +92,14 @@
 
     def enter(
         self, queued_prompt: QueuedPrompt, engines: int, now_s: float
-    ) -> Entry:
+    ) -> QueueDecision:
         """Decide on an arriving call, with `engines` available for prefill."""
         self._max_in_flight = max(
             1, self._settings.max_prompts_per_engine * engines
         )
         if self._has_capacity():
             self._in_flight[queued_prompt.ticket_id] = _InFlight(queued_prompt)
-            return Entry.GO
+            return QueueDecision.START
         ahead = sum(
             _priority(other, now_s) <= _priority(queued_prompt, now_s)
             for other in self._queued
@@ -109,9 +109,9 @@
             start_s > queued_prompt.in_time_until_s
             and not self._is_worth_queueing(queued_prompt, now_s)
         ):
-            return Entry.TOO_LATE
+            return QueueDecision.TOO_LATE
         self._queued.append(queued_prompt)
-        return Entry.WAIT
+        return QueueDecision.WAIT
 
     @property
     def prompt_count(self) -> int:
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -6,9 +6,9 @@
 import attrs
 
 from dandelionyoke_dispatch import (
-    Entry,
     PrefillHome,
     Prompt,
+    QueueDecision,
     QueuedPrompt,
     ReadingLine,
 )
@@ -85,11 +85,11 @@
 
 @attrs.frozen
 class QueuedPrefill:
-    """A request in the queue; `entry` is whether it has to wait."""
+    """A request in the queue; `decision` is whether it has to wait."""
 
     request: PrefillRequest
     queued_prompt: QueuedPrompt
-    entry: Entry
+    decision: QueueDecision
 
 
 class LocalPrefillQueue:
@@ -121,10 +121,10 @@
             self._queue(request),
         )
         queue.lost(self._lost_targets())
-        entry = queue.enter(queued_prompt, engines, clock_s())
-        if entry is Entry.TOO_LATE:
+        decision = queue.enter(queued_prompt, engines, clock_s())
+        if decision is QueueDecision.TOO_LATE:
             raise self._too_late(request)
-        return QueuedPrefill(request, queued_prompt, entry)
+        return QueuedPrefill(request, queued_prompt, decision)
 
     def await_grant(self, queued: QueuedPrefill) -> PrefillGrant:
         """Wait for a request's turn, then choose its engine.
@@ -136,7 +136,10 @@
         """
         queued_prompt, request = queued.queued_prompt, queued.request
         try:
-            is_admitted = queued.entry is Entry.GO or self._await_turn(queued)
+            is_admitted = (
+                queued.decision is QueueDecision.START
+                or self._await_turn(queued)
+            )
         except BaseException:
             self.cancel(queued)
             raise
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -10,7 +10,12 @@
 from eventlet.greenthread import GreenThread
 
 from dandelionyoke_core import InstanceId
-from dandelionyoke_dispatch import Entry, Prompt, PromptPart, TargetLoads
+from dandelionyoke_dispatch import (
+    Prompt,
+    PromptPart,
+    QueueDecision,
+    TargetLoads,
+)
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._news_server import Send
@@ -82,7 +87,7 @@
         except TooLateError as error:
             self._refuse(key, error)
             return
-        if queued.entry is Entry.GO:
+        if queued.decision is QueueDecision.START:
             self._grant(key, self._queue.await_grant(queued))
             return
         thread = eventlet.spawn(self._await_grant, key, queued)
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -5,8 +5,8 @@
 import testtools
 
 from dandelionyoke_dispatch import (
-    Entry,
     PromptQueueSettings,
+    QueueDecision,
     QueuedPrompt,
     ReadingLine,
 )
@@ -43,14 +43,19 @@
             self.line.enter(queued_prompt(name), 1, 0)
 
     def test_prompts_beyond_the_limit_are_queued(self) -> None:
-        entries = [self.line.enter(queued_prompt(name), 1, 0) for name in 'abc']
-        self.assertEqual([Entry.GO, Entry.GO, Entry.WAIT], entries)
+        decisions = [
+            self.line.enter(queued_prompt(name), 1, 0) for name in 'abc'
+        ]
+        self.assertEqual(
+            [QueueDecision.START, QueueDecision.START, QueueDecision.WAIT],
+            decisions,
+        )
 
     def test_the_limit_grows_with_the_engines(self) -> None:
-        entries = [
+        decisions = [
             self.line.enter(queued_prompt(name), 3, 0) for name in 'abcdef'
         ]
-        self.assertEqual([Entry.GO] * 6, entries)
+        self.assertEqual([QueueDecision.START] * 6, decisions)
 
     def test_a_lower_rank_goes_first(self) -> None:
         self.fill()
@@ -79,9 +84,13 @@
         self.fill()
         for name in 'ab':
             self.line.placed(name, 'lost', 0)
-        self.assertEqual(Entry.WAIT, self.line.enter(queued_prompt('c'), 1, 0))
+        self.assertEqual(
+            QueueDecision.WAIT, self.line.enter(queued_prompt('c'), 1, 0)
+        )
         self.line.lost(frozenset({'lost'}))
-        self.assertEqual(Entry.GO, self.line.enter(queued_prompt('d'), 1, 0.1))
+        self.assertEqual(
+            QueueDecision.START, self.line.enter(queued_prompt('d'), 1, 0.1)
+        )
         self.assertEqual(['c'], self.line.leave('x', None, 0.1))
 
     def test_a_call_that_left_the_queue_is_not_started(self) -> None:
@@ -158,10 +167,10 @@
         while events:
             now_s, kind, name = heapq.heappop(events)
             if kind == 0:
-                entry = self.line.enter(queued_prompts[name], 1, now_s)
-                if entry is Entry.GO:
+                decision = self.line.enter(queued_prompts[name], 1, now_s)
+                if decision is QueueDecision.START:
                     start(name, now_s)
-                elif entry is Entry.TOO_LATE:
+                elif decision is QueueDecision.TOO_LATE:
                     refuse(name, now_s)
                 else:
                     waiting.add(name)
