--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -83,10 +83,10 @@
     RateLimiter as RateLimiter,
 )
 from dandelionyoke_dispatch._reading_line import (
+    PromptQueue as PromptQueue,
     PromptQueueSettings as PromptQueueSettings,
     QueueDecision as QueueDecision,
     QueuedPrompt as QueuedPrompt,
-    ReadingLine as ReadingLine,
 )
 from dandelionyoke_dispatch._reading_pace import (
     PromptPace as PromptPace,
--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -6,7 +6,7 @@
 
 from dandelionyoke_core import rendezvous
 from dandelionyoke_dispatch._calls import Prompt
-from dandelionyoke_dispatch._reading_line import ReadingLine
+from dandelionyoke_dispatch._reading_line import PromptQueue
 from dandelionyoke_dispatch._reading_pace import PromptPace, ReadingPace
 from dandelionyoke_dispatch._registry import (
     Phase,
@@ -58,7 +58,7 @@
         service: str,
         prompt: Prompt,
         pace: PromptPace,
-        line: ReadingLine,
+        queue: PromptQueue,
         avoid: Collection[str],
         now_s: float,
     ) -> PrefillHome | None:
@@ -83,13 +83,13 @@
         move_cost_s = MOVE_COST_SHARE * _prefill_time_s(
             pace.unkept, prompt.shared_tokens
         )
-        backlog = line.fleet_backlog(now_s)
+        backlog = queue.fleet_backlog(now_s)
         chosen = min(
             engines,
             key=lambda engine: (
                 _prefill_time_s(pace.found, backlog[engine.target_id])
                 + move_cost_s * (engine is not preferred),
-                line.placed_s(engine.target_id),
+                queue.placed_s(engine.target_id),
                 engine.target_id,
             ),
         )
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -67,7 +67,7 @@
     target_id: str = ''
 
 
-class ReadingLine:
+class PromptQueue:
     """The prompts of one node and service, in flight and queued."""
 
     def __init__(self, settings: PromptQueueSettings) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -29,8 +29,8 @@
     Phase,
     Placement,
     PromptPace,
+    PromptQueue,
     PromptQueueSettings,
-    ReadingLine,
     ReadingPaceSettings,
     RegistrySettings,
     ServiceDemand,
@@ -76,8 +76,8 @@
     pace: PromptPace = attrs.field(
         factory=lambda: PromptPace(ReadingPaceSettings())
     )
-    line: ReadingLine = attrs.field(
-        factory=lambda: ReadingLine(PromptQueueSettings())
+    line: PromptQueue = attrs.field(
+        factory=lambda: PromptQueue(PromptQueueSettings())
     )
 
 
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -8,9 +8,9 @@
 from dandelionyoke_dispatch import (
     PrefillHome,
     Prompt,
+    PromptQueue,
     QueueDecision,
     QueuedPrompt,
-    ReadingLine,
 )
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._knowledge import Knowledge, ServiceState
@@ -230,5 +230,5 @@
     def _service_state(self, request: PrefillRequest) -> ServiceState:
         return self._knowledge.watch_of(request.service)
 
-    def _queue(self, request: PrefillRequest) -> ReadingLine:
+    def _queue(self, request: PrefillRequest) -> PromptQueue:
         return self._service_state(request).line
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -11,9 +11,9 @@
     Prompt,
     PromptPace,
     PromptPart,
+    PromptQueue,
     PromptQueueSettings,
     QueuedPrompt,
-    ReadingLine,
     ReadingPaceSettings,
     RegisteredTarget,
     RegistrySettings,
@@ -47,14 +47,14 @@
         loads = TargetLoads(SuspicionSettings())
         self.fetches = TargetLoads(SuspicionSettings(failures_in_a_row=1))
         self.placement = Placement(registry, loads, self.fetches, 'a', 'n-1')
-        self.line = ReadingLine(PromptQueueSettings(max_prompts_per_engine=99))
+        self.queue = PromptQueue(PromptQueueSettings(max_prompts_per_engine=99))
         self.pace = PromptPace(ReadingPaceSettings())
         self.pace.took(prompt('y'), 9000 * TOKEN_S)
         self.count = 0
 
     def home(self, request: Prompt, now_s: float = 0) -> PrefillHome:
         home = self.placement.prefill_home(
-            'lm', request, self.pace, self.line, (), now_s
+            'lm', request, self.pace, self.queue, (), now_s
         )
         assert home is not None
         return home
@@ -67,15 +67,15 @@
         self.count += 1
         name = str(self.count)
         queued_prompt = QueuedPrompt(name, 0, 0, 1, 1, request.token_count)
-        self.line.enter(queued_prompt, len(ENGINES), now_s)
-        self.line.placed(name, chosen, now_s)
+        self.queue.enter(queued_prompt, len(ENGINES), now_s)
+        self.queue.placed(name, chosen, now_s)
         return chosen
 
     def test_a_shared_prefix_goes_to_the_engine_that_cached_it(self) -> None:
         homes = set()
         for number in range(5):
             homes.add(self.place_and_start(prompt('x'), number))
-            self.line.leave(str(self.count), 0.1, number)
+            self.queue.leave(str(self.count), 0.1, number)
         self.assertEqual(1, len(homes))
 
     def test_a_burst_on_one_prefix_spreads_over_the_engines(self) -> None:
@@ -117,8 +117,8 @@
     ) -> None:
         long_prompt = prompt('x', shared=20000, own=100)
         first = self.place(long_prompt)
-        self.line.enter(QueuedPrompt('short', 0, 0, 1, 1, 500), 4, 0)
-        self.line.placed('short', first, 0)
+        self.queue.enter(QueuedPrompt('short', 0, 0, 1, 1, 500), 4, 0)
+        self.queue.placed('short', first, 0)
         self.assertEqual(first, self.place(long_prompt))
 
     def test_equal_engines_take_turns(self) -> None:
@@ -131,7 +131,7 @@
         for number in range(8):
             alone = Prompt('m', 3000, 10, (PromptPart(f'p{number}', 3000),))
             chosen.append(self.place_and_start(alone, 1 + number))
-            self.line.leave(str(self.count), 0.03, number)
+            self.queue.leave(str(self.count), 0.03, number)
         self.assertEqual(
             {name: 2 for name in ENGINES},
             {name: chosen.count(name) for name in ENGINES},
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -5,10 +5,10 @@
 import testtools
 
 from dandelionyoke_dispatch import (
+    PromptQueue,
     PromptQueueSettings,
     QueueDecision,
     QueuedPrompt,
-    ReadingLine,
 )
 
 PREFILL_S = 0.03
@@ -33,18 +33,18 @@
     )
 
 
-class ReadingLineTest(testtools.TestCase):
+class PromptQueueTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.line = ReadingLine(PromptQueueSettings(max_prompts_per_engine=2))
+        self.queue = PromptQueue(PromptQueueSettings(max_prompts_per_engine=2))
 
     def fill(self, names: str = 'ab') -> None:
         for name in names:
-            self.line.enter(queued_prompt(name), 1, 0)
+            self.queue.enter(queued_prompt(name), 1, 0)
 
     def test_prompts_beyond_the_limit_are_queued(self) -> None:
         decisions = [
-            self.line.enter(queued_prompt(name), 1, 0) for name in 'abc'
+            self.queue.enter(queued_prompt(name), 1, 0) for name in 'abc'
         ]
         self.assertEqual(
             [QueueDecision.START, QueueDecision.START, QueueDecision.WAIT],
@@ -53,18 +53,18 @@
 
     def test_the_limit_grows_with_the_engines(self) -> None:
         decisions = [
-            self.line.enter(queued_prompt(name), 3, 0) for name in 'abcdef'
+            self.queue.enter(queued_prompt(name), 3, 0) for name in 'abcdef'
         ]
         self.assertEqual([QueueDecision.START] * 6, decisions)
 
     def test_a_lower_rank_goes_first(self) -> None:
         self.fill()
-        self.line.enter(queued_prompt('later', rank=2), 1, 0)
-        self.line.enter(
+        self.queue.enter(queued_prompt('later', rank=2), 1, 0)
+        self.queue.enter(
             queued_prompt('urgent', rank=0, arrived_s=0.01), 1, 0.01
         )
-        self.assertEqual(['urgent'], self.line.leave('a', PREFILL_S, 0.02))
-        self.assertEqual(['later'], self.line.leave('b', PREFILL_S, 0.02))
+        self.assertEqual(['urgent'], self.queue.leave('a', PREFILL_S, 0.02))
+        self.assertEqual(['later'], self.queue.leave('b', PREFILL_S, 0.02))
 
     def test_a_call_in_time_goes_before_a_late_one(self) -> None:
         """A burst has made a call late, and new ones arrive.
@@ -74,24 +74,24 @@
         instead of one.
         """
         self.fill()
-        self.line.enter(queued_prompt('late'), 1, 0)
-        self.line.enter(queued_prompt('fresh', arrived_s=0.2), 1, 0.2)
-        self.assertEqual(['fresh'], self.line.leave('a', PREFILL_S, 0.25))
-        self.assertEqual(['late'], self.line.leave('b', PREFILL_S, 0.25))
+        self.queue.enter(queued_prompt('late'), 1, 0)
+        self.queue.enter(queued_prompt('fresh', arrived_s=0.2), 1, 0.2)
+        self.assertEqual(['fresh'], self.queue.leave('a', PREFILL_S, 0.25))
+        self.assertEqual(['late'], self.queue.leave('b', PREFILL_S, 0.25))
 
     def test_prompts_at_unreachable_engines_do_not_count(self) -> None:
         """Guards against a partition that blocks the prompts of a domain."""
         self.fill()
         for name in 'ab':
-            self.line.placed(name, 'lost', 0)
+            self.queue.placed(name, 'lost', 0)
         self.assertEqual(
-            QueueDecision.WAIT, self.line.enter(queued_prompt('c'), 1, 0)
+            QueueDecision.WAIT, self.queue.enter(queued_prompt('c'), 1, 0)
         )
-        self.line.lost(frozenset({'lost'}))
+        self.queue.lost(frozenset({'lost'}))
         self.assertEqual(
-            QueueDecision.START, self.line.enter(queued_prompt('d'), 1, 0.1)
+            QueueDecision.START, self.queue.enter(queued_prompt('d'), 1, 0.1)
         )
-        self.assertEqual(['c'], self.line.leave('x', None, 0.1))
+        self.assertEqual(['c'], self.queue.leave('x', None, 0.1))
 
     def test_a_call_that_left_the_queue_is_not_started(self) -> None:
         """A caller disconnects while its call is queued.
@@ -100,8 +100,8 @@
         after a few such callers no prompt would be prefilled at all.
         """
         self.fill('abcd')
-        self.assertEqual([], self.line.leave('c', None, 0))
-        self.assertEqual(['d'], self.line.leave('a', PREFILL_S, 0))
+        self.assertEqual([], self.queue.leave('c', None, 0))
+        self.assertEqual(['d'], self.queue.leave('a', PREFILL_S, 0))
 
     def test_a_burst_makes_few_calls_late(self) -> None:
         """Prompts arrive at one and a third times the prefill rate.
@@ -128,15 +128,15 @@
 
     def test_engines_that_are_gone_are_removed(self) -> None:
         self.fill('a')
-        self.line.placed('a', 'i-1', 5)
-        self.line.forget(frozenset(('i-2',)))
-        self.assertEqual(0, self.line.placed_s('i-1'))
+        self.queue.placed('a', 'i-1', 5)
+        self.queue.forget(frozenset(('i-2',)))
+        self.assertEqual(0, self.queue.placed_s('i-1'))
 
     def test_the_retry_delay_is_the_time_to_empty_the_queue(self) -> None:
         self.fill('abcdef')
         for name in 'ab':
-            self.line.leave(name, 0.3, 0)
-        self.assertLess(0.25, self.line.retry_after_s())
+            self.queue.leave(name, 0.3, 0)
+        self.assertLess(0.25, self.queue.retry_after_s())
 
     def simulate(self, every_s: float) -> tuple[float, float, float]:
         """Simulate arrivals and two concurrent prefills; count the outcomes.
@@ -167,7 +167,7 @@
         while events:
             now_s, kind, name = heapq.heappop(events)
             if kind == 0:
-                decision = self.line.enter(queued_prompts[name], 1, now_s)
+                decision = self.queue.enter(queued_prompts[name], 1, now_s)
                 if decision is QueueDecision.START:
                     start(name, now_s)
                 elif decision is QueueDecision.TOO_LATE:
@@ -177,10 +177,10 @@
                     until_s = queued_prompts[name].in_time_until_s
                     heapq.heappush(events, (until_s, 2, name))
             elif kind == 1:
-                for next_name in self.line.leave(name, PREFILL_S, now_s):
+                for next_name in self.queue.leave(name, PREFILL_S, now_s):
                     waiting.discard(next_name)
                     start(next_name, now_s)
-            elif name in waiting and not self.line.stays(name, now_s):
+            elif name in waiting and not self.queue.stays(name, now_s):
                 waiting.discard(name)
                 refuse(name, now_s)
         return (
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -113,23 +113,23 @@
         """Guards against idle engines that still count as busy."""
         grants = [self.first.assign() for _ in range(4)]
         self.wait_for_messages()
-        line = self.second.knowledge.watch_of('lm').line
+        prompt_queue = self.second.knowledge.watch_of('lm').line
         busy = [grant.home.target.target_id for grant in grants if grant.home]
         for target_id in busy:
-            tokens = line.fleet_backlog(clock_s())[target_id]
+            tokens = prompt_queue.fleet_backlog(clock_s())[target_id]
             self.assertEqual(9000, tokens)
         for grant in grants:
             self.first.queue.leave(grant, PrefillResult(0.2))
         self.wait_for_messages()
         for target_id in busy:
-            tokens = line.fleet_backlog(clock_s())[target_id]
+            tokens = prompt_queue.fleet_backlog(clock_s())[target_id]
             self.assertEqual(0, tokens)
 
     def test_an_old_backlog_expires(self) -> None:
         """Guards against engines left idle because of a node that is cut off."""
-        line = self.second.knowledge.watch_of('lm').line
-        line.told('n-9', {'i-0': 9000}, clock_s() - 0.6)
-        self.assertEqual(0, line.fleet_backlog(clock_s())['i-0'])
+        prompt_queue = self.second.knowledge.watch_of('lm').line
+        prompt_queue.told('n-9', {'i-0': 9000}, clock_s() - 0.6)
+        self.assertEqual(0, prompt_queue.fleet_backlog(clock_s())['i-0'])
 
     def test_an_invalid_backlog_is_ignored(self) -> None:
         """Guards against a peer that attracts all prefills to one engine."""
@@ -137,6 +137,6 @@
         self.second.task.handle_event(
             PeerMessageArrived(self.first.name, message)
         )
-        line = self.second.knowledge.watch_of('lm').line
-        self.assertEqual(0, line.fleet_backlog(clock_s())['i-0'])
+        prompt_queue = self.second.knowledge.watch_of('lm').line
+        self.assertEqual(0, prompt_queue.fleet_backlog(clock_s())['i-0'])
         self.assertIn('placing.dropped', self.second.lines.text)
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -229,11 +229,11 @@
             node.queue.enter(request())
         waiting = eventlet.spawn(third.queue.enter, request())
         eventlet.sleep(0.02)
-        line = network.source.knowledge.watch_of('lm').line
-        before_s = line.expected_wait_s()
+        prompt_queue = network.source.knowledge.watch_of('lm').line
+        before_s = prompt_queue.expected_wait_s()
         waiting.kill()
         eventlet.sleep(0.02)
-        self.assertLess(line.expected_wait_s(), before_s)
+        self.assertLess(prompt_queue.expected_wait_s(), before_s)
 
     def test_no_grant_leaks_in_a_random_order_of_events(self) -> None:
         """Guards against grants that are released twice, or never."""
@@ -262,9 +262,11 @@
             if not user.dead:
                 user.wait()
         eventlet.sleep(0.05)
-        line = network.source.knowledge.watch_of('lm').line
-        self.assertEqual(0, line.expected_wait_s())
-        self.assertEqual(0, sum(map(line.backlog_tokens, ('i-0', 'i-1'))))
+        prompt_queue = network.source.knowledge.watch_of('lm').line
+        self.assertEqual(0, prompt_queue.expected_wait_s())
+        self.assertEqual(
+            0, sum(map(prompt_queue.backlog_tokens, ('i-0', 'i-1')))
+        )
 
     def test_a_failure_is_shared_with_the_domain(self) -> None:
         """Guards against nodes that must each detect a dead engine."""
@@ -306,8 +308,8 @@
         for message in (invalid, infinite, valid, valid):
             source.links.handle_event(PeerMessageArrived(node.name, message))
         self.assertEqual(1, network.sent['PrefillTold'])
-        line = source.knowledge.watch_of('lm').line
-        self.assertEqual(9000, line.backlog_tokens('i-0'))
+        prompt_queue = source.knowledge.watch_of('lm').line
+        self.assertEqual(9000, prompt_queue.backlog_tokens('i-0'))
 
     def test_an_unexpected_answer_is_dropped(self) -> None:
         """Guards against late or repeated answers that affect a call."""
