--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -122,7 +122,7 @@
         """Whether the prompt of a call is in flight."""
         return ticket_id in self._in_flight
 
-    def stays(self, ticket_id: str, now_s: float) -> bool:
+    def keep_waiting(self, ticket_id: str, now_s: float) -> bool:
         """Whether a call that is now late stays queued; if not, remove it."""
         matching = [
             queued for queued in self._queued if queued.ticket_id == ticket_id
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -172,7 +172,7 @@
             return True
         if queue.is_reading(queued_prompt.ticket_id):
             return True
-        if not queue.stays(queued_prompt.ticket_id, clock_s()):
+        if not queue.keep_waiting(queued_prompt.ticket_id, clock_s()):
             return False
         result = waiters.wait(queued_prompt.ticket_id, queued_prompt.deadline_s)
         return result is WaitResult.ADMITTED or queue.is_reading(
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -180,7 +180,7 @@
                 for next_name in self.queue.leave(name, PREFILL_S, now_s):
                     waiting.discard(next_name)
                     start(next_name, now_s)
-            elif name in waiting and not self.queue.stays(name, now_s):
+            elif name in waiting and not self.queue.keep_waiting(name, now_s):
                 waiting.discard(name)
                 refuse(name, now_s)
         return (
