--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -168,7 +168,7 @@
                 tokens[prompt.target_id] += prompt.queued_prompt.tokens
         return tokens
 
-    def told(
+    def set_peer_backlog(
         self, sender: str, backlog: Mapping[str, int], now_s: float
     ) -> None:
         """Record the tokens that another node has in flight, by engine."""
--- a/packages/gateway/dandelionyoke_gateway/_backlog_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_backlog_task.py
@@ -81,4 +81,4 @@
         self._links.mark_heard(peer_id)
         for service, state in self._knowledge.service_states.items():
             backlog = message.tokens.get(service, {})
-            state.line.told(peer_id, backlog, clock_s())
+            state.line.set_peer_backlog(peer_id, backlog, clock_s())
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -128,7 +128,7 @@
     def test_an_old_backlog_expires(self) -> None:
         """Guards against engines left idle because of a node that is cut off."""
         prompt_queue = self.second.knowledge.watch_of('lm').line
-        prompt_queue.told('n-9', {'i-0': 9000}, clock_s() - 0.6)
+        prompt_queue.set_peer_backlog('n-9', {'i-0': 9000}, clock_s() - 0.6)
         self.assertEqual(0, prompt_queue.fleet_backlog(clock_s())['i-0'])
 
     def test_an_invalid_backlog_is_ignored(self) -> None:
