--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -135,7 +135,7 @@
         self._queued.extend(matching)
         return True
 
-    def placed(self, ticket_id: str, target_id: str, now_s: float) -> None:
+    def assign(self, ticket_id: str, target_id: str, now_s: float) -> None:
         """Record the engine that prefills the prompt of a call."""
         self._in_flight[ticket_id].target_id = target_id
         self._placed_s[target_id] = now_s
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -191,7 +191,7 @@
         )
         if home is not None:
             target_id = home.target.target_id
-            state.line.placed(
+            state.line.assign(
                 queued.queued_prompt.ticket_id, target_id, clock_s()
             )
         return home
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -68,7 +68,7 @@
         name = str(self.count)
         queued_prompt = QueuedPrompt(name, 0, 0, 1, 1, request.token_count)
         self.queue.enter(queued_prompt, len(ENGINES), now_s)
-        self.queue.placed(name, chosen, now_s)
+        self.queue.assign(name, chosen, now_s)
         return chosen
 
     def test_a_shared_prefix_goes_to_the_engine_that_cached_it(self) -> None:
@@ -118,7 +118,7 @@
         long_prompt = prompt('x', shared=20000, own=100)
         first = self.place(long_prompt)
         self.queue.enter(QueuedPrompt('short', 0, 0, 1, 1, 500), 4, 0)
-        self.queue.placed('short', first, 0)
+        self.queue.assign('short', first, 0)
         self.assertEqual(first, self.place(long_prompt))
 
     def test_equal_engines_take_turns(self) -> None:
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_reading_line.py
@@ -83,7 +83,7 @@
         """Guards against a partition that blocks the prompts of a domain."""
         self.fill()
         for name in 'ab':
-            self.queue.placed(name, 'lost', 0)
+            self.queue.assign(name, 'lost', 0)
         self.assertEqual(
             QueueDecision.WAIT, self.queue.enter(queued_prompt('c'), 1, 0)
         )
@@ -128,7 +128,7 @@
 
     def test_engines_that_are_gone_are_removed(self) -> None:
         self.fill('a')
-        self.queue.placed('a', 'i-1', 5)
+        self.queue.assign('a', 'i-1', 5)
         self.queue.forget(frozenset(('i-2',)))
         self.assertEqual(0, self.queue.placed_s('i-1'))
 
