--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -74,7 +74,7 @@
         self._settings = settings
         self._max_in_flight = 1
         # The moving average of recent prefill times.
-        self.mean_s = 0.0
+        self.mean_prefill_s = 0.0
         self._in_flight: dict[str, _InFlight] = {}
         self._queued: list[QueuedPrompt] = []
         self._placed_s: dict[str, float] = {}
@@ -227,12 +227,14 @@
         return now_s + wait_s < queued_prompt.deadline_s
 
     def _wait_s(self, position: int) -> float:
-        return position * self.mean_s / self._max_in_flight
+        return position * self.mean_prefill_s / self._max_in_flight
 
     def _update_mean(self, read_s: float) -> None:
-        if not self.mean_s:
-            self.mean_s = read_s
-        self.mean_s += PREFILL_MEAN_WEIGHT * (read_s - self.mean_s)
+        if not self.mean_prefill_s:
+            self.mean_prefill_s = read_s
+        self.mean_prefill_s += PREFILL_MEAN_WEIGHT * (
+            read_s - self.mean_prefill_s
+        )
 
     def _admit_queued(self, now_s: float) -> list[str]:
         admitted = []
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -155,7 +155,7 @@
             self._service_stats.pace.found.expected_s(prompt.token_count) or 0.0
         )
         return max(
-            SLOW_FETCH_MEAN_FACTOR * self._service_stats.line.mean_s,
+            SLOW_FETCH_MEAN_FACTOR * self._service_stats.line.mean_prefill_s,
             SLOW_FETCH_GOAL_SHARE * self._context.route.goal_s,
             SLOW_FETCH_PREFILL_FACTOR * expected_s,
         )
