--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
@@ -118,7 +118,7 @@
         """The number of prompts in flight or queued."""
         return len(self._in_flight) + len(self._queued)
 
-    def is_reading(self, ticket_id: str) -> bool:
+    def is_in_flight(self, ticket_id: str) -> bool:
         """Whether the prompt of a call is in flight."""
         return ticket_id in self._in_flight
 
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -170,12 +170,12 @@
             is WaitResult.ADMITTED
         ):
             return True
-        if queue.is_reading(queued_prompt.ticket_id):
+        if queue.is_in_flight(queued_prompt.ticket_id):
             return True
         if not queue.keep_waiting(queued_prompt.ticket_id, clock_s()):
             return False
         result = waiters.wait(queued_prompt.ticket_id, queued_prompt.deadline_s)
-        return result is WaitResult.ADMITTED or queue.is_reading(
+        return result is WaitResult.ADMITTED or queue.is_in_flight(
             queued_prompt.ticket_id
         )
 
