--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -76,18 +76,18 @@
     Placement as Placement,
     PrefillHome as PrefillHome,
 )
+from dandelionyoke_dispatch._prompt_queue import (
+    PromptQueue as PromptQueue,
+    PromptQueueSettings as PromptQueueSettings,
+    QueueDecision as QueueDecision,
+    QueuedPrompt as QueuedPrompt,
+)
 from dandelionyoke_dispatch._rate_limit import (
     LimitUnit as LimitUnit,
     LimitVerdict as LimitVerdict,
     RateLimit as RateLimit,
     RateLimiter as RateLimiter,
 )
-from dandelionyoke_dispatch._reading_line import (
-    PromptQueue as PromptQueue,
-    PromptQueueSettings as PromptQueueSettings,
-    QueueDecision as QueueDecision,
-    QueuedPrompt as QueuedPrompt,
-)
 from dandelionyoke_dispatch._reading_pace import (
     PromptPace as PromptPace,
     ReadingPace as ReadingPace,
--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -6,7 +6,7 @@
 
 from dandelionyoke_core import rendezvous
 from dandelionyoke_dispatch._calls import Prompt
-from dandelionyoke_dispatch._reading_line import PromptQueue
+from dandelionyoke_dispatch._prompt_queue import PromptQueue
 from dandelionyoke_dispatch._reading_pace import PromptPace, ReadingPace
 from dandelionyoke_dispatch._registry import (
     Phase,
