--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -89,9 +89,9 @@
     RateLimiter as RateLimiter,
 )
 from dandelionyoke_dispatch._reading_pace import (
+    PrefillTimeSettings as PrefillTimeSettings,
     PromptPace as PromptPace,
     ReadingPace as ReadingPace,
-    ReadingPaceSettings as ReadingPaceSettings,
 )
 from dandelionyoke_dispatch._refusals import (
     ELSEWHERE_S as ELSEWHERE_S,
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class ReadingPaceSettings:
+class PrefillTimeSettings:
     """Parameters of the estimate.
 
     The estimate follows `quantile` of the times per token. It is low because
@@ -28,7 +28,7 @@
     It is unknown until the first prompt was prefilled.
     """
 
-    def __init__(self, settings: ReadingPaceSettings) -> None:
+    def __init__(self, settings: PrefillTimeSettings) -> None:
         self._settings = settings
         self._token_s: float | None = None
 
@@ -57,7 +57,7 @@
     the shared prefixes, as if all of them were cached.
     """
 
-    def __init__(self, settings: ReadingPaceSettings) -> None:
+    def __init__(self, settings: PrefillTimeSettings) -> None:
         self.found = ReadingPace(settings)
         self.unkept = ReadingPace(settings)
 
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -28,10 +28,10 @@
     OverloadSettings,
     Phase,
     Placement,
+    PrefillTimeSettings,
     PromptPace,
     PromptQueue,
     PromptQueueSettings,
-    ReadingPaceSettings,
     RegistrySettings,
     ServiceDemand,
     SourceChoice,
@@ -74,7 +74,7 @@
         factory=lambda: OverloadDetector(OverloadSettings())
     )
     pace: PromptPace = attrs.field(
-        factory=lambda: PromptPace(ReadingPaceSettings())
+        factory=lambda: PromptPace(PrefillTimeSettings())
     )
     line: PromptQueue = attrs.field(
         factory=lambda: PromptQueue(PromptQueueSettings())
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -8,13 +8,13 @@
     Phase,
     Placement,
     PrefillHome,
+    PrefillTimeSettings,
     Prompt,
     PromptPace,
     PromptPart,
     PromptQueue,
     PromptQueueSettings,
     QueuedPrompt,
-    ReadingPaceSettings,
     RegisteredTarget,
     RegistrySettings,
     SuspicionSettings,
@@ -48,7 +48,7 @@
         self.fetches = TargetLoads(SuspicionSettings(failures_in_a_row=1))
         self.placement = Placement(registry, loads, self.fetches, 'a', 'n-1')
         self.queue = PromptQueue(PromptQueueSettings(max_prompts_per_engine=99))
-        self.pace = PromptPace(ReadingPaceSettings())
+        self.pace = PromptPace(PrefillTimeSettings())
         self.pace.took(prompt('y'), 9000 * TOKEN_S)
         self.count = 0
 
@@ -138,7 +138,7 @@
         )
 
     def test_tokens_in_flight_decide_before_the_first_response(self) -> None:
-        self.pace = PromptPace(ReadingPaceSettings())
+        self.pace = PromptPace(PrefillTimeSettings())
         chosen = {
             self.place_and_start(prompt('x'), number) for number in range(12)
         }
--- a/tests/dispatch/test_reading_pace.py
+++ b/tests/dispatch/test_reading_pace.py
@@ -3,18 +3,18 @@
 import testtools
 
 from dandelionyoke_dispatch import (
+    PrefillTimeSettings,
     Prompt,
     PromptPace,
     PromptPart,
     ReadingPace,
-    ReadingPaceSettings,
 )
 
 
 class ReadingPaceTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.pace = ReadingPace(ReadingPaceSettings())
+        self.pace = ReadingPace(PrefillTimeSettings())
 
     def test_the_time_is_unknown_before_the_first_prompt(self) -> None:
         self.assertIsNone(self.pace.expected_s(1000))
@@ -48,7 +48,7 @@
         without the shared prefix would seem as fast as the one that has it
         cached.
         """
-        pace = PromptPace(ReadingPaceSettings())
+        pace = PromptPace(PrefillTimeSettings())
         parts = (PromptPart('x', 18000), PromptPart('own', 2000))
         for _ in range(50):
             pace.took(Prompt('m', 20000, 10, parts), 0.1)
