--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -91,7 +91,7 @@
 from dandelionyoke_dispatch._reading_pace import (
     PrefillTimeSettings as PrefillTimeSettings,
     PromptPace as PromptPace,
-    ReadingPace as ReadingPace,
+    TokenTimeEstimate as TokenTimeEstimate,
 )
 from dandelionyoke_dispatch._refusals import (
     ELSEWHERE_S as ELSEWHERE_S,
--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -7,7 +7,7 @@
 from dandelionyoke_core import rendezvous
 from dandelionyoke_dispatch._calls import Prompt
 from dandelionyoke_dispatch._prompt_queue import PromptQueue
-from dandelionyoke_dispatch._reading_pace import PromptPace, ReadingPace
+from dandelionyoke_dispatch._reading_pace import PromptPace, TokenTimeEstimate
 from dandelionyoke_dispatch._registry import (
     Phase,
     RegisteredTarget,
@@ -198,9 +198,9 @@
         return healthy or candidates
 
 
-def _prefill_time_s(pace: ReadingPace, tokens: int) -> float:
+def _prefill_time_s(estimate: TokenTimeEstimate, tokens: int) -> float:
     """Return the prefill time; the token count while the time is unknown."""
-    expected_s = pace.expected_s(tokens)
+    expected_s = estimate.expected_s(tokens)
     return tokens if expected_s is None else expected_s
 
 
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
@@ -22,7 +22,7 @@
     min_tokens: int = 1000
 
 
-class ReadingPace:
+class TokenTimeEstimate:
     """The prefill time per token of an otherwise idle engine.
 
     It is unknown until the first prompt was prefilled.
@@ -58,8 +58,8 @@
     """
 
     def __init__(self, settings: PrefillTimeSettings) -> None:
-        self.found = ReadingPace(settings)
-        self.unkept = ReadingPace(settings)
+        self.found = TokenTimeEstimate(settings)
+        self.unkept = TokenTimeEstimate(settings)
 
     def took(self, prompt: Prompt, took_s: float) -> None:
         """Add the time between sending a prompt and receiving the response."""
--- a/tests/dispatch/test_reading_pace.py
+++ b/tests/dispatch/test_reading_pace.py
@@ -7,37 +7,37 @@
     Prompt,
     PromptPace,
     PromptPart,
-    ReadingPace,
+    TokenTimeEstimate,
 )
 
 
-class ReadingPaceTest(testtools.TestCase):
+class TokenTimeEstimateTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.pace = ReadingPace(PrefillTimeSettings())
+        self.estimate = TokenTimeEstimate(PrefillTimeSettings())
 
     def test_the_time_is_unknown_before_the_first_prompt(self) -> None:
-        self.assertIsNone(self.pace.expected_s(1000))
-        self.pace.took(10, 0.05)
-        self.assertIsNone(self.pace.expected_s(1000))
+        self.assertIsNone(self.estimate.expected_s(1000))
+        self.estimate.took(10, 0.05)
+        self.assertIsNone(self.estimate.expected_s(1000))
 
     def test_prompts_slowed_by_others_hardly_count(self) -> None:
         for number in range(400):
-            self.pace.took(2000, 0.02 if number % 3 else 0.3)
-        expected_s = self.pace.expected_s(1000) or 0
+            self.estimate.took(2000, 0.02 if number % 3 else 0.3)
+        expected_s = self.estimate.expected_s(1000) or 0
         self.assertGreater(expected_s, 0.007)
         self.assertLess(expected_s, 0.013)
 
     def test_the_estimate_follows_an_engine_eight_times_faster(self) -> None:
-        self.pace.took(2000, 0.16)
+        self.estimate.took(2000, 0.16)
         for _ in range(60):
-            self.pace.took(2000, 0.02)
-        expected_s = self.pace.expected_s(1000) or 0
+            self.estimate.took(2000, 0.02)
+        expected_s = self.estimate.expected_s(1000) or 0
         self.assertLess(expected_s, 0.02)
 
     def test_a_time_of_zero_is_ignored(self) -> None:
-        self.pace.took(2000, 0)
-        self.assertIsNone(self.pace.expected_s(1000))
+        self.estimate.took(2000, 0)
+        self.assertIsNone(self.estimate.expected_s(1000))
 
 
 class PromptPaceTest(testtools.TestCase):
