--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -89,8 +89,8 @@
     RateLimiter as RateLimiter,
 )
 from dandelionyoke_dispatch._reading_pace import (
+    PrefillTimeEstimate as PrefillTimeEstimate,
     PrefillTimeSettings as PrefillTimeSettings,
-    PromptPace as PromptPace,
     TokenTimeEstimate as TokenTimeEstimate,
 )
 from dandelionyoke_dispatch._refusals import (
--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -7,7 +7,10 @@
 from dandelionyoke_core import rendezvous
 from dandelionyoke_dispatch._calls import Prompt
 from dandelionyoke_dispatch._prompt_queue import PromptQueue
-from dandelionyoke_dispatch._reading_pace import PromptPace, TokenTimeEstimate
+from dandelionyoke_dispatch._reading_pace import (
+    PrefillTimeEstimate,
+    TokenTimeEstimate,
+)
 from dandelionyoke_dispatch._registry import (
     Phase,
     RegisteredTarget,
@@ -57,7 +60,7 @@
         self,
         service: str,
         prompt: Prompt,
-        pace: PromptPace,
+        prefill_time: PrefillTimeEstimate,
         queue: PromptQueue,
         avoid: Collection[str],
         now_s: float,
@@ -81,13 +84,13 @@
             or preferred
         )
         move_cost_s = MOVE_COST_SHARE * _prefill_time_s(
-            pace.unkept, prompt.shared_tokens
+            prefill_time.unkept, prompt.shared_tokens
         )
         backlog = queue.fleet_backlog(now_s)
         chosen = min(
             engines,
             key=lambda engine: (
-                _prefill_time_s(pace.found, backlog[engine.target_id])
+                _prefill_time_s(prefill_time.found, backlog[engine.target_id])
                 + move_cost_s * (engine is not preferred),
                 queue.placed_s(engine.target_id),
                 engine.target_id,
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
@@ -50,7 +50,7 @@
         return None if self._token_s is None else tokens * self._token_s
 
 
-class PromptPace:
+class PrefillTimeEstimate:
     """The prefill time per token, with and without cached tokens.
 
     `found` counts cached shared prefixes as prefilled tokens. `unkept` excludes
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -28,8 +28,8 @@
     OverloadSettings,
     Phase,
     Placement,
+    PrefillTimeEstimate,
     PrefillTimeSettings,
-    PromptPace,
     PromptQueue,
     PromptQueueSettings,
     RegistrySettings,
@@ -73,8 +73,8 @@
     strain: OverloadDetector = attrs.field(
         factory=lambda: OverloadDetector(OverloadSettings())
     )
-    pace: PromptPace = attrs.field(
-        factory=lambda: PromptPace(PrefillTimeSettings())
+    pace: PrefillTimeEstimate = attrs.field(
+        factory=lambda: PrefillTimeEstimate(PrefillTimeSettings())
     )
     line: PromptQueue = attrs.field(
         factory=lambda: PromptQueue(PromptQueueSettings())
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -158,8 +158,8 @@
         """Release a grant, and record how long the prefill took."""
         self._release(grant.request, grant.ticket_id, result.read_s)
         if result.read_s is not None:
-            pace = self._service_state(grant.request).pace
-            pace.took(grant.request.prompt, result.read_s)
+            prefill_time = self._service_state(grant.request).pace
+            prefill_time.took(grant.request.prompt, result.read_s)
 
     def _await_turn(self, queued: QueuedPrefill) -> bool:
         """Wait; return False if the turn will not come before the deadline."""
@@ -198,8 +198,8 @@
 
     def _build_queued_prompt(self, request: PrefillRequest) -> QueuedPrompt:
         tokens = request.prompt.token_count
-        pace = self._service_state(request).pace
-        read_s = pace.found.expected_s(tokens) or 0.0
+        prefill_time = self._service_state(request).pace
+        read_s = prefill_time.found.expected_s(tokens) or 0.0
         max_wait_s = max(
             PREFILL_GOAL_SHARE * request.goal_s - read_s,
             LARGE_PROMPT_GOAL_SHARE * request.goal_s,
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -8,9 +8,9 @@
     Phase,
     Placement,
     PrefillHome,
+    PrefillTimeEstimate,
     PrefillTimeSettings,
     Prompt,
-    PromptPace,
     PromptPart,
     PromptQueue,
     PromptQueueSettings,
@@ -48,13 +48,13 @@
         self.fetches = TargetLoads(SuspicionSettings(failures_in_a_row=1))
         self.placement = Placement(registry, loads, self.fetches, 'a', 'n-1')
         self.queue = PromptQueue(PromptQueueSettings(max_prompts_per_engine=99))
-        self.pace = PromptPace(PrefillTimeSettings())
-        self.pace.took(prompt('y'), 9000 * TOKEN_S)
+        self.prefill_time = PrefillTimeEstimate(PrefillTimeSettings())
+        self.prefill_time.took(prompt('y'), 9000 * TOKEN_S)
         self.count = 0
 
     def home(self, request: Prompt, now_s: float = 0) -> PrefillHome:
         home = self.placement.prefill_home(
-            'lm', request, self.pace, self.queue, (), now_s
+            'lm', request, self.prefill_time, self.queue, (), now_s
         )
         assert home is not None
         return home
@@ -138,7 +138,7 @@
         )
 
     def test_tokens_in_flight_decide_before_the_first_response(self) -> None:
-        self.pace = PromptPace(PrefillTimeSettings())
+        self.prefill_time = PrefillTimeEstimate(PrefillTimeSettings())
         chosen = {
             self.place_and_start(prompt('x'), number) for number in range(12)
         }
--- a/tests/dispatch/test_reading_pace.py
+++ b/tests/dispatch/test_reading_pace.py
@@ -3,9 +3,9 @@
 import testtools
 
 from dandelionyoke_dispatch import (
+    PrefillTimeEstimate,
     PrefillTimeSettings,
     Prompt,
-    PromptPace,
     PromptPart,
     TokenTimeEstimate,
 )
@@ -40,7 +40,7 @@
         self.assertIsNone(self.estimate.expected_s(1000))
 
 
-class PromptPaceTest(testtools.TestCase):
+class PrefillTimeEstimateTest(testtools.TestCase):
     def test_cached_and_uncached_tokens_are_distinguished(self) -> None:
         """Engines have nine tenths of each prompt cached.
 
@@ -48,11 +48,11 @@
         without the shared prefix would seem as fast as the one that has it
         cached.
         """
-        pace = PromptPace(PrefillTimeSettings())
+        prefill_time = PrefillTimeEstimate(PrefillTimeSettings())
         parts = (PromptPart('x', 18000), PromptPart('own', 2000))
         for _ in range(50):
-            pace.took(Prompt('m', 20000, 10, parts), 0.1)
-        found_s = pace.found.expected_s(18000) or 0
-        unkept_s = pace.unkept.expected_s(18000) or 0
+            prefill_time.took(Prompt('m', 20000, 10, parts), 0.1)
+        found_s = prefill_time.found.expected_s(18000) or 0
+        unkept_s = prefill_time.unkept.expected_s(18000) or 0
         self.assertLess(abs(found_s - 0.09), 0.02)
         self.assertLess(abs(unkept_s - 0.9), 0.2)
