--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -90,7 +90,9 @@
         chosen = min(
             engines,
             key=lambda engine: (
-                _prefill_time_s(prefill_time.found, backlog[engine.target_id])
+                _prefill_time_s(
+                    prefill_time.with_cache, backlog[engine.target_id]
+                )
                 + move_cost_s * (engine is not preferred),
                 queue.placed_s(engine.target_id),
                 engine.target_id,
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
@@ -53,15 +53,15 @@
 class PrefillTimeEstimate:
     """The prefill time per token, with and without cached tokens.
 
-    `found` counts cached shared prefixes as prefilled tokens. `unkept` excludes
+    `with_cache` counts cached shared prefixes as prefilled tokens. `unkept` excludes
     the shared prefixes, as if all of them were cached.
     """
 
     def __init__(self, settings: PrefillTimeSettings) -> None:
-        self.found = TokenTimeEstimate(settings)
+        self.with_cache = TokenTimeEstimate(settings)
         self.unkept = TokenTimeEstimate(settings)
 
     def took(self, prompt: Prompt, took_s: float) -> None:
         """Add the time between sending a prompt and receiving the response."""
-        self.found.took(prompt.token_count, took_s)
+        self.with_cache.took(prompt.token_count, took_s)
         self.unkept.took(prompt.token_count - prompt.shared_tokens, took_s)
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -199,7 +199,7 @@
     def _build_queued_prompt(self, request: PrefillRequest) -> QueuedPrompt:
         tokens = request.prompt.token_count
         prefill_time = self._service_state(request).pace
-        read_s = prefill_time.found.expected_s(tokens) or 0.0
+        read_s = prefill_time.with_cache.expected_s(tokens) or 0.0
         max_wait_s = max(
             PREFILL_GOAL_SHARE * request.goal_s - read_s,
             LARGE_PROMPT_GOAL_SHARE * request.goal_s,
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -152,7 +152,8 @@
 
     def _slow_fetch_s(self, prompt: Prompt) -> float:
         expected_s = (
-            self._service_stats.pace.found.expected_s(prompt.token_count) or 0.0
+            self._service_stats.pace.with_cache.expected_s(prompt.token_count)
+            or 0.0
         )
         return max(
             SLOW_FETCH_MEAN_FACTOR * self._service_stats.line.mean_prefill_s,
--- a/tests/dispatch/test_reading_pace.py
+++ b/tests/dispatch/test_reading_pace.py
@@ -52,7 +52,7 @@
         parts = (PromptPart('x', 18000), PromptPart('own', 2000))
         for _ in range(50):
             prefill_time.took(Prompt('m', 20000, 10, parts), 0.1)
-        found_s = prefill_time.found.expected_s(18000) or 0
+        with_cache_s = prefill_time.with_cache.expected_s(18000) or 0
         unkept_s = prefill_time.unkept.expected_s(18000) or 0
-        self.assertLess(abs(found_s - 0.09), 0.02)
+        self.assertLess(abs(with_cache_s - 0.09), 0.02)
         self.assertLess(abs(unkept_s - 0.9), 0.2)
