--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -84,7 +84,7 @@
             or preferred
         )
         move_cost_s = MOVE_COST_SHARE * _prefill_time_s(
-            prefill_time.unkept, prompt.shared_tokens
+            prefill_time.without_cache, prompt.shared_tokens
         )
         backlog = queue.fleet_backlog(now_s)
         chosen = min(
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
@@ -53,15 +53,17 @@
 class PrefillTimeEstimate:
     """The prefill time per token, with and without cached tokens.
 
-    `with_cache` counts cached shared prefixes as prefilled tokens. `unkept` excludes
+    `with_cache` counts cached shared prefixes as prefilled tokens. `without_cache` excludes
     the shared prefixes, as if all of them were cached.
     """
 
     def __init__(self, settings: PrefillTimeSettings) -> None:
         self.with_cache = TokenTimeEstimate(settings)
-        self.unkept = TokenTimeEstimate(settings)
+        self.without_cache = TokenTimeEstimate(settings)
 
     def took(self, prompt: Prompt, took_s: float) -> None:
         """Add the time between sending a prompt and receiving the response."""
         self.with_cache.took(prompt.token_count, took_s)
-        self.unkept.took(prompt.token_count - prompt.shared_tokens, took_s)
+        self.without_cache.took(
+            prompt.token_count - prompt.shared_tokens, took_s
+        )
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -170,7 +170,7 @@
         prefills all tokens at the speed for uncached tokens, however fast the
         prefill engines are with the prefixes that they cache.
         """
-        prefill_s = self._service_stats.pace.unkept.expected_s(
+        prefill_s = self._service_stats.pace.without_cache.expected_s(
             prompt.token_count
         )
         if prefill_s is None:
--- a/tests/dispatch/test_reading_pace.py
+++ b/tests/dispatch/test_reading_pace.py
@@ -53,6 +53,6 @@
         for _ in range(50):
             prefill_time.took(Prompt('m', 20000, 10, parts), 0.1)
         with_cache_s = prefill_time.with_cache.expected_s(18000) or 0
-        unkept_s = prefill_time.unkept.expected_s(18000) or 0
+        without_cache_s = prefill_time.without_cache.expected_s(18000) or 0
         self.assertLess(abs(with_cache_s - 0.09), 0.02)
-        self.assertLess(abs(unkept_s - 0.9), 0.2)
+        self.assertLess(abs(without_cache_s - 0.9), 0.2)
