--- a/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
@@ -32,7 +32,7 @@
         self._settings = settings
         self._token_s: float | None = None
 
-    def took(self, tokens: int, took_s: float) -> None:
+    def add_sample(self, tokens: int, took_s: float) -> None:
         """Add the time between sending a prompt and receiving the response."""
         if tokens < self._settings.min_tokens or took_s <= 0:
             return
@@ -61,9 +61,9 @@
         self.with_cache = TokenTimeEstimate(settings)
         self.without_cache = TokenTimeEstimate(settings)
 
-    def took(self, prompt: Prompt, took_s: float) -> None:
+    def add_sample(self, prompt: Prompt, took_s: float) -> None:
         """Add the time between sending a prompt and receiving the response."""
-        self.with_cache.took(prompt.token_count, took_s)
-        self.without_cache.took(
+        self.with_cache.add_sample(prompt.token_count, took_s)
+        self.without_cache.add_sample(
             prompt.token_count - prompt.shared_tokens, took_s
         )
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -159,7 +159,7 @@
         self._release(grant.request, grant.ticket_id, result.read_s)
         if result.read_s is not None:
             prefill_time = self._service_state(grant.request).pace
-            prefill_time.took(grant.request.prompt, result.read_s)
+            prefill_time.add_sample(grant.request.prompt, result.read_s)
 
     def _await_turn(self, queued: QueuedPrefill) -> bool:
         """Wait; return False if the turn will not come before the deadline."""
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -49,7 +49,7 @@
         self.placement = Placement(registry, loads, self.fetches, 'a', 'n-1')
         self.queue = PromptQueue(PromptQueueSettings(max_prompts_per_engine=99))
         self.prefill_time = PrefillTimeEstimate(PrefillTimeSettings())
-        self.prefill_time.took(prompt('y'), 9000 * TOKEN_S)
+        self.prefill_time.add_sample(prompt('y'), 9000 * TOKEN_S)
         self.count = 0
 
     def home(self, request: Prompt, now_s: float = 0) -> PrefillHome:
