--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -76,6 +76,11 @@
     Placement as Placement,
     PrefillHome as PrefillHome,
 )
+from dandelionyoke_dispatch._prefill_time import (
+    PrefillTimeEstimate as PrefillTimeEstimate,
+    PrefillTimeSettings as PrefillTimeSettings,
+    TokenTimeEstimate as TokenTimeEstimate,
+)
 from dandelionyoke_dispatch._prompt_queue import (
     PromptQueue as PromptQueue,
     PromptQueueSettings as PromptQueueSettings,
@@ -88,11 +93,6 @@
     RateLimit as RateLimit,
     RateLimiter as RateLimiter,
 )
-from dandelionyoke_dispatch._reading_pace import (
-    PrefillTimeEstimate as PrefillTimeEstimate,
-    PrefillTimeSettings as PrefillTimeSettings,
-    TokenTimeEstimate as TokenTimeEstimate,
-)
 from dandelionyoke_dispatch._refusals import (
     ELSEWHERE_S as ELSEWHERE_S,
     SOON_S as SOON_S,
--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -6,11 +6,11 @@
 
 from dandelionyoke_core import rendezvous
 from dandelionyoke_dispatch._calls import Prompt
-from dandelionyoke_dispatch._prompt_queue import PromptQueue
-from dandelionyoke_dispatch._reading_pace import (
+from dandelionyoke_dispatch._prefill_time import (
     PrefillTimeEstimate,
     TokenTimeEstimate,
 )
+from dandelionyoke_dispatch._prompt_queue import PromptQueue
 from dandelionyoke_dispatch._registry import (
     Phase,
     RegisteredTarget,
