--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -100,7 +100,7 @@
         )
         source = None if holder.target_id == chosen.target_id else holder
         if source is not None:
-            if self._fetches.rests(source.target_id, now_s):
+            if self._fetches.is_in_cooldown(source.target_id, now_s):
                 source = None
         return PrefillHome(chosen, source)
 
@@ -124,7 +124,7 @@
             engine
             for engine in self._registry.all_of_service(service)
             if engine.phase is Phase.PREFILL
-            and not self._fetches.rests(engine.target_id, now_s)
+            and not self._fetches.is_in_cooldown(engine.target_id, now_s)
         ]
         return _first_ranked(engines, shared_key) if engines else None
 
@@ -197,7 +197,7 @@
         healthy = [
             target
             for target in candidates
-            if not self._loads.rests(target.target_id, now_s)
+            if not self._loads.is_in_cooldown(target.target_id, now_s)
         ]
         # If all targets are suspect, one of them is still better than none.
         return healthy or candidates
--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -110,7 +110,7 @@
         Failures that many nodes report at the same moment carry no more
         information than one, so they are ignored during a cooldown.
         """
-        if not self.rests(target_id, now_s):
+        if not self.is_in_cooldown(target_id, now_s):
             self._count_failure(target_id, failure, now_s)
 
     def suspected(self, target_id: str, now_s: float) -> None:
@@ -164,7 +164,7 @@
         The registry lists a crashed target for some heartbeats more.
         """
         return (
-            self.rests(target_id, now_s)
+            self.is_in_cooldown(target_id, now_s)
             and self._load_of(target_id).is_unreachable
         )
 
@@ -184,7 +184,7 @@
         reported_s = self._load_of(target_id).reported_s
         return now_s - reported_s <= REPORT_LIFETIME_S
 
-    def rests(self, target_id: str, now_s: float) -> bool:
+    def is_in_cooldown(self, target_id: str, now_s: float) -> bool:
         """Whether a target is in cooldown."""
         return now_s < self._load_of(target_id).cooldown_until_s
 
--- a/tests/dispatch/test_target_load.py
+++ b/tests/dispatch/test_target_load.py
@@ -37,7 +37,7 @@
         self.loads.unreachable('i-1', 0)
         self.loads.refused('i-1', 0)
         self.assertFalse(self.loads.is_lost('i-1', 0.1))
-        self.assertTrue(self.loads.rests('i-1', 0.1))
+        self.assertTrue(self.loads.is_in_cooldown('i-1', 0.1))
 
     def test_a_target_that_fails_calls_is_reachable(self) -> None:
         self.loads.failed('i-1', 0)
@@ -48,14 +48,14 @@
         """Guards against a long cooldown after one short failure."""
         for _ in range(39):
             self.loads.told('i-1', TargetFailure.REFUSED, 0)
-        self.assertTrue(self.loads.rests('i-1', 0.9))
-        self.assertFalse(self.loads.rests('i-1', 1.1))
+        self.assertTrue(self.loads.is_in_cooldown('i-1', 0.9))
+        self.assertFalse(self.loads.is_in_cooldown('i-1', 1.1))
 
     def test_old_failures_expire(self) -> None:
         """Guards against growing cooldowns after rare failures."""
         for at_s in range(0, 100, 10):
             self.loads.told('i-1', TargetFailure.REFUSED, at_s)
-        self.assertFalse(self.loads.rests('i-1', 91.1))
+        self.assertFalse(self.loads.is_in_cooldown('i-1', 91.1))
 
     def test_a_target_suspected_by_others_is_skipped_briefly(self) -> None:
         """Guards against a suspicion that outlasts its reason."""
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -276,7 +276,7 @@
         eventlet.sleep(0.02)
         grant = second.queue.enter(request())
         self.assertEqual('i-1', grant.home.target.target_id)
-        self.assertTrue(second.knowledge.loads.rests('i-0', clock_s()))
+        self.assertTrue(second.knowledge.loads.is_in_cooldown('i-0', clock_s()))
 
     def test_failures_of_a_cut_off_node_do_not_exclude_all_engines(
         self,
@@ -296,7 +296,7 @@
         cut_off.knowledge.loads.unreachable(target_id, clock_s())
         eventlet.sleep(0.02)
         loads.succeeded(target_id)
-        self.assertFalse(loads.rests(target_id, clock_s() + 1.1))
+        self.assertFalse(loads.is_in_cooldown(target_id, clock_s() + 1.1))
 
     def test_invalid_and_repeated_requests_are_dropped(self) -> None:
         """Guards against grants for invalid figures of another version."""
