--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -119,7 +119,7 @@
         until_s = now_s + self._settings.peer_suspicion_s
         load.cooldown_until_s = max(load.cooldown_until_s, until_s)
 
-    def resting(self, now_s: float) -> list[str]:
+    def in_cooldown(self, now_s: float) -> list[str]:
         """Return the targets in cooldown."""
         return sorted(
             target_id
@@ -131,7 +131,7 @@
         """Return the targets that accept no connection."""
         return [
             target_id
-            for target_id in self.resting(now_s)
+            for target_id in self.in_cooldown(now_s)
             if self._load_of(target_id).is_unreachable
         ]
 
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -155,7 +155,7 @@
         )
 
     def _suspected_targets(self) -> tuple[str, ...]:
-        return tuple(self._loads.resting(clock_s())[:MAX_SUSPECTS])
+        return tuple(self._loads.in_cooldown(clock_s())[:MAX_SUSPECTS])
 
     def _release(self, key: RequestKey, result: PrefillResult) -> None:
         grant = self._granted.pop(key, None)
--- a/tests/dispatch/test_target_load.py
+++ b/tests/dispatch/test_target_load.py
@@ -60,8 +60,8 @@
     def test_a_target_suspected_by_others_is_skipped_briefly(self) -> None:
         """Guards against a suspicion that outlasts its reason."""
         self.loads.suspected('i-1', 0)
-        self.assertEqual(['i-1'], self.loads.resting(0.3))
-        self.assertEqual([], self.loads.resting(0.5))
+        self.assertEqual(['i-1'], self.loads.in_cooldown(0.3))
+        self.assertEqual([], self.loads.in_cooldown(0.5))
 
     def test_only_unreachable_targets_are_listed_as_lost(self) -> None:
         """Guards against full engines that get more and more prompts."""
