--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -102,7 +102,7 @@
         self._count_failure(target_id, TargetFailure.UNREACHABLE, now_s)
         self._notify(target_id, TargetFailure.UNREACHABLE)
 
-    def told(
+    def record_peer_failure(
         self, target_id: str, failure: TargetFailure, now_s: float
     ) -> None:
         """Count a failure of a call from another node.
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -166,7 +166,9 @@
 
     def handle_failure(self, message: TargetFailed) -> None:
         """Record a target failure reported by another node."""
-        self._loads.told(message.target_id, message.failure, clock_s())
+        self._loads.record_peer_failure(
+            message.target_id, message.failure, clock_s()
+        )
 
     def _refuse(self, key: RequestKey, error: TooLateError) -> None:
         peer_id, number = key
--- a/tests/dispatch/test_target_load.py
+++ b/tests/dispatch/test_target_load.py
@@ -47,14 +47,14 @@
     def test_simultaneous_failures_of_many_nodes_count_once(self) -> None:
         """Guards against a long cooldown after one short failure."""
         for _ in range(39):
-            self.loads.told('i-1', TargetFailure.REFUSED, 0)
+            self.loads.record_peer_failure('i-1', TargetFailure.REFUSED, 0)
         self.assertTrue(self.loads.is_in_cooldown('i-1', 0.9))
         self.assertFalse(self.loads.is_in_cooldown('i-1', 1.1))
 
     def test_old_failures_expire(self) -> None:
         """Guards against growing cooldowns after rare failures."""
         for at_s in range(0, 100, 10):
-            self.loads.told('i-1', TargetFailure.REFUSED, at_s)
+            self.loads.record_peer_failure('i-1', TargetFailure.REFUSED, at_s)
         self.assertFalse(self.loads.is_in_cooldown('i-1', 91.1))
 
     def test_a_target_suspected_by_others_is_skipped_briefly(self) -> None:
@@ -65,6 +65,6 @@
 
     def test_only_unreachable_targets_are_listed_as_lost(self) -> None:
         """Guards against full engines that get more and more prompts."""
-        self.loads.told('i-1', TargetFailure.REFUSED, 0)
-        self.loads.told('i-2', TargetFailure.UNREACHABLE, 0)
+        self.loads.record_peer_failure('i-1', TargetFailure.REFUSED, 0)
+        self.loads.record_peer_failure('i-2', TargetFailure.UNREACHABLE, 0)
         self.assertEqual(['i-2'], self.loads.lost(0.1))
