--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -175,11 +175,11 @@
     def busy(self, target_id: str, now_s: float) -> int:
         """Estimate the calls at a target, including those of other nodes."""
         load = self._load_of(target_id)
-        if not self.is_told(target_id, now_s):
+        if not self.has_recent_report(target_id, now_s):
             return load.in_flight
         return max(load.in_flight, load.reported)
 
-    def is_told(self, target_id: str, now_s: float) -> bool:
+    def has_recent_report(self, target_id: str, now_s: float) -> bool:
         """Whether a target reported its load recently."""
         reported_s = self._load_of(target_id).reported_s
         return now_s - reported_s <= REPORT_LIFETIME_S
--- a/packages/gateway/dandelionyoke_gateway/_phase_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_phase_task.py
@@ -218,7 +218,8 @@
             return 0
         loads = self._knowledge.loads
         reported = sum(
-            loads.is_told(target.target_id, now_s) for target in decode
+            loads.has_recent_report(target.target_id, now_s)
+            for target in decode
         )
         observed = sum(
             min(
