--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -127,7 +127,7 @@
             if now_s < load.cooldown_until_s
         )
 
-    def lost(self, now_s: float) -> list[str]:
+    def unreachable_ids(self, now_s: float) -> list[str]:
         """Return the targets that accept no connection."""
         return [
             target_id
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -120,7 +120,7 @@
             self._build_queued_prompt(request),
             self._queue(request),
         )
-        queue.set_unreachable(self._lost_targets())
+        queue.set_unreachable(self._unreachable_targets())
         decision = queue.enter(queued_prompt, engines, clock_s())
         if decision is QueueDecision.TOO_LATE:
             raise self._too_late(request)
@@ -217,12 +217,12 @@
         self, request: PrefillRequest, ticket_id: str, read_s: float | None
     ) -> None:
         queue = self._queue(request)
-        queue.set_unreachable(self._lost_targets())
+        queue.set_unreachable(self._unreachable_targets())
         for admitted_id in queue.leave(ticket_id, read_s, clock_s()):
             self._knowledge.waiters.admit(admitted_id)
 
-    def _lost_targets(self) -> frozenset[str]:
-        return frozenset(self._knowledge.loads.lost(clock_s()))
+    def _unreachable_targets(self) -> frozenset[str]:
+        return frozenset(self._knowledge.loads.unreachable_ids(clock_s()))
 
     def _too_late(self, request: PrefillRequest) -> TooLateError:
         return TooLateError(self._queue(request).retry_after_s())
--- a/tests/dispatch/test_target_load.py
+++ b/tests/dispatch/test_target_load.py
@@ -67,4 +67,4 @@
         """Guards against full engines that get more and more prompts."""
         self.loads.record_peer_failure('i-1', TargetFailure.REFUSED, 0)
         self.loads.record_peer_failure('i-2', TargetFailure.UNREACHABLE, 0)
-        self.assertEqual(['i-2'], self.loads.lost(0.1))
+        self.assertEqual(['i-2'], self.loads.unreachable_ids(0.1))
