--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -158,7 +158,7 @@
                 cooldown_s, self._settings.longest_rest_s
             )
 
-    def is_lost(self, target_id: str, now_s: float) -> bool:
+    def is_unreachable(self, target_id: str, now_s: float) -> bool:
         """Whether a target accepted no connection and is still in cooldown.
 
         The registry lists a crashed target for some heartbeats more.
--- a/packages/gateway/dandelionyoke_gateway/_phase_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_phase_task.py
@@ -103,7 +103,7 @@
         registered = [
             target
             for target in self._knowledge.registry.of_service(service)
-            if not self._knowledge.loads.is_lost(target.target_id, now_s)
+            if not self._knowledge.loads.is_unreachable(target.target_id, now_s)
         ]
         engines = self._with_assumed_phases(registered, now_s)
         settled = frozenset(
--- a/tests/dispatch/test_target_load.py
+++ b/tests/dispatch/test_target_load.py
@@ -22,27 +22,27 @@
         at the remaining ones.
         """
         self.loads.unreachable('i-1', 0)
-        self.assertTrue(self.loads.is_lost('i-1', 0.1))
+        self.assertTrue(self.loads.is_unreachable('i-1', 0.1))
 
     def test_an_unreachable_target_is_retried_after_the_cooldown(self) -> None:
         self.loads.unreachable('i-1', 0)
-        self.assertFalse(self.loads.is_lost('i-1', 9))
+        self.assertFalse(self.loads.is_unreachable('i-1', 9))
 
     def test_a_target_that_responds_is_reachable(self) -> None:
         self.loads.unreachable('i-1', 0)
         self.loads.succeeded('i-1')
-        self.assertFalse(self.loads.is_lost('i-1', 0.1))
+        self.assertFalse(self.loads.is_unreachable('i-1', 0.1))
 
     def test_a_target_that_refuses_is_reachable(self) -> None:
         self.loads.unreachable('i-1', 0)
         self.loads.refused('i-1', 0)
-        self.assertFalse(self.loads.is_lost('i-1', 0.1))
+        self.assertFalse(self.loads.is_unreachable('i-1', 0.1))
         self.assertTrue(self.loads.is_in_cooldown('i-1', 0.1))
 
     def test_a_target_that_fails_calls_is_reachable(self) -> None:
         self.loads.failed('i-1', 0)
         self.loads.failed('i-1', 0)
-        self.assertFalse(self.loads.is_lost('i-1', 0.1))
+        self.assertFalse(self.loads.is_unreachable('i-1', 0.1))
 
     def test_simultaneous_failures_of_many_nodes_count_once(self) -> None:
         """Guards against a long cooldown after one short failure."""
