--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -62,11 +62,11 @@
         """Set the listener for failures of calls from this node."""
         self._listener = listener
 
-    def began(self, target_id: str) -> None:
+    def call_started(self, target_id: str) -> None:
         """Count the start of a call."""
         self._load_of(target_id).in_flight += 1
 
-    def ended(self, target_id: str) -> None:
+    def call_ended(self, target_id: str) -> None:
         """Count the end of a call, whether it succeeded or not."""
         load = self._load_of(target_id)
         load.in_flight = max(0, load.in_flight - 1)
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -83,7 +83,7 @@
     def _send_to(self, target: RegisteredTarget) -> BufferedResponse | None:
         """Send the call to one target; None to go on with the next target."""
         self._tried_ids.add(target.target_id)
-        self._knowledge.loads.began(target.target_id)
+        self._knowledge.loads.call_started(target.target_id)
         try:
             response = self._exchange(target)
         except ExchangeError as error:
@@ -92,7 +92,7 @@
             )
             return None
         finally:
-            self._knowledge.loads.ended(target.target_id)
+            self._knowledge.loads.call_ended(target.target_id)
         return self._evaluate(target, response)
 
     def _exchange(self, target: RegisteredTarget) -> BufferedResponse:
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -190,13 +190,13 @@
         )
         head = self._state.new_request_head(forwarding)
         loads = self._knowledge.loads
-        loads.began(target.target_id)
+        loads.call_started(target.target_id)
         try:
             handle = self._exchange(target, head)
         except ExchangeError as error:
             raise self._state.record_failed_send(target, error) from error
         finally:
-            loads.ended(target.target_id)
+            loads.call_ended(target.target_id)
         if handle is None:
             self._state.tried_ids.add(target.target_id)
             loads.refused(target.target_id, clock_s())
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -142,7 +142,7 @@
         self, target: RegisteredTarget, prompt: PrefilledPrompt | None
     ) -> None:
         loads = self._knowledge.loads
-        loads.began(target.target_id)
+        loads.call_started(target.target_id)
         try:
             self._exchange(target, prompt)
         except ExchangeError as error:
@@ -151,7 +151,7 @@
                 self._prompt = None
             raise self._state.record_failed_send(target, error) from error
         finally:
-            loads.ended(target.target_id)
+            loads.call_ended(target.target_id)
 
     def _exchange(
         self, target: RegisteredTarget, prompt: PrefilledPrompt | None
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -180,7 +180,7 @@
         """
         self.list_engines('old', at_s=0)
         for _ in range(20):
-            self.loads.began('old')
+            self.loads.call_started('old')
         self.list_engines('old', 'new', at_s=10)
         self.assertEqual('old', self.choose_engine(at_s=11))
         self.assertEqual('new', self.choose_engine(at_s=16))
