--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -27,14 +27,14 @@
 
     A target that fails calls while its health check passes would otherwise keep
     receiving a share of the traffic. After `failures_in_a_row` it gets no calls
-    for a cooldown of `first_rest_s`, which doubles with each further failure. A
+    for a cooldown of `min_cooldown_s`, which doubles with each further failure. A
     target that another node suspects gets no calls for `peer_suspicion_s`.
     Failures expire after `failure_lifetime_s` without a further one.
     """
 
     failures_in_a_row: int = 2
-    first_rest_s: float = 0.5
-    longest_rest_s: float = 4.0
+    min_cooldown_s: float = 0.5
+    max_cooldown_s: float = 4.0
     peer_suspicion_s: float = 0.4
     failure_lifetime_s: float = 8.0
 
@@ -153,9 +153,9 @@
         load.failures += 1
         excess = load.failures - self._settings.failures_in_a_row
         if excess >= 0:
-            cooldown_s = self._settings.first_rest_s * 2**excess
+            cooldown_s = self._settings.min_cooldown_s * 2**excess
             load.cooldown_until_s = now_s + min(
-                cooldown_s, self._settings.longest_rest_s
+                cooldown_s, self._settings.max_cooldown_s
             )
 
     def is_unreachable(self, target_id: str, now_s: float) -> bool:
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -59,7 +59,7 @@
 # little, but each further slow one delays a caller. Engines that are gone
 # leave the registry within seconds.
 FETCH_SUSPICION = SuspicionSettings(
-    failures_in_a_row=1, first_rest_s=2.0, longest_rest_s=8.0
+    failures_in_a_row=1, min_cooldown_s=2.0, max_cooldown_s=8.0
 )
 
 NEVER_S = float('-inf')
