--- a/packages/dispatch/dandelionyoke_dispatch/_usage.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_usage.py
@@ -72,7 +72,7 @@
         end_s = (window_id + 1) * self._window_s
         return self._clock.wall_s(now_s) - end_s
 
-    def began(self, organisation: str, now_s: float) -> None:
+    def count_call(self, organisation: str, now_s: float) -> None:
         """Count a call that produced its first token at `now_s`."""
         window_id = self.window_at(now_s)
         if window_id not in self._counts:
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -177,7 +177,7 @@
         return
     context.is_usage_counted = True
     if context.organisation_name is not None:
-        tools.knowledge.usage.began(context.organisation_name, started_s)
+        tools.knowledge.usage.count_call(context.organisation_name, started_s)
 
 
 def apply_response_facts(
--- a/tests/dispatch/test_counts_handover.py
+++ b/tests/dispatch/test_counts_handover.py
@@ -21,7 +21,7 @@
         self.receiver = CountsReceiver()
 
     def test_saved_counts_are_acknowledged(self) -> None:
-        self.usage.began('acme', 1.0)
+        self.usage.count_call('acme', 1.0)
         parcel = self.sender.pack(1.0)
         self.receiver.take(parcel)
         received = self.receiver.received()
@@ -37,7 +37,7 @@
 
         The window would be reported without these calls.
         """
-        self.usage.began('acme', 1.0)
+        self.usage.count_call('acme', 1.0)
         self.sender.pack(1.0)
         self.assertFalse(self.sender.take_back(3.0))
         self.assertTrue(self.sender.take_back(3.6))
--- a/tests/dispatch/test_usage.py
+++ b/tests/dispatch/test_usage.py
@@ -18,8 +18,8 @@
         self.usage = UsageCounter(5.0, TrueTime(1000.0))
 
     def test_a_call_counts_in_the_window_of_its_first_token(self) -> None:
-        self.usage.began('acme', 4.9)
-        self.usage.began('acme', 5.0)
+        self.usage.count_call('acme', 4.9)
+        self.usage.count_call('acme', 5.0)
         self.assertEqual(
             [
                 WindowCounts(200, (('acme', 1),)),
@@ -29,7 +29,7 @@
         )
 
     def test_only_changed_windows_are_saved_and_failures_requeued(self) -> None:
-        self.usage.began('acme', 1)
+        self.usage.count_call('acme', 1)
         self.usage.take_changed()
         self.assertEqual([], self.usage.take_changed())
         self.usage.not_saved(200)
