--- a/packages/dispatch/dandelionyoke_dispatch/_counts_handover.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_counts_handover.py
@@ -72,14 +72,14 @@
         ]
         for number in overdue:
             for window_id in self._unacknowledged.pop(number).window_ids:
-                self._usage.not_saved(window_id)
+                self._usage.requeue(window_id)
         return bool(overdue)
 
     def take_all_back(self) -> None:
         """Requeue all unacknowledged batches, to be saved by this process."""
         for pending in self._unacknowledged.values():
             for window_id in pending.window_ids:
-                self._usage.not_saved(window_id)
+                self._usage.requeue(window_id)
         self._unacknowledged.clear()
 
 
@@ -117,7 +117,7 @@
         self._changed.clear()
         return changed
 
-    def not_saved(self, window_ids: Iterable[int]) -> None:
+    def requeue(self, window_ids: Iterable[int]) -> None:
         """Requeue windows that could not be saved."""
         self._changed.update(set(window_ids) & self._windows.keys())
 
--- a/packages/dispatch/dandelionyoke_dispatch/_usage.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_usage.py
@@ -98,7 +98,7 @@
         """Return the counts of a window so far."""
         return tuple(sorted(self._counts.get(window_id, {}).items()))
 
-    def not_saved(self, window_id: int) -> None:
+    def requeue(self, window_id: int) -> None:
         """Requeue a window that could not be saved."""
         self._changed.add(window_id)
 
--- a/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
@@ -111,8 +111,8 @@
             if not self._save_window(window_id)
         ]
         for window_id in failed:
-            usage.not_saved(window_id)
-        receiver.not_saved(failed)
+            usage.requeue(window_id)
+        receiver.requeue(failed)
         if not failed:
             receiver.confirm(received)
         newest = usage.window_at(clock_s())
--- a/tests/dispatch/test_usage.py
+++ b/tests/dispatch/test_usage.py
@@ -32,7 +32,7 @@
         self.usage.count_call('acme', 1)
         self.usage.take_changed()
         self.assertEqual([], self.usage.take_changed())
-        self.usage.not_saved(200)
+        self.usage.requeue(200)
         self.assertEqual(
             [WindowCounts(200, (('acme', 1),))], self.usage.take_changed()
         )
