--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -126,5 +126,5 @@
     UsageCounter as UsageCounter,
     WindowCounts as WindowCounts,
     WindowRecord as WindowRecord,
-    add_up as add_up,
+    sum_counts as sum_counts,
 )
--- a/packages/dispatch/dandelionyoke_dispatch/_usage.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_usage.py
@@ -103,7 +103,7 @@
         self._changed.add(window_id)
 
 
-def add_up(records: Iterable[WindowRecord]) -> tuple[tuple[str, int], ...]:
+def sum_counts(records: Iterable[WindowRecord]) -> tuple[tuple[str, int], ...]:
     """Sum the counts of all processes for one window."""
     highest: dict[tuple[str, str], int] = {}
     for record in records:
--- a/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
@@ -22,7 +22,7 @@
     ProcessCounts,
     WindowCounts,
     WindowRecord,
-    add_up,
+    sum_counts,
 )
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._duty_task import DutyTask
@@ -216,7 +216,7 @@
         if not isinstance(listing, StoreListing):
             self._log_open(window_id, 'the counts cannot be read')
             return None
-        totals = add_up(
+        totals = sum_counts(
             record
             for item in listing.items
             if (record := _read_record(item)) is not None
--- a/tests/dispatch/test_usage.py
+++ b/tests/dispatch/test_usage.py
@@ -8,7 +8,7 @@
     UsageCounter,
     WindowCounts,
     WindowRecord,
-    add_up,
+    sum_counts,
 )
 
 
@@ -42,7 +42,7 @@
             WindowRecord(1, (ProcessCounts('p', (('a', 1), ('b', 2))),)),
             WindowRecord(1, (ProcessCounts('q', (('b', 3),)),)),
         ]
-        self.assertEqual((('a', 1), ('b', 5)), add_up(records))
+        self.assertEqual((('a', 1), ('b', 5)), sum_counts(records))
 
     def test_counts_of_one_process_saved_by_two_nodes_count_once(self) -> None:
         """A node hands its counts to another one, then saves newer ones itself.
@@ -59,7 +59,7 @@
                 ),
             ),
         ]
-        self.assertEqual((('a', 5),), add_up(records))
+        self.assertEqual((('a', 5),), sum_counts(records))
 
     def test_the_age_of_a_window_starts_at_its_end(self) -> None:
         self.assertAlmostEqual(2.0, self.usage.age_s(200, 7.0))
