--- a/packages/dispatch/dandelionyoke_dispatch/_counts_handover.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_counts_handover.py
@@ -63,7 +63,7 @@
             if pending_number <= number:
                 self._unacknowledged.pop(pending_number)
 
-    def take_back(self, now_s: float) -> bool:
+    def requeue_overdue(self, now_s: float) -> bool:
         """Requeue batches that timed out; return whether there were any."""
         overdue = [
             number
@@ -75,7 +75,7 @@
                 self._usage.requeue(window_id)
         return bool(overdue)
 
-    def take_all_back(self) -> None:
+    def requeue_all(self) -> None:
         """Requeue all unacknowledged batches, to be saved by this process."""
         for pending in self._unacknowledged.values():
             for window_id in pending.window_ids:
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -105,7 +105,7 @@
         """Take back the counts handed over for saving, and drop old events."""
         self._source_id = ''
         self._stale_since_s = None
-        self._knowledge.counts_sender.take_all_back()
+        self._knowledge.counts_sender.requeue_all()
         while not self._inbox.empty():
             self._inbox.get_nowait()
 
@@ -115,7 +115,7 @@
         now_s = clock_s()
         if answer is None:
             self._knowledge.sources.suspect(member.instance_id, now_s)
-            self._knowledge.counts_sender.take_all_back()
+            self._knowledge.counts_sender.requeue_all()
             self._source_id = ''
             self._log.decide(
                 'peer.silent',
@@ -277,7 +277,7 @@
             self._stale_since_s = now_s
         elif now_s - self._stale_since_s > STALE_TIMEOUT_S:
             self._knowledge.sources.suspect(member.instance_id, now_s)
-            self._knowledge.counts_sender.take_all_back()
+            self._knowledge.counts_sender.requeue_all()
             self._log.decide(
                 'peer.stale', member.instance_id, outcome='passed over'
             )
--- a/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
@@ -82,12 +82,12 @@
 
     def finish(self) -> None:
         """Save all counts on shutdown, including those handed over."""
-        self._knowledge.counts_sender.take_all_back()
+        self._knowledge.counts_sender.requeue_all()
         self.save()
 
     def _is_due(self) -> bool:
         knowledge, now_s = self._knowledge, clock_s()
-        if knowledge.counts_sender.take_back(now_s):
+        if knowledge.counts_sender.requeue_overdue(now_s):
             return True
         since_save_s = now_s - self._saved_s
         if knowledge.counts_receiver.has_unsaved:
--- a/tests/dispatch/test_counts_handover.py
+++ b/tests/dispatch/test_counts_handover.py
@@ -29,7 +29,7 @@
         self.assertEqual(0, self.receiver.saved('p'))
         self.receiver.confirm(received)
         self.sender.confirm(self.receiver.saved('p'))
-        self.assertFalse(self.sender.take_back(9.0))
+        self.assertFalse(self.sender.requeue_overdue(9.0))
         self.assertIsNone(self.sender.pack(9.0))
 
     def test_unacknowledged_counts_are_saved_locally(self) -> None:
@@ -39,8 +39,8 @@
         """
         self.usage.count_call('acme', 1.0)
         self.sender.pack(1.0)
-        self.assertFalse(self.sender.take_back(3.0))
-        self.assertTrue(self.sender.take_back(3.6))
+        self.assertFalse(self.sender.requeue_overdue(3.0))
+        self.assertTrue(self.sender.requeue_overdue(3.6))
         self.assertEqual(
             [WindowCounts(200, (('acme', 1),))], self.usage.take_changed()
         )
