--- a/packages/dispatch/dandelionyoke_dispatch/_crash_guard.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_crash_guard.py
@@ -53,7 +53,7 @@
         self._settings = settings
         self._crashes: OrderedDict[str, dict[str, float]] = OrderedDict()
 
-    def crashed(self, call: str, target_id: str, now_s: float) -> None:
+    def record_crash(self, call: str, target_id: str, now_s: float) -> None:
         """Record that a target crashed while it ran a call."""
         targets = self._crashes.setdefault(call, {})
         targets.setdefault(target_id, now_s)
--- a/packages/gateway/dandelionyoke_gateway/_crash_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_crash_task.py
@@ -67,7 +67,7 @@
             self._publish_crash(fingerprint, target_id)
 
     def _publish_crash(self, fingerprint: str, target_id: str) -> None:
-        self._knowledge.crashes.crashed(fingerprint, target_id, clock_s())
+        self._knowledge.crashes.record_crash(fingerprint, target_id, clock_s())
         self._log.decide(
             'target.died', target_id, outcome='call suspected', call=fingerprint
         )
@@ -78,6 +78,6 @@
             path = item.key.removeprefix(CRASHES_PREFIX)
             fingerprint, _, target_id = path.partition('/')
             if item.value is not None and target_id:
-                self._knowledge.crashes.crashed(
+                self._knowledge.crashes.record_crash(
                     fingerprint, target_id, clock_s()
                 )
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -206,7 +206,7 @@
             )
         for note in answer.crashes:
             seen_s = clock_s() - note.age_s
-            knowledge.crashes.crashed(note.call, note.target_id, seen_s)
+            knowledge.crashes.record_crash(note.call, note.target_id, seen_s)
         if answer.targets is not None:
             is_taken = self._registry.take_news(
                 answer.targets.changes,
--- a/tests/dispatch/test_crash_guard.py
+++ b/tests/dispatch/test_crash_guard.py
@@ -13,7 +13,7 @@
     def test_a_call_is_refused_after_three_crashed_targets(self) -> None:
         for number in range(3):
             self.assertFalse(self.guard.refuses('a', number))
-            self.guard.crashed('a', f'i-{number}', number)
+            self.guard.record_crash('a', f'i-{number}', number)
         self.assertTrue(self.guard.refuses('a', 3))
         self.assertFalse(self.guard.refuses('b', 3))
 
@@ -24,15 +24,15 @@
         call would be refused.
         """
         for number in range(9):
-            self.guard.crashed('a', 'i-1', number)
+            self.guard.record_crash('a', 'i-1', number)
         self.assertFalse(self.guard.refuses('a', 9))
 
     def test_crashes_expire_and_the_oldest_calls_are_evicted(self) -> None:
         for number in range(3):
-            self.guard.crashed('a', f'i-{number}', 0)
+            self.guard.record_crash('a', f'i-{number}', 0)
         self.assertFalse(self.guard.refuses('a', 61))
-        self.guard.crashed('b', 'i-1', 0)
-        self.guard.crashed('c', 'i-1', 0)
+        self.guard.record_crash('b', 'i-1', 0)
+        self.guard.record_crash('c', 'i-1', 0)
         self.assertFalse(self.guard.refuses('a', 1))
 
     def test_a_fingerprint_depends_on_caller_path_and_body(self) -> None:
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -248,7 +248,7 @@
 
     def _record_suspect(self, name: str, target_id: str, address: str) -> None:
         self.suspected_targets.append(target_id)
-        self.knowledge.crashes.crashed(name, target_id, clock_s())
+        self.knowledge.crashes.record_crash(name, target_id, clock_s())
 
     def _accept(self) -> None:
         while True:
