--- a/packages/dispatch/dandelionyoke_dispatch/_fleet_limiter.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_fleet_limiter.py
@@ -130,7 +130,9 @@
         while len(self._fleet_sizes) > 1 and self._fleet_sizes[0][0] < oldest_s:
             self._fleet_sizes.popleft()
 
-    def told(self, sender: str, use: GroupUse, now_s: float) -> None:
+    def update_group_use(
+        self, sender: str, use: GroupUse, now_s: float
+    ) -> None:
         """Process a report of what another limiter admitted.
 
         Amounts admitted while no reports arrived are not charged, because both
--- a/packages/gateway/dandelionyoke_gateway/_limit_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_limit_server.py
@@ -109,7 +109,7 @@
             self._log_dropped(peer_id, 'invalid use of a group')
             return
         self._links.mark_heard(peer_id)
-        self._limiter.told(peer_id, message.use, clock_s())
+        self._limiter.update_group_use(peer_id, message.use, clock_s())
 
     def _log_dropped(self, peer_id: InstanceId, cause: str) -> None:
         self._log.decide(
--- a/tests/dispatch/limiter_simulation.py
+++ b/tests/dispatch/limiter_simulation.py
@@ -115,7 +115,9 @@
         self._bucket.level -= amount
         return LimitVerdict(is_admitted=True)
 
-    def told(self, sender: str, use: GroupUse, now_s: float) -> None:
+    def update_group_use(
+        self, sender: str, use: GroupUse, now_s: float
+    ) -> None:
         self._other_demands[sender] = use.spent.get(NAME, 0.0)
 
     def has_urgent_use(self) -> bool:
@@ -193,7 +195,9 @@
                     schedule(at_s, 'told', (sender, use, receiver))
             elif kind == 'told':
                 sender, use, receiver = subject
-                receiver.limiter.told(sender, use, now_s + receiver.offset_s)
+                receiver.limiter.update_group_use(
+                    sender, use, now_s + receiver.offset_s
+                )
             else:
                 tokens, number = subject
                 limit = self._limit(now_s, '')
--- a/tests/dispatch/test_fleet_limiter.py
+++ b/tests/dispatch/test_fleet_limiter.py
@@ -95,22 +95,30 @@
 
     def test_amounts_admitted_by_another_group_are_charged(self) -> None:
         self.limiter.take_nodes(1, 2, 1)
-        self.limiter.told('b', GroupUse('b.1', 1, {'acme': 40.0}), 1)
+        self.limiter.update_group_use(
+            'b', GroupUse('b.1', 1, {'acme': 40.0}), 1
+        )
         self.limiter.admit('acme', 0.0, 1)
-        self.limiter.told('b', GroupUse('b.1', 1, {'acme': 120.0}), 1.5)
+        self.limiter.update_group_use(
+            'b', GroupUse('b.1', 1, {'acme': 120.0}), 1.5
+        )
         self.assertFalse(self.limiter.admit('acme', 1.0, 1.5).is_admitted)
 
     def test_a_restarted_limiter_counts_from_zero(self) -> None:
         """Guards against a refund of all that was admitted before a restart."""
         self.limiter.take_nodes(1, 2, 1)
-        self.limiter.told('b', GroupUse('b.1', 1, {'acme': 900.0}), 1)
+        self.limiter.update_group_use(
+            'b', GroupUse('b.1', 1, {'acme': 900.0}), 1
+        )
         self.limiter.admit('acme', 0.0, 1)
-        self.limiter.told('b', GroupUse('b.2', 1, {'acme': 5.0}), 1.2)
+        self.limiter.update_group_use(
+            'b', GroupUse('b.2', 1, {'acme': 5.0}), 1.2
+        )
         self.assertLess(self.admit_all(now_s=1.2), 25)
 
     def test_a_partitioned_group_admits_its_share(self) -> None:
         self.limiter.take_nodes(20, 60, 1)
-        self.limiter.told('b', GroupUse('b.1', 40, {}), 1)
+        self.limiter.update_group_use('b', GroupUse('b.1', 40, {}), 1)
         self.assertEqual(1.0, self.limiter.share(1.5))
         self.assertAlmostEqual(1 / 3, self.limiter.share(2.5))
         # The nodes on the other side are removed from the list of nodes.
@@ -120,7 +128,9 @@
     def test_an_organisation_without_a_limit_is_always_admitted(self) -> None:
         self.assertTrue(self.limiter.admit('other', 9e9, 1).is_admitted)
         self.limiter.charge('other', 9e9, 1)
-        self.limiter.told('b', GroupUse('b.1', 1, {'other': 9e9}), 1)
+        self.limiter.update_group_use(
+            'b', GroupUse('b.1', 1, {'other': 9e9}), 1
+        )
         self.assertEqual(0, self.limiter.over_s('other', 1))
 
 
