--- a/packages/dispatch/dandelionyoke_dispatch/_sources.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_sources.py
@@ -119,7 +119,7 @@
         """
         return self._domain_leaders
 
-    def whom_to_ask(self, now_s: float, *, is_blind: bool) -> Member | None:
+    def node_to_poll(self, now_s: float, *, is_blind: bool) -> Member | None:
         """Return the node to poll; None: this node polls the store.
 
         `is_blind` tells that the store does not respond to this node. The store
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -78,7 +78,7 @@
     def run(self, hub: PeerHub) -> None:
         """Poll until the process exits."""
         while True:
-            member = self._knowledge.sources.whom_to_ask(
+            member = self._knowledge.sources.node_to_poll(
                 clock_s(), is_blind=self._reliance.is_blind(clock_s())
             )
             if member is None:
