--- a/packages/dispatch/dandelionyoke_dispatch/_sources.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_sources.py
@@ -119,14 +119,16 @@
         """
         return self._domain_leaders
 
-    def node_to_poll(self, now_s: float, *, is_blind: bool) -> Member | None:
+    def node_to_poll(
+        self, now_s: float, *, has_lost_store: bool
+    ) -> Member | None:
         """Return the node to poll; None: this node polls the store.
 
-        `is_blind` tells that the store does not respond to this node. The store
+        `has_lost_store` tells that the store does not respond to this node. The store
         may reject some nodes and serve others, also those of other domains.
         """
         source = self.domain_source(now_s)
-        if source is not None or not is_blind:
+        if source is not None or not has_lost_store:
             return source
         return self._first_trusted(
             (*self._own_domain_members, *self._other_members),
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -79,7 +79,8 @@
         """Poll until the process exits."""
         while True:
             member = self._knowledge.sources.node_to_poll(
-                clock_s(), is_blind=self._reliance.is_blind(clock_s())
+                clock_s(),
+                has_lost_store=self._reliance.has_lost_store(clock_s()),
             )
             if member is None:
                 self._stop_polling()
--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_reliance.py
@@ -71,7 +71,7 @@
         proven_s = self._knowledge.listing.proven_s
         return self._remaining_s(proven_s, self._registry_s, now_s)
 
-    def is_blind(self, now_s: float) -> bool:
+    def has_lost_store(self, now_s: float) -> bool:
         """Whether this node's polls of the store have failed for too long."""
         return not (
             _is_within(
--- a/tests/dispatch/test_sources.py
+++ b/tests/dispatch/test_sources.py
@@ -21,7 +21,7 @@
     def test_all_nodes_of_a_domain_poll_the_same_node(self) -> None:
         nodes = [choice(member.instance_id) for member in MEMBERS[:5]]
         sources = [node for node in nodes if node.is_source(0)]
-        polled = {node.node_to_poll(0, is_blind=False) for node in nodes}
+        polled = {node.node_to_poll(0, has_lost_store=False) for node in nodes}
         self.assertEqual(1, len(sources))
         self.assertEqual(2, len(polled))
         self.assertIn(None, polled)
@@ -29,7 +29,7 @@
     def test_a_node_without_members_polls_the_store(self) -> None:
         alone = SourceChoice('a-1', 'a', SourceSettings())
         self.assertTrue(alone.is_source(0))
-        self.assertIsNone(alone.node_to_poll(0, is_blind=True))
+        self.assertIsNone(alone.node_to_poll(0, has_lost_store=True))
 
     def test_an_unresponsive_node_is_skipped_for_a_while(self) -> None:
         """The node that polls the store for its domain loses power.
@@ -51,14 +51,18 @@
         for node in nodes:
             node.suspect(first, 10.0)
         self.assertEqual(1, sum(node.is_source(10.1) for node in nodes))
-        polled = {node.node_to_poll(14.1, is_blind=False) for node in nodes}
+        polled = {
+            node.node_to_poll(14.1, has_lost_store=False) for node in nodes
+        }
         self.assertEqual({first}, {one.instance_id for one in polled if one})
 
     def test_the_node_with_the_highest_capacity_polls(self) -> None:
         """Guards against a small machine that is too slow for its domain."""
         strong = Member('a-9', 'a', '10.0.0.9:7', capacity=2.15)
         nodes = [choice(one.instance_id, [*MEMBERS, strong]) for one in MEMBERS]
-        polled = {node.node_to_poll(0, is_blind=False) for node in nodes[:5]}
+        polled = {
+            node.node_to_poll(0, has_lost_store=False) for node in nodes[:5]
+        }
         self.assertEqual({strong}, polled)
 
     def test_repeated_failures_are_backed_off(self) -> None:
@@ -79,7 +83,7 @@
         self.assertEqual(first, self.polled(node, 44.1))
 
     def polled(self, node: SourceChoice, now_s: float) -> str:
-        member = node.node_to_poll(now_s, is_blind=False)
+        member = node.node_to_poll(now_s, has_lost_store=False)
         return '' if member is None else member.instance_id
 
     def test_a_rejected_node_polls_other_nodes_and_domains(self) -> None:
@@ -93,9 +97,9 @@
             for member in MEMBERS[:5]
             if choice(member.instance_id).is_source(0)
         )
-        near = source.node_to_poll(0, is_blind=True)
+        near = source.node_to_poll(0, has_lost_store=True)
         self.assertEqual('a', near.domain)
         for member in MEMBERS[:5]:
             source.suspect(member.instance_id, 0)
-        far = source.node_to_poll(0, is_blind=True)
+        far = source.node_to_poll(0, has_lost_store=True)
         self.assertEqual('b', far.domain)
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -232,7 +232,7 @@
     def test_a_new_node_polls_the_store(self) -> None:
         self.assertEqual(0, self.reliance.configuration_wait_s(clock_s()))
         self.assertEqual(0, self.reliance.registry_wait_s(clock_s()))
-        self.assertTrue(self.reliance.is_blind(clock_s()))
+        self.assertTrue(self.reliance.has_lost_store(clock_s()))
 
     def test_news_are_relied_on_for_three_quarters_of_the_limit(self) -> None:
         """Guards against calls to leaving targets or by outdated routes.
