--- a/packages/dispatch/dandelionyoke_dispatch/_sources.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_sources.py
@@ -112,7 +112,7 @@
             return None
         return source
 
-    def first_elsewhere(self) -> Sequence[Member]:
+    def first_of_other_domains(self) -> Sequence[Member]:
         """Return the first node of each other domain, as ranked there.
 
         The nodes of that domain may currently suspect it and use another one.
--- a/packages/gateway/dandelionyoke_gateway/_source_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_source_links.py
@@ -65,7 +65,7 @@
 
     def _recipients(self, now_s: float) -> list[Member]:
         sources = self._knowledge.sources
-        recipients = list(sources.first_elsewhere())
+        recipients = list(sources.first_of_other_domains())
         own_source = sources.domain_source(now_s)
         if own_source is not None:
             recipients.append(own_source)
