--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -74,7 +74,7 @@
 )
 from dandelionyoke_dispatch._placement import (
     Placement as Placement,
-    PrefillHome as PrefillHome,
+    PrefillPlacement as PrefillPlacement,
 )
 from dandelionyoke_dispatch._prefill_time import (
     PrefillTimeEstimate as PrefillTimeEstimate,
--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class PrefillHome:
+class PrefillPlacement:
     """The prefill engine of a prompt, and one that may hold its prefix."""
 
     target: RegisteredTarget
@@ -64,7 +64,7 @@
         queue: PromptQueue,
         avoid: Collection[str],
         now_s: float,
-    ) -> PrefillHome | None:
+    ) -> PrefillPlacement | None:
         """Choose the prefill engine of a prompt.
 
         All nodes rank the engines for a shared prefix in the same order,
@@ -102,7 +102,7 @@
         if source is not None:
             if self._fetches.is_in_cooldown(source.target_id, now_s):
                 source = None
-        return PrefillHome(chosen, source)
+        return PrefillPlacement(chosen, source)
 
     def readers(
         self, service: str, avoid: Collection[str], now_s: float
--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -6,7 +6,11 @@
 from eventlet.queue import Empty, LightQueue
 
 from dandelionyoke_core import InstanceId
-from dandelionyoke_dispatch import PrefillHome, RegisteredTarget, TargetFailure
+from dandelionyoke_dispatch import (
+    PrefillPlacement,
+    RegisteredTarget,
+    TargetFailure,
+)
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._domain_source import DomainSource
 from dandelionyoke_gateway._knowledge import Knowledge
@@ -118,18 +122,18 @@
         ticket_id = _ticket_id(pending.number)
         self._pending[ticket_id] = pending
         try:
-            home = self._await_placement(pending, request)
+            placement = self._await_placement(pending, request)
         except BaseException:
             self._cancel(ticket_id)
             raise
-        if home is None:
+        if placement is None:
             self._cancel(ticket_id)
             return None
-        return PrefillGrant(request, ticket_id, home, peer_id)
+        return PrefillGrant(request, ticket_id, placement, peer_id)
 
     def _await_placement(
         self, pending: _PendingRequest, request: PrefillRequest
-    ) -> PrefillHome | None:
+    ) -> PrefillPlacement | None:
         message = _build_request(pending.number, request)
         if not self._source.send(pending.peer_id, message):
             return None
@@ -149,7 +153,7 @@
 
     def _resolve_placement(
         self, response: PrefillTold, request: PrefillRequest
-    ) -> PrefillHome | None:
+    ) -> PrefillPlacement | None:
         """Look up the granted engines in this node's registry.
 
         This node may already know that an engine has left which the other
@@ -158,7 +162,7 @@
         target = self._find_usable_target(response.target_id, request)
         if target is None:
             return None
-        return PrefillHome(
+        return PrefillPlacement(
             target, self._knowledge.registry.find(response.source_id)
         )
 
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -6,7 +6,7 @@
 import attrs
 
 from dandelionyoke_dispatch import (
-    PrefillHome,
+    PrefillPlacement,
     Prompt,
     PromptQueue,
     QueueDecision,
@@ -58,7 +58,7 @@
 
     request: PrefillRequest
     ticket_id: str
-    home: PrefillHome | None
+    home: PrefillPlacement | None
     placed_by: str | None = None
 
 
@@ -179,9 +179,9 @@
             queued_prompt.ticket_id
         )
 
-    def _choose_engine(self, queued: QueuedPrefill) -> PrefillHome | None:
+    def _choose_engine(self, queued: QueuedPrefill) -> PrefillPlacement | None:
         request, state = queued.request, self._service_state(queued.request)
-        home = self._knowledge.placement.prefill_home(
+        placement = self._knowledge.placement.prefill_home(
             request.service,
             request.prompt,
             state.pace,
@@ -189,12 +189,12 @@
             request.avoid,
             clock_s(),
         )
-        if home is not None:
-            target_id = home.target.target_id
+        if placement is not None:
+            target_id = placement.target.target_id
             state.line.assign(
                 queued.queued_prompt.ticket_id, target_id, clock_s()
             )
-        return home
+        return placement
 
     def _build_queued_prompt(self, request: PrefillRequest) -> QueuedPrompt:
         tokens = request.prompt.token_count
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -131,18 +131,20 @@
 
     def _grant(self, key: RequestKey, grant: PrefillGrant) -> None:
         peer_id, number = key
-        home = grant.home
-        if home is None:
+        placement = grant.home
+        if placement is None:
             self._queue.leave(grant, PrefillResult())
             verdict = PrefillVerdict.NO_ENGINE
             self._send(peer_id, PrefillTold(number, verdict))
             return
         self._granted[key] = grant
-        source_id = '' if home.source is None else home.source.target_id
+        source_id = (
+            '' if placement.source is None else placement.source.target_id
+        )
         response = PrefillTold(
             number,
             PrefillVerdict.GRANTED,
-            home.target.target_id,
+            placement.target.target_id,
             source_id,
             suspects=self._suspected_targets(),
         )
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -6,7 +6,7 @@
 
 from dandelionyoke_dispatch import (
     Cause,
-    PrefillHome,
+    PrefillPlacement,
     Prompt,
     Refusal,
     RegisteredTarget,
@@ -141,7 +141,7 @@
         return PrefilledPrompt(placement.target, cache)
 
     def _record_fetch(
-        self, prompt: Prompt, placement: PrefillHome, prefill_s: float
+        self, prompt: Prompt, placement: PrefillPlacement, prefill_s: float
     ) -> None:
         if placement.source is not None:
             source_id = placement.source.target_id
@@ -180,7 +180,7 @@
             < SHORT_PROMPT_GOAL_SHARE * self._context.route.goal_s
         )
 
-    def _prefill_on(self, placement: PrefillHome) -> CacheSource:
+    def _prefill_on(self, placement: PrefillPlacement) -> CacheSource:
         """Send the prefill request to an engine; this does not run the call."""
         target, source = placement.target, placement.source
         forwarding = attrs.evolve(
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -7,7 +7,7 @@
 from dandelionyoke_dispatch import (
     Phase,
     Placement,
-    PrefillHome,
+    PrefillPlacement,
     PrefillTimeEstimate,
     PrefillTimeSettings,
     Prompt,
@@ -52,15 +52,15 @@
         self.prefill_time.add_sample(prompt('y'), 9000 * TOKEN_S)
         self.count = 0
 
-    def home(self, request: Prompt, now_s: float = 0) -> PrefillHome:
-        home = self.placement.prefill_home(
+    def place(self, request: Prompt, now_s: float = 0) -> PrefillPlacement:
+        placement = self.placement.prefill_home(
             'lm', request, self.prefill_time, self.queue, (), now_s
         )
-        assert home is not None
-        return home
+        assert placement is not None
+        return placement
 
     def place(self, request: Prompt, now_s: float = 0) -> str:
-        return self.home(request, now_s).target.target_id
+        return self.place(request, now_s).target.target_id
 
     def place_and_start(self, request: Prompt, now_s: float = 0) -> str:
         chosen = self.place(request, now_s)
@@ -72,11 +72,11 @@
         return chosen
 
     def test_a_shared_prefix_goes_to_the_engine_that_cached_it(self) -> None:
-        homes = set()
+        engine_ids = set()
         for number in range(5):
-            homes.add(self.place_and_start(prompt('x'), number))
+            engine_ids.add(self.place_and_start(prompt('x'), number))
             self.queue.leave(str(self.count), 0.1, number)
-        self.assertEqual(1, len(homes))
+        self.assertEqual(1, len(engine_ids))
 
     def test_a_burst_on_one_prefix_spreads_over_the_engines(self) -> None:
         """Many callers use the same shared prefix at once.
@@ -93,10 +93,10 @@
     def test_another_engine_fetches_the_prefix_from_the_first(self) -> None:
         first = self.place_and_start(prompt('x'))
         self.place_and_start(prompt('x'))
-        home = self.home(prompt('x'))
-        assert home.source is not None
-        self.assertNotEqual(first, home.target.target_id)
-        self.assertEqual(first, home.source.target_id)
+        placement = self.place(prompt('x'))
+        assert placement.source is not None
+        self.assertNotEqual(first, placement.target.target_id)
+        self.assertEqual(first, placement.source.target_id)
 
     def test_nothing_is_fetched_from_a_suspect_engine(self) -> None:
         """A domain is partitioned, but its engines are still registered.
@@ -108,8 +108,8 @@
         first = self.place_and_start(prompt('x'))
         self.place_and_start(prompt('x'))
         self.fetches.failed(first, 0)
-        home = self.home(prompt('x'))
-        source_id = home.source.target_id if home.source else None
+        placement = self.place(prompt('x'))
+        source_id = placement.source.target_id if placement.source else None
         self.assertNotEqual(first, source_id)
 
     def test_a_short_backlog_does_not_outweigh_a_long_shared_prefix(
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -79,9 +79,9 @@
 
     def assign_engine(self) -> str:
         """Assign a prefill; return its engine."""
-        home = self.assign().home
-        assert home is not None
-        return home.target.target_id
+        placement = self.assign().home
+        assert placement is not None
+        return placement.target.target_id
 
 
 class BacklogTaskTest(testtools.TestCase):
