--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -56,7 +56,7 @@
         self._domain = domain
         self._instance_id = instance_id
 
-    def prefill_home(
+    def choose_prefill_engine(
         self,
         service: str,
         prompt: Prompt,
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -181,7 +181,7 @@
 
     def _choose_engine(self, queued: QueuedPrefill) -> PrefillPlacement | None:
         request, state = queued.request, self._service_state(queued.request)
-        placement = self._knowledge.placement.prefill_home(
+        placement = self._knowledge.placement.choose_prefill_engine(
             request.service,
             request.prompt,
             state.pace,
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -53,7 +53,7 @@
         self.count = 0
 
     def place(self, request: Prompt, now_s: float = 0) -> PrefillPlacement:
-        placement = self.placement.prefill_home(
+        placement = self.placement.choose_prefill_engine(
             'lm', request, self.prefill_time, self.queue, (), now_s
         )
         assert placement is not None
