--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -104,7 +104,7 @@
                 source = None
         return PrefillPlacement(chosen, source)
 
-    def readers(
+    def count_prefill_engines(
         self, service: str, avoid: Collection[str], now_s: float
     ) -> int:
         """Return the number of usable prefill engines."""
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -113,7 +113,7 @@
         Raises:
             TooLateError: no engine could start before the deadline.
         """
-        engines = self._knowledge.placement.readers(
+        engines = self._knowledge.placement.count_prefill_engines(
             request.service, request.avoid, clock_s()
         )
         queued_prompt, queue = (
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -83,7 +83,7 @@
             return None
         if self._is_short(prompt):
             return None
-        engines = self._knowledge.placement.readers(
+        engines = self._knowledge.placement.count_prefill_engines(
             self._context.service.name, self._state.tried_ids, clock_s()
         )
         if not engines:
