--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -128,7 +128,7 @@
         ]
         return _first_ranked(engines, shared_key) if engines else None
 
-    def decode_target(
+    def choose_decode_target(
         self,
         service: str,
         near_domain: str | None,
@@ -166,7 +166,7 @@
             ),
         )
 
-    def plain_target(
+    def choose_plain_target(
         self, service: str, avoid: Collection[str], now_s: float
     ) -> RegisteredTarget | None:
         """Choose the least busy target of a plain service."""
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -71,7 +71,7 @@
             return None
         if not context.attempts.may_run_again(context.route.is_repeatable):
             return None
-        target = self._knowledge.placement.plain_target(
+        target = self._knowledge.placement.choose_plain_target(
             context.service.name, self._tried_ids, now_s
         )
         # The first send is no retry, even if connections failed before it.
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -115,7 +115,7 @@
         self, prompt: PrefilledPrompt | None
     ) -> RegisteredTarget:
         preferred_domain = None if prompt is None else prompt.target.domain
-        target = self._knowledge.placement.decode_target(
+        target = self._knowledge.placement.choose_decode_target(
             self._context.service.name,
             preferred_domain,
             self._state.tried_ids,
@@ -123,7 +123,7 @@
         )
         if target is not None:
             return target
-        target = self._knowledge.placement.plain_target(
+        target = self._knowledge.placement.choose_plain_target(
             self._context.service.name, self._state.tried_ids, clock_s()
         )
         if target is None:
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -166,7 +166,7 @@
         )
 
     def choose_engine(self, at_s: float) -> str:
-        target = self.placement.decode_target('lm', None, (), at_s)
+        target = self.placement.choose_decode_target('lm', None, (), at_s)
         assert target is not None
         return target.target_id
 
@@ -213,7 +213,7 @@
         chosen = []
         for node in range(nodes):
             placement = Placement(registry, loads, loads, 'a', f'n-{node}')
-            target = placement.decode_target('lm', 'a', (), 0)
+            target = placement.choose_decode_target('lm', 'a', (), 0)
             assert target is not None
             chosen.append(target.target_id)
         return chosen
