--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -34,7 +34,7 @@
 )
 from dandelionyoke_dispatch._departure import (
     Departure as Departure,
-    DepartureSettings as DepartureSettings,
+    ShutdownSettings as ShutdownSettings,
 )
 from dandelionyoke_dispatch._engine_plan import (
     EnginePlan as EnginePlan,
--- a/packages/dispatch/dandelionyoke_dispatch/_departure.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_departure.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class DepartureSettings:
+class ShutdownSettings:
     """Times after the shutdown request.
 
     The balancer checks once a second and reacts to two failures in a row, so
@@ -22,7 +22,7 @@
 class Departure:
     """Whether this instance is shutting down, and how calls are handled."""
 
-    def __init__(self, settings: DepartureSettings) -> None:
+    def __init__(self, settings: ShutdownSettings) -> None:
         self._settings = settings
         self._asked_s: float | None = None
 
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -16,7 +16,6 @@
     CrashSettings,
     DemandSample,
     Departure,
-    DepartureSettings,
     FleetConfiguration,
     FleetDemand,
     FleetDemandSettings,
@@ -34,6 +33,7 @@
     PromptQueueSettings,
     RegistrySettings,
     ServiceDemand,
+    ShutdownSettings,
     SourceChoice,
     SourceSettings,
     SuspicionSettings,
@@ -222,5 +222,5 @@
                 slack=settings.limit_slack,
             )
         ),
-        departure=Departure(DepartureSettings(settings.grace_s)),
+        departure=Departure(ShutdownSettings(settings.grace_s)),
     )
