--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -33,7 +33,7 @@
     fingerprint as fingerprint,
 )
 from dandelionyoke_dispatch._departure import (
-    Departure as Departure,
+    Shutdown as Shutdown,
     ShutdownSettings as ShutdownSettings,
 )
 from dandelionyoke_dispatch._engine_plan import (
--- a/packages/dispatch/dandelionyoke_dispatch/_departure.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_departure.py
@@ -19,7 +19,7 @@
     answer_margin_s: float = 1.2
 
 
-class Departure:
+class Shutdown:
     """Whether this instance is shutting down, and how calls are handled."""
 
     def __init__(self, settings: ShutdownSettings) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -13,12 +13,12 @@
     Call,
     CallKind,
     Cause,
-    Departure,
     FleetConfiguration,
     Organisation,
     Refusal,
     Route,
     Service,
+    Shutdown,
     fingerprint,
 )
 from dandelionyoke_gateway._caller_connection import CallerRequest, Responder
@@ -65,7 +65,7 @@
     organisation: Organisation | None
     own_deadline_s: float
     attempts: Attempts
-    departure: Departure
+    shutdown: Shutdown
     is_usage_counted: bool = False
 
     @property
@@ -75,7 +75,7 @@
         Earlier than the deadline of the call itself if this process shuts
         down before that.
         """
-        shutdown_deadline_s = self.departure.answer_by_s()
+        shutdown_deadline_s = self.shutdown.answer_by_s()
         if shutdown_deadline_s is None:
             return self.own_deadline_s
         return min(self.own_deadline_s, shutdown_deadline_s)
@@ -147,8 +147,8 @@
             bad_request = ResponseHead(HTTPStatus.BAD_REQUEST, ())
             responder.respond(bad_request, b'the request names no attempt\n')
             return
-        departure = self._tools.knowledge.departure
-        if departure.refuses(request.arrived_s):
+        shutdown = self._tools.knowledge.shutdown
+        if shutdown.refuses(request.arrived_s):
             leaving = Refusal(Cause.LEAVING, ELSEWHERE_S)
             self._refuse(call, responder, leaving, Attempts(1))
             return
@@ -187,7 +187,7 @@
             organisation,
             request.arrived_s + timeout_s,
             Attempts(route.max_attempts),
-            self._tools.knowledge.departure,
+            self._tools.knowledge.shutdown,
         )
 
     def _authenticate(
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -15,7 +15,6 @@
     CrashGuard,
     CrashSettings,
     DemandSample,
-    Departure,
     FleetConfiguration,
     FleetDemand,
     FleetDemandSettings,
@@ -33,6 +32,7 @@
     PromptQueueSettings,
     RegistrySettings,
     ServiceDemand,
+    Shutdown,
     ShutdownSettings,
     SourceChoice,
     SourceSettings,
@@ -95,7 +95,7 @@
     placement: Placement
     budget: RetryBudget
     usage: UsageCounter
-    departure: Departure
+    shutdown: Shutdown
     crashes: CrashGuard
     # Unique among all processes that ever ran under this instance ID.
     process_name: str
@@ -175,7 +175,7 @@
     def is_ready(self) -> bool:
         """Whether this node can accept new calls."""
         return (
-            not self.departure.is_leaving
+            not self.shutdown.is_leaving
             and self.configuration is not None
             and self.registry.is_known
             and self.freshness.is_current(clock_s())
@@ -222,5 +222,5 @@
                 slack=settings.limit_slack,
             )
         ),
-        departure=Departure(ShutdownSettings(settings.grace_s)),
+        shutdown=Shutdown(ShutdownSettings(settings.grace_s)),
     )
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -250,7 +250,7 @@
             sock.close()
             return
         connection = CallerConnection(
-            sock, limits, handler, lambda: self._knowledge.departure.is_leaving
+            sock, limits, handler, lambda: self._knowledge.shutdown.is_leaving
         )
         self._connections.add(connection)
         try:
@@ -275,10 +275,10 @@
     # Signals and shutdown.
 
     def _on_terminate(self, signal_number: int, frame: object) -> None:
-        if self._knowledge.departure.is_leaving:
+        if self._knowledge.shutdown.is_leaving:
             self._stop(ExitStatus.CUT)
             return
-        self._knowledge.departure.begin(clock_s())
+        self._knowledge.shutdown.begin(clock_s())
         eventlet.spawn_n(self._drain)
 
     def _on_reload(self, signal_number: int, frame: object) -> None:
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -236,9 +236,9 @@
         Calls accepted this late would be cut off when the process ends.
         """
         self.node.add_target(answers_ok)
-        self.node.knowledge.departure.begin(clock_s())
+        self.node.knowledge.shutdown.begin(clock_s())
         self.assertEqual(200, status(self.node.call()))
-        self.node.knowledge.departure._asked_s = clock_s() - 4
+        self.node.knowledge.shutdown._asked_s = clock_s() - 4
         content = self.node.call()
         self.assertEqual(503, status(content))
         self.assertIn(b'connection: close', content.lower())
