--- a/packages/dispatch/dandelionyoke_dispatch/_departure.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_departure.py
@@ -24,26 +24,29 @@
 
     def __init__(self, settings: ShutdownSettings) -> None:
         self._settings = settings
-        self._asked_s: float | None = None
+        self._requested_s: float | None = None
 
     @property
     def is_leaving(self) -> bool:
         """Whether a shutdown was requested."""
-        return self._asked_s is not None
+        return self._requested_s is not None
 
     def begin(self, now_s: float) -> None:
         """Start the shutdown; further requests have no effect."""
-        if self._asked_s is None:
-            self._asked_s = now_s
+        if self._requested_s is None:
+            self._requested_s = now_s
 
     def refuses(self, now_s: float) -> bool:
         """Whether a new call has to be refused."""
-        asked_s = self._asked_s
-        return asked_s is not None and now_s > asked_s + self._settings.notice_s
+        requested_s = self._requested_s
+        return (
+            requested_s is not None
+            and now_s > requested_s + self._settings.notice_s
+        )
 
     def answer_by_s(self) -> float | None:
         """Return the deadline of all calls; None without a shutdown."""
-        if self._asked_s is None:
+        if self._requested_s is None:
             return None
         settings = self._settings
-        return self._asked_s + settings.grace_s - settings.answer_margin_s
+        return self._requested_s + settings.grace_s - settings.answer_margin_s
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -238,7 +238,7 @@
         self.node.add_target(answers_ok)
         self.node.knowledge.shutdown.begin(clock_s())
         self.assertEqual(200, status(self.node.call()))
-        self.node.knowledge.shutdown._asked_s = clock_s() - 4
+        self.node.knowledge.shutdown._requested_s = clock_s() - 4
         content = self.node.call()
         self.assertEqual(503, status(content))
         self.assertIn(b'connection: close', content.lower())
