--- a/packages/dispatch/dandelionyoke_dispatch/_departure.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_departure.py
@@ -44,7 +44,7 @@
             and now_s > requested_s + self._settings.notice_s
         )
 
-    def answer_by_s(self) -> float | None:
+    def response_deadline_s(self) -> float | None:
         """Return the deadline of all calls; None without a shutdown."""
         if self._requested_s is None:
             return None
--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -75,7 +75,7 @@
         Earlier than the deadline of the call itself if this process shuts
         down before that.
         """
-        shutdown_deadline_s = self.shutdown.answer_by_s()
+        shutdown_deadline_s = self.shutdown.response_deadline_s()
         if shutdown_deadline_s is None:
             return self.own_deadline_s
         return min(self.own_deadline_s, shutdown_deadline_s)
