--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -32,10 +32,6 @@
     CrashSettings as CrashSettings,
     fingerprint as fingerprint,
 )
-from dandelionyoke_dispatch._departure import (
-    Shutdown as Shutdown,
-    ShutdownSettings as ShutdownSettings,
-)
 from dandelionyoke_dispatch._engine_plan import (
     EnginePlan as EnginePlan,
     EnginePlanSettings as EnginePlanSettings,
@@ -105,6 +101,10 @@
     RegistrySettings as RegistrySettings,
     TargetRegistry as TargetRegistry,
 )
+from dandelionyoke_dispatch._shutdown import (
+    Shutdown as Shutdown,
+    ShutdownSettings as ShutdownSettings,
+)
 from dandelionyoke_dispatch._sources import (
     Member as Member,
     SourceChoice as SourceChoice,
