--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -90,8 +90,8 @@
     RateLimiter as RateLimiter,
 )
 from dandelionyoke_dispatch._refusals import (
+    DEFAULT_RETRY_AFTER_S as DEFAULT_RETRY_AFTER_S,
     ELSEWHERE_S as ELSEWHERE_S,
-    SOON_S as SOON_S,
     Cause as Cause,
     Refusal as Refusal,
 )
--- a/packages/dispatch/dandelionyoke_dispatch/_refusals.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_refusals.py
@@ -35,7 +35,7 @@
 
 # The retry delay if nothing better is known. Targets register and nodes poll
 # the registry within about this time.
-SOON_S = 0.7
+DEFAULT_RETRY_AFTER_S = 0.7
 # Another instance can take the call at once; the delay only spaces retries.
 ELSEWHERE_S = 0.05
 
--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -7,8 +7,8 @@
 import attrs
 
 from dandelionyoke_dispatch import (
+    DEFAULT_RETRY_AFTER_S,
     ELSEWHERE_S,
-    SOON_S,
     Attempts,
     Call,
     CallKind,
@@ -168,7 +168,9 @@
         """Find the route, the organisation and the service of a call."""
         configuration = self._tools.knowledge.configuration
         if configuration is None:
-            raise RefusedError(Refusal(Cause.NO_CONFIGURATION, SOON_S))
+            raise RefusedError(
+                Refusal(Cause.NO_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
+            )
         route = configuration.find_route(call.host, call.path)
         if route is None:
             raise RefusedError(Refusal(Cause.NO_ROUTE))
@@ -176,7 +178,7 @@
         name = route.choose_service(self._tools.knowledge.random)
         service = configuration.services.get(name)
         if service is None:
-            raise RefusedError(Refusal(Cause.NO_TARGET, SOON_S))
+            raise RefusedError(Refusal(Cause.NO_TARGET, DEFAULT_RETRY_AFTER_S))
         timeout_s = min(call.time_left_s or route.timeout_s, route.timeout_s)
         return CallContext(
             call,
@@ -196,7 +198,9 @@
         if route.is_anonymous or not configuration.has_organisations:
             return None
         if not self._tools.knowledge.freshness.serves_keys(clock_s()):
-            raise RefusedError(Refusal(Cause.STALE_CONFIGURATION, SOON_S))
+            raise RefusedError(
+                Refusal(Cause.STALE_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
+            )
         organisation = configuration.find_organisation(call.api_key)
         if organisation is None:
             raise RefusedError(Refusal(Cause.UNKNOWN_KEY))
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -4,7 +4,12 @@
 
 import attrs
 
-from dandelionyoke_dispatch import SOON_S, Cause, Refusal, RegisteredTarget
+from dandelionyoke_dispatch import (
+    DEFAULT_RETRY_AFTER_S,
+    Cause,
+    Refusal,
+    RegisteredTarget,
+)
 from dandelionyoke_gateway._call_desk import CallContext, RefusedError, Tools
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError, ExchangeTimeoutError
@@ -61,7 +66,7 @@
                 return response
         if self._error_response is not None:
             return self._error_response
-        raise RefusedError(Refusal(self._cause, SOON_S))
+        raise RefusedError(Refusal(self._cause, DEFAULT_RETRY_AFTER_S))
 
     def _next_target(self) -> RegisteredTarget | None:
         context = self._context
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -6,7 +6,7 @@
 import eventlet
 
 from dandelionyoke_dispatch import (
-    SOON_S,
+    DEFAULT_RETRY_AFTER_S,
     Cause,
     Refusal,
     RegisteredTarget,
@@ -78,7 +78,7 @@
                 cause = error.cause
                 continue
             return
-        raise RefusedError(Refusal(cause, SOON_S))
+        raise RefusedError(Refusal(cause, DEFAULT_RETRY_AFTER_S))
 
     def _may_retry(self) -> bool:
         context = self._context
@@ -127,7 +127,7 @@
             self._context.service.name, self._state.tried_ids, clock_s()
         )
         if target is None:
-            raise RefusedError(Refusal(Cause.NO_TARGET, SOON_S))
+            raise RefusedError(Refusal(Cause.NO_TARGET, DEFAULT_RETRY_AFTER_S))
         return target
 
     def _release_cache(self, prompt: PrefilledPrompt | None) -> None:
