--- a/packages/dispatch/dandelionyoke_dispatch/_refusals.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_refusals.py
@@ -37,7 +37,7 @@
 # the registry within about this time.
 DEFAULT_RETRY_AFTER_S = 0.7
 # Another instance can take the call at once; the delay only spaces retries.
-ELSEWHERE_S = 0.05
+OTHER_INSTANCE_RETRY_AFTER_S = 0.05
 
 
 @attrs.frozen
--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -8,7 +8,7 @@
 
 from dandelionyoke_dispatch import (
     DEFAULT_RETRY_AFTER_S,
-    ELSEWHERE_S,
+    OTHER_INSTANCE_RETRY_AFTER_S,
     Attempts,
     Call,
     CallKind,
@@ -149,7 +149,7 @@
             return
         shutdown = self._tools.knowledge.shutdown
         if shutdown.refuses(request.arrived_s):
-            leaving = Refusal(Cause.LEAVING, ELSEWHERE_S)
+            leaving = Refusal(Cause.LEAVING, OTHER_INSTANCE_RETRY_AFTER_S)
             self._refuse(call, responder, leaving, Attempts(1))
             return
         try:
