--- a/packages/dispatch/dandelionyoke_dispatch/_configuration.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_configuration.py
@@ -76,8 +76,8 @@
 class ScalingRange:
     """The number of targets that a service may have per failure domain."""
 
-    least: int
-    most: int
+    min_targets: int
+    max_targets: int
     boot_s: float
     reclaimable_price_share: float | None
     domain_prices: Mapping[str, float]
--- a/packages/dispatch/dandelionyoke_dispatch/_engine_plan.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_engine_plan.py
@@ -98,16 +98,16 @@
         share = settings.relaxed_fallback_share
         if need.is_overloaded:
             share = settings.fallback_share
-        return math.ceil(share * scaling.most)
+        return math.ceil(share * scaling.max_targets)
 
     def _max_engines(self, scaling: ScalingRange, need: FleetNeed) -> int:
         """Return the wanted number of engines of both kinds per domain."""
         price_share = scaling.reclaimable_price_share
         if need.is_overloaded or not price_share:
-            return scaling.most
+            return scaling.max_targets
         affordable = self._settings.max_cost_share / price_share
-        max_engines = math.ceil(min(1.0, affordable) * scaling.most)
-        return max(scaling.least, max_engines)
+        max_engines = math.ceil(min(1.0, affordable) * scaling.max_targets)
+        return max(scaling.min_targets, max_engines)
 
     def _min_on_demand(self, scaling: ScalingRange) -> Counter[str]:
         """Return the number of on-demand engines to keep by domain."""
