--- a/packages/dispatch/dandelionyoke_dispatch/_engine_plan.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_engine_plan.py
@@ -51,11 +51,11 @@
 class FleetNeed:
     """Whether a service is overloaded, and where engines are unavailable.
 
-    `refusing` names the domains that recently had no reclaimable engines.
+    `unavailable_domains` names the domains that recently had no reclaimable engines.
     """
 
     is_overloaded: bool = False
-    refusing: Collection[str] = ()
+    unavailable_domains: Collection[str] = ()
 
 
 class EnginePlan:
@@ -82,7 +82,7 @@
         counts = []
         for domain in domains:
             missing = fallback - reclaimable[domain]
-            if domain not in need.refusing:
+            if domain not in need.unavailable_domains:
                 missing = min(missing, on_demand[domain])
             counts.append(
                 WantedCount(domain, False, max(min_on_demand[domain], missing))
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -113,7 +113,7 @@
 
     def _fleet_need(self, service: str) -> FleetNeed:
         now_s = clock_s()
-        refusing = [
+        unavailable_domains = [
             domain
             for (name, domain), expires_s in self._refused_until_s.items()
             if name == service and now_s < expires_s
@@ -121,7 +121,7 @@
         demand = self._knowledge.demand.of_service(service, now_s)
         overload = self._overload(service)
         overload.update(demand.begun, demand.slow, now_s)
-        return FleetNeed(overload.is_overloaded(now_s), refusing)
+        return FleetNeed(overload.is_overloaded(now_s), unavailable_domains)
 
     def _overload(self, service: str) -> OverloadDetector:
         return self._knowledge.watch_of(service).strain
--- a/tests/dispatch/test_fleet_plans.py
+++ b/tests/dispatch/test_fleet_plans.py
@@ -87,9 +87,9 @@
     def test_fewer_on_demand_engines_replace_others_without_overload(
         self,
     ) -> None:
-        refusing = FleetNeed(refusing=('a',))
+        unavailable = FleetNeed(unavailable_domains=('a',))
         engines = [engine('s1', 'a'), engine('s2', 'a'), engine('s3', 'b')]
-        self.assertEqual(2, self.wanted(*engines, need=refusing)['a steady'])
+        self.assertEqual(2, self.wanted(*engines, need=unavailable)['a steady'])
 
     def test_on_demand_engines_replace_others_during_overload(self) -> None:
         """A domain loses its reclaimable engines in a burst and gets no others.
@@ -98,7 +98,7 @@
         When reclaimable engines are available again, each one that starts
         releases one replacement, so that the number of engines never drops.
         """
-        need = FleetNeed(is_overloaded=True, refusing=('a',))
+        need = FleetNeed(is_overloaded=True, unavailable_domains=('a',))
         engines = [engine('s1', 'b')]
         self.assertEqual(3, self.wanted(*engines, need=need)['a steady'])
         engines += [engine(f'n{n}', 'a') for n in range(3)]
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -41,7 +41,7 @@
 
 class UnacceptedOrderTest(testtools.TestCase):
     def refusing_domains(self, outcome: DutyOutcome) -> list[str]:
-        """Order reclaimable engines; list the domains that count as refusing."""
+        """Order reclaimable engines; list the domains that count as unavailable."""
         log = DecisionLog(Lines(), 'n-1', Metrics())
         self.addCleanup(log.close)
         task = EngineCountTask(
@@ -52,7 +52,7 @@
             log,
         )
         task._send_order(Service('lm', 9), WantedCount('a', True, 5), 0)
-        return list(task._fleet_need('lm').refusing)
+        return list(task._fleet_need('lm').unavailable_domains)
 
     def test_a_domain_that_refuses_has_no_reclaimable_engines(self) -> None:
         self.assertEqual(['a'], self.refusing_domains(DutyOutcome.REFUSED))
