--- a/packages/dispatch/dandelionyoke_dispatch/_freshness.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_freshness.py
@@ -28,25 +28,25 @@
 
     def __init__(self, settings: FreshnessSettings) -> None:
         self._settings = settings
-        self._proven_s: float | None = None
+        self._confirmed_s: float | None = None
 
-    def prove(self, asked_s: float) -> None:
+    def confirm(self, asked_s: float) -> None:
         """Record a response of the store to a request sent at `asked_s`.
 
         The response may have been delayed, so only the time of the request
         counts, not the time of arrival.
         """
-        if self._proven_s is None or asked_s > self._proven_s:
-            self._proven_s = asked_s
+        if self._confirmed_s is None or asked_s > self._confirmed_s:
+            self._confirmed_s = asked_s
 
     @property
-    def proven_s(self) -> float | None:
+    def confirmed_s(self) -> float | None:
         """The time of the last confirmation; None if there was none."""
-        return self._proven_s
+        return self._confirmed_s
 
     def age_s(self, now_s: float) -> float | None:
         """Return the age of the last confirmation; None if there was none."""
-        return None if self._proven_s is None else now_s - self._proven_s
+        return None if self._confirmed_s is None else now_s - self._confirmed_s
 
     def is_current(self, now_s: float) -> bool:
         """Whether the store responds normally.
--- a/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
@@ -66,13 +66,13 @@
             return
         self.adopt(text, revision, source)
 
-    def prove(self, revision: int, proven_s: float) -> bool:
-        """Record that a revision was the newest at the time `proven_s`.
+    def prove(self, revision: int, confirmed_s: float) -> bool:
+        """Record that a revision was the newest at the time `confirmed_s`.
 
         Return False and record nothing if this node has another revision:
         the proof says nothing about an older one.
         """
         if revision != self._knowledge.configuration_revision:
             return False
-        self._knowledge.freshness.prove(proven_s)
+        self._knowledge.freshness.confirm(confirmed_s)
         return True
--- a/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
@@ -87,7 +87,7 @@
         for item in listing.items:
             if item.key == self._key and item.value:
                 self._keeper.adopt(item.value, item.revision, 'store')
-        self._knowledge.freshness.prove(polled_s)
+        self._knowledge.freshness.confirm(polled_s)
 
     def _record_failure(self, answer: object) -> None:
         if self._failing_since_s is None:
--- a/packages/gateway/dandelionyoke_gateway/_news_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_server.py
@@ -75,14 +75,14 @@
     def _configuration_news(
         self, request: NewsAsked, received_s: float
     ) -> ConfigurationNews | None:
-        proven_s = self._knowledge.freshness.proven_s
-        if proven_s is None:
+        confirmed_s = self._knowledge.freshness.confirmed_s
+        if confirmed_s is None:
             return None
         revision = self._knowledge.configuration_revision
         packed = None
         if request.configuration_revision < revision:
             packed = self._packed_configuration(request.wants_configuration)
-        return ConfigurationNews(revision, proven_s - received_s, packed)
+        return ConfigurationNews(revision, confirmed_s - received_s, packed)
 
     def _packed_configuration(self, is_requested: bool) -> bytes | None:
         packed = self._knowledge.configuration_packed
--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_reliance.py
@@ -63,19 +63,19 @@
 
     def configuration_wait_s(self, now_s: float) -> float:
         """Return the time until the configuration must be polled; 0: now."""
-        proven_s = self._knowledge.freshness.proven_s
-        return self._remaining_s(proven_s, self._configuration_s, now_s)
+        confirmed_s = self._knowledge.freshness.confirmed_s
+        return self._remaining_s(confirmed_s, self._configuration_s, now_s)
 
     def registry_wait_s(self, now_s: float) -> float:
         """Return the time until the registry must be polled; 0: now."""
-        proven_s = self._knowledge.listing.proven_s
-        return self._remaining_s(proven_s, self._registry_s, now_s)
+        confirmed_s = self._knowledge.listing.proven_s
+        return self._remaining_s(confirmed_s, self._registry_s, now_s)
 
     def has_lost_store(self, now_s: float) -> bool:
         """Whether this node's polls of the store have failed for too long."""
         return not (
             _is_within(
-                self._knowledge.freshness.proven_s,
+                self._knowledge.freshness.confirmed_s,
                 self._settings.blind_after_s,
                 now_s,
             )
@@ -96,12 +96,12 @@
         )
 
     def _remaining_s(
-        self, proven_s: float | None, limit_s: float, now_s: float
+        self, confirmed_s: float | None, limit_s: float, now_s: float
     ) -> float:
-        if proven_s is None or self._knowledge.sources.is_source(now_s):
+        if confirmed_s is None or self._knowledge.sources.is_source(now_s):
             return 0
-        return max(0, proven_s + limit_s - now_s)
+        return max(0, confirmed_s + limit_s - now_s)
 
 
-def _is_within(proven_s: float | None, limit_s: float, now_s: float) -> bool:
-    return proven_s is not None and now_s - proven_s < limit_s
+def _is_within(confirmed_s: float | None, limit_s: float, now_s: float) -> bool:
+    return confirmed_s is not None and now_s - confirmed_s < limit_s
--- a/tests/dispatch/test_freshness.py
+++ b/tests/dispatch/test_freshness.py
@@ -18,11 +18,11 @@
 
         It cannot be told, so it must stop accepting keys by itself in time.
         """
-        self.freshness.prove(10)
+        self.freshness.confirm(10)
         self.assertTrue(self.freshness.serves_keys(14.4))
         self.assertFalse(self.freshness.serves_keys(14.5))
 
     def test_a_response_confirms_the_time_of_its_request(self) -> None:
-        self.freshness.prove(10)
-        self.freshness.prove(7)
+        self.freshness.confirm(10)
+        self.freshness.confirm(7)
         self.assertEqual(2, self.freshness.age_s(12))
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -90,7 +90,7 @@
     def test_a_proof_of_another_revision_is_ignored(self) -> None:
         self.configurations.adopt(configuration(), 7, 'store')
         self.assertFalse(self.configurations.prove(8, clock_s()))
-        self.assertIsNone(self.knowledge.freshness.proven_s)
+        self.assertIsNone(self.knowledge.freshness.confirmed_s)
 
     def test_a_request_waits_for_a_change(self) -> None:
         self.registry.replace([target('i-1')], clock_s())
@@ -205,7 +205,7 @@
         self.assertEqual(
             self.store.revision, self.knowledge.configuration_revision
         )
-        self.assertIsNotNone(self.knowledge.freshness.proven_s)
+        self.assertIsNotNone(self.knowledge.freshness.confirmed_s)
 
     def test_reading_a_configuration_makes_no_answer_stale(self) -> None:
         """Guards against a healthy node suspected in a burst of changes."""
@@ -247,7 +247,7 @@
             if self.is_ranked_first(name)
         )
         now_s = clock_s()
-        self.knowledge.freshness.prove(now_s)
+        self.knowledge.freshness.confirm(now_s)
         self.knowledge.listing.replace((), now_s)
         self.assertAlmostEqual(1.5, self.reliance.registry_wait_s(now_s))
         self.assertAlmostEqual(1.5, self.reliance.configuration_wait_s(now_s))
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -181,7 +181,7 @@
         self.suspected_targets: list[str] = []
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(7))
         self.knowledge.configuration = configuration()
-        self.knowledge.freshness.prove(clock_s())
+        self.knowledge.freshness.confirm(clock_s())
         self.pool = TargetPool()
         self.targets: list[ScriptedTarget] = []
         self._registered: list[RegisteredTarget] = []
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -219,7 +219,7 @@
     def test_a_stale_configuration_authenticates_no_key(self) -> None:
         """A node has no contact with the store for longer than the bound."""
         self.node.add_target(answers_ok)
-        self.node.knowledge.freshness._proven_s = clock_s() - 4.6
+        self.node.knowledge.freshness._confirmed_s = clock_s() - 4.6
         content = self.node.call()
         self.assertEqual(503, status(content))
         self.assertIn(b'retry-after', content.lower())
