--- a/packages/dispatch/dandelionyoke_dispatch/_target_listing.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_listing.py
@@ -48,7 +48,7 @@
         self._targets: dict[str, RegisteredTarget] = {}
         self._changed_at: dict[str, int] = {}
         self._gone_at: dict[str, int] = {}
-        self._proven_s: float | None = None
+        self._confirmed_s: float | None = None
 
     @property
     def targets(self) -> tuple[RegisteredTarget, ...]:
@@ -56,9 +56,9 @@
         return tuple(self._targets.values())
 
     @property
-    def proven_s(self) -> float | None:
+    def confirmed_s(self) -> float | None:
         """The latest time at which the listing was valid; None if never."""
-        return self._proven_s
+        return self._confirmed_s
 
     @property
     def mark(self) -> ListingMark:
@@ -66,22 +66,22 @@
         return ListingMark(self._name, self._number)
 
     def replace(
-        self, targets: Iterable[RegisteredTarget], proven_s: float
+        self, targets: Iterable[RegisteredTarget], confirmed_s: float
     ) -> None:
-        """Replace the listing by a snapshot that was valid at `proven_s`."""
+        """Replace the listing by a snapshot that was valid at `confirmed_s`."""
         by_id = {target.target_id: target for target in targets}
         gone = tuple(
             target_id for target_id in self._targets if target_id not in by_id
         )
-        self.change(by_id.values(), gone, proven_s)
+        self.change(by_id.values(), gone, confirmed_s)
 
     def change(
         self,
         changed: Iterable[RegisteredTarget],
         gone: Iterable[str],
-        proven_s: float,
+        confirmed_s: float,
     ) -> None:
-        """Apply a delta that makes the listing valid at `proven_s`."""
+        """Apply a delta that makes the listing valid at `confirmed_s`."""
         for target in changed:
             if self._targets.get(target.target_id) != target:
                 self._record_change(target.target_id, self._changed_at)
@@ -94,8 +94,8 @@
         if len(self._gone_at) > MAX_REMOVED_IDS:
             self._gone_at.clear()
             self._oldest_number = self._number
-        if self._proven_s is None or proven_s > self._proven_s:
-            self._proven_s = proven_s
+        if self._confirmed_s is None or confirmed_s > self._confirmed_s:
+            self._confirmed_s = confirmed_s
 
     def since(self, mark: ListingMark | None) -> ListingChanges:
         """Return the changes after a mark.
--- a/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
@@ -144,8 +144,8 @@
         self, listing: StoreListing, polled_s: float
     ) -> None:
         """Apply a listing unless another node has sent a newer one."""
-        proven_s = self._knowledge.listing.proven_s
-        if proven_s is not None and proven_s > polled_s:
+        confirmed_s = self._knowledge.listing.confirmed_s
+        if confirmed_s is not None and confirmed_s > polled_s:
             self._follower.restart()
             return
         self._apply(listing, polled_s)
--- a/packages/gateway/dandelionyoke_gateway/_news_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_server.py
@@ -95,8 +95,8 @@
         self, request: NewsAsked, received_s: float
     ) -> TargetNews | None:
         listing = self._knowledge.listing
-        if listing.proven_s is None:
+        if listing.confirmed_s is None:
             return None
         return TargetNews(
-            listing.proven_s - received_s, listing.since(request.mark)
+            listing.confirmed_s - received_s, listing.since(request.mark)
         )
--- a/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
@@ -21,24 +21,24 @@
         self._is_grace_end_scheduled = False
 
     def replace(
-        self, targets: Iterable[RegisteredTarget], proven_s: float
+        self, targets: Iterable[RegisteredTarget], confirmed_s: float
     ) -> None:
-        """Replace all targets by those listed at the time `proven_s`."""
-        self._knowledge.listing.replace(targets, proven_s)
+        """Replace all targets by those listed at the time `confirmed_s`."""
+        self._knowledge.listing.replace(targets, confirmed_s)
         self._apply('store')
 
     def change(
         self,
         changed: Iterable[RegisteredTarget],
         gone: Iterable[str],
-        proven_s: float,
+        confirmed_s: float,
     ) -> None:
-        """Apply the changes up to the time `proven_s`."""
-        self._knowledge.listing.change(changed, gone, proven_s)
+        """Apply the changes up to the time `confirmed_s`."""
+        self._knowledge.listing.change(changed, gone, confirmed_s)
         self._apply('store')
 
     def take_news(
-        self, changes: ListingChanges, proven_s: float, peer_id: str
+        self, changes: ListingChanges, confirmed_s: float, peer_id: str
     ) -> bool:
         """Apply changes that another node sent; False if they are stale.
 
@@ -47,12 +47,15 @@
         applied to a listing that is not newer than they are.
         """
         listing = self._knowledge.listing
-        if listing.proven_s is not None and proven_s < listing.proven_s:
+        if (
+            listing.confirmed_s is not None
+            and confirmed_s < listing.confirmed_s
+        ):
             return False
         if changes.is_whole:
-            listing.replace(changes.changed, proven_s)
+            listing.replace(changes.changed, confirmed_s)
         else:
-            listing.change(changes.changed, changes.gone, proven_s)
+            listing.change(changes.changed, changes.gone, confirmed_s)
         self._apply(peer_id)
         return True
 
--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_reliance.py
@@ -68,7 +68,7 @@
 
     def registry_wait_s(self, now_s: float) -> float:
         """Return the time until the registry must be polled; 0: now."""
-        confirmed_s = self._knowledge.listing.proven_s
+        confirmed_s = self._knowledge.listing.confirmed_s
         return self._remaining_s(confirmed_s, self._registry_s, now_s)
 
     def has_lost_store(self, now_s: float) -> bool:
@@ -80,7 +80,7 @@
                 now_s,
             )
             and _is_within(
-                self._knowledge.listing.proven_s, self._registry_s, now_s
+                self._knowledge.listing.confirmed_s, self._registry_s, now_s
             )
         )
 
--- a/tests/dispatch/test_target_listing.py
+++ b/tests/dispatch/test_target_listing.py
@@ -41,7 +41,7 @@
         mark = self.listing.mark
         self.listing.change([target('i-1')], (), 2.0)
         self.assertEqual(mark, self.listing.mark)
-        self.assertEqual(2.0, self.listing.proven_s)
+        self.assertEqual(2.0, self.listing.confirmed_s)
 
     def test_the_mark_of_another_process_is_ignored(self) -> None:
         """The polled node restarts, or another one is polled from now on.
