--- a/packages/dispatch/dandelionyoke_dispatch/_freshness.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_freshness.py
@@ -57,7 +57,7 @@
         age_s = self.age_s(now_s)
         return age_s is not None and age_s < self._settings.current_s
 
-    def serves_keys(self, now_s: float) -> bool:
+    def may_accept_keys(self, now_s: float) -> bool:
         """Whether the configuration is recent enough to accept keys."""
         age_s = self.age_s(now_s)
         max_age_s = self._settings.revocation_s - self._settings.margin_s
--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -197,7 +197,7 @@
     ) -> Organisation | None:
         if route.is_anonymous or not configuration.has_organisations:
             return None
-        if not self._tools.knowledge.freshness.serves_keys(clock_s()):
+        if not self._tools.knowledge.freshness.may_accept_keys(clock_s()):
             raise RefusedError(
                 Refusal(Cause.STALE_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
             )
