--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -52,7 +52,7 @@
         self.prefill_time.add_sample(prompt('y'), 9000 * TOKEN_S)
         self.count = 0
 
-    def place(self, request: Prompt, now_s: float = 0) -> PrefillPlacement:
+    def choose(self, request: Prompt, now_s: float = 0) -> PrefillPlacement:
         placement = self.placement.choose_prefill_engine(
             'lm', request, self.prefill_time, self.queue, (), now_s
         )
@@ -60,7 +60,7 @@
         return placement
 
     def place(self, request: Prompt, now_s: float = 0) -> str:
-        return self.place(request, now_s).target.target_id
+        return self.choose(request, now_s).target.target_id
 
     def place_and_start(self, request: Prompt, now_s: float = 0) -> str:
         chosen = self.place(request, now_s)
@@ -93,7 +93,7 @@
     def test_another_engine_fetches_the_prefix_from_the_first(self) -> None:
         first = self.place_and_start(prompt('x'))
         self.place_and_start(prompt('x'))
-        placement = self.place(prompt('x'))
+        placement = self.choose(prompt('x'))
         assert placement.source is not None
         self.assertNotEqual(first, placement.target.target_id)
         self.assertEqual(first, placement.source.target_id)
@@ -108,7 +108,7 @@
         first = self.place_and_start(prompt('x'))
         self.place_and_start(prompt('x'))
         self.fetches.failed(first, 0)
-        placement = self.place(prompt('x'))
+        placement = self.choose(prompt('x'))
         source_id = placement.source.target_id if placement.source else None
         self.assertNotEqual(first, source_id)
 
