--- a/packages/gateway/dandelionyoke_gateway/_backlog_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_backlog_task.py
@@ -62,7 +62,7 @@
     def _collect_backlogs(self) -> Backlogs:
         backlogs: Backlogs = {}
         for service, state in self._knowledge.service_states.items():
-            backlog = state.line.backlog()
+            backlog = state.prompt_queue.backlog()
             if backlog:
                 backlogs[service] = backlog
         return backlogs
@@ -81,4 +81,4 @@
         self._links.mark_heard(peer_id)
         for service, state in self._knowledge.service_states.items():
             backlog = message.tokens.get(service, {})
-            state.line.set_peer_backlog(peer_id, backlog, clock_s())
+            state.prompt_queue.set_peer_backlog(peer_id, backlog, clock_s())
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -76,7 +76,7 @@
     pace: PrefillTimeEstimate = attrs.field(
         factory=lambda: PrefillTimeEstimate(PrefillTimeSettings())
     )
-    line: PromptQueue = attrs.field(
+    prompt_queue: PromptQueue = attrs.field(
         factory=lambda: PromptQueue(PromptQueueSettings())
     )
 
@@ -150,7 +150,7 @@
         state = self.watch_of(service)
         begun, slow = state.strain.recent(now_s)
         return ServiceDemand(
-            service, streams, begun, slow, state.line.prompt_count
+            service, streams, begun, slow, state.prompt_queue.prompt_count
         )
 
     def forget_targets(self, usable: frozenset[str]) -> None:
@@ -163,7 +163,7 @@
         listed = frozenset(target.target_id for target in self.listing.targets)
         self.fetches.forget(listed)
         for state in self._service_states.values():
-            state.line.forget(listed)
+            state.prompt_queue.forget(listed)
 
     def take_node_count(self, count: int) -> None:
         """Set the number of nodes, including this one."""
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -185,13 +185,13 @@
             request.service,
             request.prompt,
             state.pace,
-            state.line,
+            state.prompt_queue,
             request.avoid,
             clock_s(),
         )
         if placement is not None:
             target_id = placement.target.target_id
-            state.line.assign(
+            state.prompt_queue.assign(
                 queued.queued_prompt.ticket_id, target_id, clock_s()
             )
         return placement
@@ -231,4 +231,4 @@
         return self._knowledge.watch_of(request.service)
 
     def _queue(self, request: PrefillRequest) -> PromptQueue:
-        return self._service_state(request).line
+        return self._service_state(request).prompt_queue
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -156,7 +156,8 @@
             or 0.0
         )
         return max(
-            SLOW_FETCH_MEAN_FACTOR * self._service_stats.line.mean_prefill_s,
+            SLOW_FETCH_MEAN_FACTOR
+            * self._service_stats.prompt_queue.mean_prefill_s,
             SLOW_FETCH_GOAL_SHARE * self._context.route.goal_s,
             SLOW_FETCH_PREFILL_FACTOR * expected_s,
         )
--- a/packages/gateway/dandelionyoke_gateway/_stream_tries.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_tries.py
@@ -48,7 +48,7 @@
             self.context.call.attempt_id,
             outcome=target.target_id,
             service=self.context.service.name,
-            line_s=stats.line.expected_wait_s(),
+            line_s=stats.prompt_queue.expected_wait_s(),
             busy=self.tools.knowledge.loads.busy(target.target_id, clock_s()),
             **inputs,
         )
