--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -96,7 +96,7 @@
         self._send_end(pending, result)
         if result.read_s is not None:
             state = self._knowledge.watch_of(grant.request.service)
-            state.pace.add_sample(grant.request.prompt, result.read_s)
+            state.prefill_time.add_sample(grant.request.prompt, result.read_s)
 
     def handle_response(self, response: PrefillTold) -> None:
         """Pass an answer on to the request that waits for it."""
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -73,7 +73,7 @@
     strain: OverloadDetector = attrs.field(
         factory=lambda: OverloadDetector(OverloadSettings())
     )
-    pace: PrefillTimeEstimate = attrs.field(
+    prefill_time: PrefillTimeEstimate = attrs.field(
         factory=lambda: PrefillTimeEstimate(PrefillTimeSettings())
     )
     prompt_queue: PromptQueue = attrs.field(
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -158,7 +158,7 @@
         """Release a grant, and record how long the prefill took."""
         self._release(grant.request, grant.ticket_id, result.read_s)
         if result.read_s is not None:
-            prefill_time = self._service_state(grant.request).pace
+            prefill_time = self._service_state(grant.request).prefill_time
             prefill_time.add_sample(grant.request.prompt, result.read_s)
 
     def _await_turn(self, queued: QueuedPrefill) -> bool:
@@ -184,7 +184,7 @@
         placement = self._knowledge.placement.choose_prefill_engine(
             request.service,
             request.prompt,
-            state.pace,
+            state.prefill_time,
             state.prompt_queue,
             request.avoid,
             clock_s(),
@@ -198,7 +198,7 @@
 
     def _build_queued_prompt(self, request: PrefillRequest) -> QueuedPrompt:
         tokens = request.prompt.token_count
-        prefill_time = self._service_state(request).pace
+        prefill_time = self._service_state(request).prefill_time
         read_s = prefill_time.with_cache.expected_s(tokens) or 0.0
         max_wait_s = max(
             PREFILL_GOAL_SHARE * request.goal_s - read_s,
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -152,7 +152,9 @@
 
     def _slow_fetch_s(self, prompt: Prompt) -> float:
         expected_s = (
-            self._service_stats.pace.with_cache.expected_s(prompt.token_count)
+            self._service_stats.prefill_time.with_cache.expected_s(
+                prompt.token_count
+            )
             or 0.0
         )
         return max(
@@ -171,7 +173,7 @@
         prefills all tokens at the speed for uncached tokens, however fast the
         prefill engines are with the prefixes that they cache.
         """
-        prefill_s = self._service_stats.pace.without_cache.expected_s(
+        prefill_s = self._service_stats.prefill_time.without_cache.expected_s(
             prompt.token_count
         )
         if prefill_s is None:
