--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -70,7 +70,7 @@
 class ServiceState:
     """One service's prefill queue, prefill speed and overload signals."""
 
-    strain: OverloadDetector = attrs.field(
+    overload: OverloadDetector = attrs.field(
         factory=lambda: OverloadDetector(OverloadSettings())
     )
     prefill_time: PrefillTimeEstimate = attrs.field(
@@ -148,7 +148,7 @@
             if target.phase is Phase.DECODE
         )
         state = self.watch_of(service)
-        begun, slow = state.strain.recent(now_s)
+        begun, slow = state.overload.recent(now_s)
         return ServiceDemand(
             service, streams, begun, slow, state.prompt_queue.prompt_count
         )
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -110,7 +110,7 @@
         try:
             return self._tools.prefills.enter(request)
         except TooLateError as error:
-            self._service_stats.strain.record_refusal(clock_s())
+            self._service_stats.overload.record_refusal(clock_s())
             refusal = Refusal(Cause.TOO_LATE, error.retry_after_s)
             raise RefusedError(refusal) from error
 
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -185,7 +185,7 @@
         self._tools.log.observe('stream.begin', since_arrival_s)
         self._knowledge.watch_of(
             self._context.service.name
-        ).strain.record_first_token(
+        ).overload.record_first_token(
             since_arrival_s, self._context.route.goal_s, clock_s()
         )
         self._state.log_decision(
