--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -95,7 +95,7 @@
             return
         self._send_end(pending, result)
         if result.read_s is not None:
-            state = self._knowledge.watch_of(grant.request.service)
+            state = self._knowledge.service_state(grant.request.service)
             state.prefill_time.add_sample(grant.request.prompt, result.read_s)
 
     def handle_response(self, response: PrefillTold) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -124,7 +124,7 @@
         return FleetNeed(overload.is_overloaded(now_s), unavailable_domains)
 
     def _overload(self, service: str) -> OverloadDetector:
-        return self._knowledge.watch_of(service).overload
+        return self._knowledge.service_state(service).overload
 
     def _record_first_listing(self) -> None:
         if self._first_listed_s is None and self._knowledge.registry.is_known:
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -122,7 +122,7 @@
     in_progress: int = 0
     _service_states: dict[str, ServiceState] = attrs.field(factory=dict)
 
-    def watch_of(self, service: str) -> ServiceState:
+    def service_state(self, service: str) -> ServiceState:
         """Return the state of a service, created on first use."""
         return self._service_states.setdefault(service, ServiceState())
 
@@ -147,7 +147,7 @@
             for target in self.registry.all_of_service(service)
             if target.phase is Phase.DECODE
         )
-        state = self.watch_of(service)
+        state = self.service_state(service)
         begun, slow = state.overload.recent(now_s)
         return ServiceDemand(
             service, streams, begun, slow, state.prompt_queue.prompt_count
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -228,7 +228,7 @@
         return TooLateError(self._queue(request).retry_after_s())
 
     def _service_state(self, request: PrefillRequest) -> ServiceState:
-        return self._knowledge.watch_of(request.service)
+        return self._knowledge.service_state(request.service)
 
     def _queue(self, request: PrefillRequest) -> PromptQueue:
         return self._service_state(request).prompt_queue
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -70,7 +70,7 @@
         self._tools = state.tools
         self._knowledge = state.tools.knowledge
         self._context = state.context
-        self._service_stats = self._knowledge.watch_of(
+        self._service_stats = self._knowledge.service_state(
             self._context.service.name
         )
         # Whether a prefill request was sent to an engine.
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -183,7 +183,7 @@
         self._prompt = None
         since_arrival_s = clock_s() - self._context.request.arrived_s
         self._tools.log.observe('stream.begin', since_arrival_s)
-        self._knowledge.watch_of(
+        self._knowledge.service_state(
             self._context.service.name
         ).overload.record_first_token(
             since_arrival_s, self._context.route.goal_s, clock_s()
--- a/packages/gateway/dandelionyoke_gateway/_stream_tries.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_tries.py
@@ -42,7 +42,7 @@
         **inputs: str | float | None,
     ) -> None:
         """Log a decision about the call and a target."""
-        stats = self.tools.knowledge.watch_of(self.context.service.name)
+        stats = self.tools.knowledge.service_state(self.context.service.name)
         self.tools.log.decide(
             decision,
             self.context.call.attempt_id,
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -113,7 +113,7 @@
         """Guards against idle engines that still count as busy."""
         grants = [self.first.assign() for _ in range(4)]
         self.wait_for_messages()
-        prompt_queue = self.second.knowledge.watch_of('lm').prompt_queue
+        prompt_queue = self.second.knowledge.service_state('lm').prompt_queue
         busy = [grant.home.target.target_id for grant in grants if grant.home]
         for target_id in busy:
             tokens = prompt_queue.fleet_backlog(clock_s())[target_id]
@@ -127,7 +127,7 @@
 
     def test_an_old_backlog_expires(self) -> None:
         """Guards against engines left idle because of a node that is cut off."""
-        prompt_queue = self.second.knowledge.watch_of('lm').prompt_queue
+        prompt_queue = self.second.knowledge.service_state('lm').prompt_queue
         prompt_queue.set_peer_backlog('n-9', {'i-0': 9000}, clock_s() - 0.6)
         self.assertEqual(0, prompt_queue.fleet_backlog(clock_s())['i-0'])
 
@@ -137,6 +137,6 @@
         self.second.task.handle_event(
             PeerMessageArrived(self.first.name, message)
         )
-        prompt_queue = self.second.knowledge.watch_of('lm').prompt_queue
+        prompt_queue = self.second.knowledge.service_state('lm').prompt_queue
         self.assertEqual(0, prompt_queue.fleet_backlog(clock_s())['i-0'])
         self.assertIn('placing.dropped', self.second.lines.text)
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -206,7 +206,9 @@
         network = self.network(nodes=2, engines=1)
         node, source = network.others[0], network.source
         node.queue.enter(request(patience_s=-0.95))
-        tokens = source.knowledge.watch_of('lm').prompt_queue.backlog_tokens
+        tokens = source.knowledge.service_state(
+            'lm'
+        ).prompt_queue.backlog_tokens
         self.assertEqual(9000, tokens('i-0'))
         eventlet.sleep(0.1)
         self.assertEqual(0, tokens('i-0'))
@@ -229,7 +231,7 @@
             node.queue.enter(request())
         waiting = eventlet.spawn(third.queue.enter, request())
         eventlet.sleep(0.02)
-        prompt_queue = network.source.knowledge.watch_of('lm').prompt_queue
+        prompt_queue = network.source.knowledge.service_state('lm').prompt_queue
         before_s = prompt_queue.expected_wait_s()
         waiting.kill()
         eventlet.sleep(0.02)
@@ -262,7 +264,7 @@
             if not user.dead:
                 user.wait()
         eventlet.sleep(0.05)
-        prompt_queue = network.source.knowledge.watch_of('lm').prompt_queue
+        prompt_queue = network.source.knowledge.service_state('lm').prompt_queue
         self.assertEqual(0, prompt_queue.expected_wait_s())
         self.assertEqual(
             0, sum(map(prompt_queue.backlog_tokens, ('i-0', 'i-1')))
@@ -308,7 +310,7 @@
         for message in (invalid, infinite, valid, valid):
             source.links.handle_event(PeerMessageArrived(node.name, message))
         self.assertEqual(1, network.sent['PrefillTold'])
-        prompt_queue = source.knowledge.watch_of('lm').prompt_queue
+        prompt_queue = source.knowledge.service_state('lm').prompt_queue
         self.assertEqual(9000, prompt_queue.backlog_tokens('i-0'))
 
     def test_an_unexpected_answer_is_dropped(self) -> None:
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -414,7 +414,7 @@
         decode_engine = self.node.add_target(
             self.streams_tokens, 'lm', Phase.DECODE
         )
-        prefill_time = self.node.knowledge.watch_of('lm').prefill_time
+        prefill_time = self.node.knowledge.service_state('lm').prefill_time
         prefill_time.add_sample(Prompt('m', 10000, 1), 0.1)
         short_prompt_headers = (
             'Model: m\r\nToken-Count: 90,20\r\nPrompt-Prefix: cc:90\r\n'
@@ -431,7 +431,7 @@
             self.answers_prefill, 'lm', Phase.PREFILL
         )
         self.node.add_target(self.streams_tokens, 'lm', Phase.DECODE)
-        prefill_time = self.node.knowledge.watch_of('lm').prefill_time
+        prefill_time = self.node.knowledge.service_state('lm').prefill_time
         prefill_time.add_sample(Prompt('m', 1000, 1), 0.1)
         self.node.call('/ask/1', extra=PROMPT_HEADERS)
         self.assertEqual(1, len(prefill_engine.seen))
@@ -447,7 +447,7 @@
             self.answers_prefill, 'lm', Phase.PREFILL
         )
         self.node.add_target(self.streams_tokens, 'lm', Phase.DECODE)
-        prefill_time = self.node.knowledge.watch_of('lm').prefill_time
+        prefill_time = self.node.knowledge.service_state('lm').prefill_time
         parts = (PromptPart('aa', 49000), PromptPart('bb', 1000))
         for _ in range(50):
             prefill_time.add_sample(Prompt('m', 50000, 1, parts), 0.05)
