--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -47,7 +47,7 @@
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance, RelianceSettings
+from dandelionyoke_gateway._reliance import Reliance, StorePollSettings
 from dandelionyoke_gateway._settings import Endpoint, GatewaySettings
 from dandelionyoke_gateway._source_parts import SourceParts
 from dandelionyoke_gateway._status import ExitStatus
@@ -187,7 +187,7 @@
         adapters, knowledge, log = self._adapters, self._knowledge, self._log
         dialect, store = adapters.dialect, adapters.store
         pace = PaceSettings()
-        reliance = Reliance(knowledge, RelianceSettings())
+        reliance = Reliance(knowledge, StorePollSettings())
         configurations = ConfigurationKeeper(knowledge, dialect, log)
         registry = RegistryKeeper(knowledge, log)
         configuration_task = ConfigurationTask(
--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_reliance.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class RelianceSettings:
+class StorePollSettings:
     """How stale the data from another node may become.
 
     A node that others poll ends its watches on the configuration after
@@ -38,7 +38,7 @@
     """Compares the age of a node's data with the time limits."""
 
     def __init__(
-        self, knowledge: Knowledge, settings: RelianceSettings
+        self, knowledge: Knowledge, settings: StorePollSettings
     ) -> None:
         self._knowledge = knowledge
         self._settings = settings
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -36,7 +36,7 @@
 from dandelionyoke_gateway._news_server import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_task import NewsTask
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance, RelianceSettings
+from dandelionyoke_gateway._reliance import Reliance, StorePollSettings
 from dandelionyoke_platform._dialect import PlatformDialect
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
@@ -182,7 +182,7 @@
             PlatformDialect(),
             self.configurations,
             self.registry,
-            Reliance(self.knowledge, RelianceSettings()),
+            Reliance(self.knowledge, StorePollSettings()),
             DecisionLog(Lines(), 'n-1', Metrics()),
         )
 
@@ -227,7 +227,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(3))
-        self.reliance = Reliance(self.knowledge, RelianceSettings())
+        self.reliance = Reliance(self.knowledge, StorePollSettings())
 
     def test_a_new_node_polls_the_store(self) -> None:
         self.assertEqual(0, self.reliance.configuration_wait_s(clock_s()))
