--- a/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
@@ -16,7 +16,7 @@
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Dialect, Store
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance
+from dandelionyoke_gateway._reliance import StorePollPolicy
 from dandelionyoke_gateway._store_follower import StoreFollower
 
 
@@ -45,7 +45,7 @@
         self,
         keeper: ConfigurationKeeper,
         knowledge: Knowledge,
-        reliance: Reliance,
+        store_polling: StorePollPolicy,
         dialect: Dialect,
         store: Store,
         log: DecisionLog,
@@ -53,7 +53,7 @@
     ) -> None:
         self._keeper = keeper
         self._knowledge = knowledge
-        self._reliance = reliance
+        self._store_polling = store_polling
         self._key = dialect.configuration_key
         self._log = log
         self._failing_since_s: float | None = None
@@ -64,7 +64,7 @@
     def run(self) -> None:
         """Follow the configuration until the process exits."""
         while True:
-            wait_s = self._reliance.configuration_wait_s(clock_s())
+            wait_s = self._store_polling.configuration_wait_s(clock_s())
             if wait_s > 0:
                 sleep(wait_s)
                 continue
@@ -72,7 +72,7 @@
 
     def _poll_store(self) -> None:
         polled_s = clock_s()
-        answer = self._follower.ask(self._reliance.watch_duration_s)
+        answer = self._follower.ask(self._store_polling.watch_duration_s)
         if isinstance(answer, StoreListing):
             self._apply(answer, polled_s)
         else:
@@ -103,14 +103,14 @@
         self,
         keeper: RegistryKeeper,
         knowledge: Knowledge,
-        reliance: Reliance,
+        store_polling: StorePollPolicy,
         dialect: Dialect,
         store: Store,
         pace: PaceSettings,
     ) -> None:
         self._keeper = keeper
         self._knowledge = knowledge
-        self._reliance = reliance
+        self._store_polling = store_polling
         self._dialect = dialect
         self._pace = pace
         self._watch_duration_s = (
@@ -125,7 +125,7 @@
     def run(self) -> None:
         """Follow the registry until the process exits."""
         while True:
-            wait_s = self._reliance.registry_wait_s(clock_s())
+            wait_s = self._store_polling.registry_wait_s(clock_s())
             if wait_s > 0:
                 sleep(wait_s)
                 continue
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -29,7 +29,7 @@
 from dandelionyoke_gateway._news_server import NewsServer
 from dandelionyoke_gateway._ports import Dialect, Store
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance
+from dandelionyoke_gateway._reliance import StorePollPolicy
 from dandelionyoke_links import PeerHub
 
 # A healthy node answers within the hold time and a few milliseconds, and
@@ -56,7 +56,7 @@
         dialect: Dialect,
         configurations: ConfigurationKeeper,
         registry: RegistryKeeper,
-        reliance: Reliance,
+        store_polling: StorePollPolicy,
         log: DecisionLog,
     ) -> None:
         self._knowledge = knowledge
@@ -64,7 +64,7 @@
         self._dialect = dialect
         self._configurations = configurations
         self._registry = registry
-        self._reliance = reliance
+        self._store_polling = store_polling
         self._log = log
         self._inbox: LightQueue = LightQueue()
         self._linked: set[InstanceId] = set()
@@ -80,7 +80,7 @@
         while True:
             member = self._knowledge.sources.node_to_poll(
                 clock_s(),
-                has_lost_store=self._reliance.has_lost_store(clock_s()),
+                has_lost_store=self._store_polling.has_lost_store(clock_s()),
             )
             if member is None:
                 self._stop_polling()
@@ -139,7 +139,7 @@
             self._stale_since_s = None
             self._log.decide('peer.asked', member.instance_id)
         self._request_number += 1
-        hold_s = self._reliance.hold_s
+        hold_s = self._store_polling.hold_s
         request = NewsAsked(
             self._request_number,
             self._knowledge.process_name,
@@ -262,7 +262,7 @@
         Limits store reads during a burst of changes: otherwise each node
         would read every revision, although only the latest one matters.
         """
-        due_s = self._last_fetch_s + self._reliance.fetch_interval_s
+        due_s = self._last_fetch_s + self._store_polling.fetch_interval_s
         eventlet.sleep(max(0, due_s - clock_s()))
         self._last_fetch_s = clock_s()
 
@@ -270,7 +270,7 @@
         self, answer: NewsTold, member: Member, elapsed_s: float
     ) -> None:
         """Suspect a node if its answers stay stale for too long."""
-        if self._reliance.is_fresh(answer, elapsed_s):
+        if self._store_polling.is_fresh(answer, elapsed_s):
             self._stale_since_s = None
             return
         now_s = clock_s()
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -47,7 +47,7 @@
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance, StorePollSettings
+from dandelionyoke_gateway._reliance import StorePollPolicy, StorePollSettings
 from dandelionyoke_gateway._settings import Endpoint, GatewaySettings
 from dandelionyoke_gateway._source_parts import SourceParts
 from dandelionyoke_gateway._status import ExitStatus
@@ -187,17 +187,23 @@
         adapters, knowledge, log = self._adapters, self._knowledge, self._log
         dialect, store = adapters.dialect, adapters.store
         pace = PaceSettings()
-        reliance = Reliance(knowledge, StorePollSettings())
+        store_polling = StorePollPolicy(knowledge, StorePollSettings())
         configurations = ConfigurationKeeper(knowledge, dialect, log)
         registry = RegistryKeeper(knowledge, log)
         configuration_task = ConfigurationTask(
-            configurations, knowledge, reliance, dialect, store, log, pace
+            configurations, knowledge, store_polling, dialect, store, log, pace
         )
         registry_task = RegistryTask(
-            registry, knowledge, reliance, dialect, store, pace
+            registry, knowledge, store_polling, dialect, store, pace
         )
         news_task = NewsTask(
-            knowledge, store, dialect, configurations, registry, reliance, log
+            knowledge,
+            store,
+            dialect,
+            configurations,
+            registry,
+            store_polling,
+            log,
         )
         eventlet.spawn_n(configuration_task.run)
         eventlet.spawn_n(registry_task.run)
--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_reliance.py
@@ -34,7 +34,7 @@
     relied_within_s: float = 3.0
 
 
-class Reliance:
+class StorePollPolicy:
     """Compares the age of a node's data with the time limits."""
 
     def __init__(
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -36,7 +36,7 @@
 from dandelionyoke_gateway._news_server import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_task import NewsTask
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance, StorePollSettings
+from dandelionyoke_gateway._reliance import StorePollPolicy, StorePollSettings
 from dandelionyoke_platform._dialect import PlatformDialect
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
@@ -182,7 +182,7 @@
             PlatformDialect(),
             self.configurations,
             self.registry,
-            Reliance(self.knowledge, StorePollSettings()),
+            StorePollPolicy(self.knowledge, StorePollSettings()),
             DecisionLog(Lines(), 'n-1', Metrics()),
         )
 
@@ -227,12 +227,14 @@
     def setUp(self) -> None:
         super().setUp()
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(3))
-        self.reliance = Reliance(self.knowledge, StorePollSettings())
+        self.store_polling = StorePollPolicy(
+            self.knowledge, StorePollSettings()
+        )
 
     def test_a_new_node_polls_the_store(self) -> None:
-        self.assertEqual(0, self.reliance.configuration_wait_s(clock_s()))
-        self.assertEqual(0, self.reliance.registry_wait_s(clock_s()))
-        self.assertTrue(self.reliance.has_lost_store(clock_s()))
+        self.assertEqual(0, self.store_polling.configuration_wait_s(clock_s()))
+        self.assertEqual(0, self.store_polling.registry_wait_s(clock_s()))
+        self.assertTrue(self.store_polling.has_lost_store(clock_s()))
 
     def test_news_are_relied_on_for_three_quarters_of_the_limit(self) -> None:
         """Guards against calls to leaving targets or by outdated routes.
@@ -249,10 +251,12 @@
         now_s = clock_s()
         self.knowledge.freshness.confirm(now_s)
         self.knowledge.listing.replace((), now_s)
-        self.assertAlmostEqual(1.5, self.reliance.registry_wait_s(now_s))
-        self.assertAlmostEqual(1.5, self.reliance.configuration_wait_s(now_s))
+        self.assertAlmostEqual(1.5, self.store_polling.registry_wait_s(now_s))
+        self.assertAlmostEqual(
+            1.5, self.store_polling.configuration_wait_s(now_s)
+        )
         sources.suspect(other, now_s)
-        self.assertEqual(0, self.reliance.registry_wait_s(now_s))
+        self.assertEqual(0, self.store_polling.registry_wait_s(now_s))
 
     def is_ranked_first(self, name: str) -> bool:
         sources = self.knowledge.sources
