--- a/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
@@ -16,8 +16,8 @@
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Dialect, Store
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import StorePollPolicy
 from dandelionyoke_gateway._store_follower import StoreFollower
+from dandelionyoke_gateway._store_poll_policy import StorePollPolicy
 
 
 @attrs.frozen
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -29,7 +29,7 @@
 from dandelionyoke_gateway._news_server import NewsServer
 from dandelionyoke_gateway._ports import Dialect, Store
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import StorePollPolicy
+from dandelionyoke_gateway._store_poll_policy import StorePollPolicy
 from dandelionyoke_links import PeerHub
 
 # A healthy node answers within the hold time and a few milliseconds, and
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -47,10 +47,13 @@
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import StorePollPolicy, StorePollSettings
 from dandelionyoke_gateway._settings import Endpoint, GatewaySettings
 from dandelionyoke_gateway._source_parts import SourceParts
 from dandelionyoke_gateway._status import ExitStatus
+from dandelionyoke_gateway._store_poll_policy import (
+    StorePollPolicy,
+    StorePollSettings,
+)
 from dandelionyoke_gateway._stream_call import carry_stream
 from dandelionyoke_gateway._target_pool import TargetPool
 from dandelionyoke_gateway._usage_tasks import CountsTask, UsageTask
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -36,7 +36,10 @@
 from dandelionyoke_gateway._news_server import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_task import NewsTask
 from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import StorePollPolicy, StorePollSettings
+from dandelionyoke_gateway._store_poll_policy import (
+    StorePollPolicy,
+    StorePollSettings,
+)
 from dandelionyoke_platform._dialect import PlatformDialect
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
