--- a/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class PaceSettings:
+class StorePollIntervals:
     """How often the store is polled; each call has a cost.
 
     The registry changes with each heartbeat of each target, so a watch on it
@@ -49,7 +49,7 @@
         dialect: Dialect,
         store: Store,
         log: DecisionLog,
-        pace: PaceSettings,
+        intervals: StorePollIntervals,
     ) -> None:
         self._keeper = keeper
         self._knowledge = knowledge
@@ -58,7 +58,7 @@
         self._log = log
         self._failing_since_s: float | None = None
         self._follower = StoreFollower(
-            store, self._key, BackOff(pace.back_off, knowledge.random)
+            store, self._key, BackOff(intervals.back_off, knowledge.random)
         )
 
     def run(self) -> None:
@@ -106,20 +106,20 @@
         store_polling: StorePollPolicy,
         dialect: Dialect,
         store: Store,
-        pace: PaceSettings,
+        intervals: StorePollIntervals,
     ) -> None:
         self._keeper = keeper
         self._knowledge = knowledge
         self._store_polling = store_polling
         self._dialect = dialect
-        self._pace = pace
+        self._intervals = intervals
         self._watch_duration_s = (
-            pace.registry_watch_share * knowledge.settings.drain_s
+            intervals.registry_watch_share * knowledge.settings.drain_s
         )
         self._follower = StoreFollower(
             store,
             dialect.registry_prefix,
-            BackOff(pace.back_off, knowledge.random),
+            BackOff(intervals.back_off, knowledge.random),
         )
 
     def run(self) -> None:
@@ -170,7 +170,7 @@
     def _wait_for_batch(self, polled_s: float) -> None:
         """Sleep so that the next poll returns several changes at once."""
         drain_s = self._knowledge.settings.drain_s
-        interval_s = self._pace.registry_share * drain_s
+        interval_s = self._intervals.registry_share * drain_s
         remaining_s = polled_s + interval_s - clock_s()
         if remaining_s > 0:
             sleep(remaining_s * self._knowledge.random.uniform(0.9, 1))
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -27,8 +27,8 @@
 from dandelionyoke_gateway._knowledge import new_knowledge
 from dandelionyoke_gateway._knowledge_tasks import (
     ConfigurationTask,
-    PaceSettings,
     RegistryTask,
+    StorePollIntervals,
 )
 from dandelionyoke_gateway._log import DecisionLog, LineSink
 from dandelionyoke_gateway._member_task import MemberTask
@@ -189,15 +189,21 @@
         """Start the tasks that read the store or ask a node that reads it."""
         adapters, knowledge, log = self._adapters, self._knowledge, self._log
         dialect, store = adapters.dialect, adapters.store
-        pace = PaceSettings()
+        intervals = StorePollIntervals()
         store_polling = StorePollPolicy(knowledge, StorePollSettings())
         configurations = ConfigurationKeeper(knowledge, dialect, log)
         registry = RegistryKeeper(knowledge, log)
         configuration_task = ConfigurationTask(
-            configurations, knowledge, store_polling, dialect, store, log, pace
+            configurations,
+            knowledge,
+            store_polling,
+            dialect,
+            store,
+            log,
+            intervals,
         )
         registry_task = RegistryTask(
-            registry, knowledge, store_polling, dialect, store, pace
+            registry, knowledge, store_polling, dialect, store, intervals
         )
         news_task = NewsTask(
             knowledge,
