--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -25,11 +25,6 @@
 from dandelionyoke_gateway._engine_count_task import EngineCountTask
 from dandelionyoke_gateway._errors import AddressError
 from dandelionyoke_gateway._knowledge import new_knowledge
-from dandelionyoke_gateway._knowledge_tasks import (
-    ConfigurationTask,
-    RegistryTask,
-    StorePollIntervals,
-)
 from dandelionyoke_gateway._log import DecisionLog, LineSink
 from dandelionyoke_gateway._member_task import MemberTask
 from dandelionyoke_gateway._messages import ResponseHead
@@ -54,6 +49,11 @@
     StorePollPolicy,
     StorePollSettings,
 )
+from dandelionyoke_gateway._store_watch_tasks import (
+    ConfigurationTask,
+    RegistryTask,
+    StorePollIntervals,
+)
 from dandelionyoke_gateway._stream_call import carry_stream
 from dandelionyoke_gateway._target_pool import TargetPool
 from dandelionyoke_gateway._usage_tasks import CountsTask, UsageTask
@@ -152,7 +152,7 @@
         adapters = self._adapters
         knowledge, log = self._knowledge, self._log
         spawn = eventlet.spawn_n
-        self._start_knowledge_tasks(peers)
+        self._start_store_watch_tasks(peers)
         members = MemberTask(
             knowledge, adapters.store, self._duty_task.take_members
         )
@@ -185,7 +185,7 @@
         )
         spawn(engine_counts.run)
 
-    def _start_knowledge_tasks(self, peers: socket.socket) -> None:
+    def _start_store_watch_tasks(self, peers: socket.socket) -> None:
         """Start the tasks that read the store or ask a node that reads it."""
         adapters, knowledge, log = self._adapters, self._knowledge, self._log
         dialect, store = adapters.dialect, adapters.store
