--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class Tools:
+class CallDependencies:
     """The dependencies that all calls share."""
 
     knowledge: Knowledge
@@ -109,7 +109,7 @@
         self.refusal = refusal
 
 
-CallForwarder = Callable[[Tools, CallContext], None]
+CallForwarder = Callable[[CallDependencies, CallContext], None]
 
 
 class CallDesk:
@@ -117,17 +117,17 @@
 
     def __init__(
         self,
-        tools: Tools,
+        deps: CallDependencies,
         forward_plain: CallForwarder,
         forward_stream: CallForwarder,
     ) -> None:
-        self._tools = tools
+        self._deps = deps
         self._forward_plain = forward_plain
         self._forward_stream = forward_stream
 
     def handle(self, request: CallerRequest, responder: Responder) -> None:
         """Serve a request and return once the response is written."""
-        knowledge = self._tools.knowledge
+        knowledge = self._deps.knowledge
         knowledge.in_progress += 1
         try:
             self._serve(request, responder)
@@ -142,12 +142,12 @@
             knowledge.in_progress -= 1
 
     def _serve(self, request: CallerRequest, responder: Responder) -> None:
-        call = self._tools.dialect.read_call(request.head)
+        call = self._deps.dialect.read_call(request.head)
         if call is None:
             bad_request = ResponseHead(HTTPStatus.BAD_REQUEST, ())
             responder.respond(bad_request, b'the request names no attempt\n')
             return
-        shutdown = self._tools.knowledge.shutdown
+        shutdown = self._deps.knowledge.shutdown
         if shutdown.refuses(request.arrived_s):
             leaving = Refusal(Cause.LEAVING, OTHER_INSTANCE_RETRY_AFTER_S)
             self._refuse(call, responder, leaving, Attempts(1))
@@ -166,7 +166,7 @@
         self, call: Call, request: CallerRequest, responder: Responder
     ) -> CallContext:
         """Find the route, the organisation and the service of a call."""
-        configuration = self._tools.knowledge.configuration
+        configuration = self._deps.knowledge.configuration
         if configuration is None:
             raise RefusedError(
                 Refusal(Cause.NO_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
@@ -175,7 +175,7 @@
         if route is None:
             raise RefusedError(Refusal(Cause.NO_ROUTE))
         organisation = self._authenticate(call, route, configuration)
-        name = route.choose_service(self._tools.knowledge.random)
+        name = route.choose_service(self._deps.knowledge.random)
         service = configuration.services.get(name)
         if service is None:
             raise RefusedError(Refusal(Cause.NO_TARGET, DEFAULT_RETRY_AFTER_S))
@@ -189,7 +189,7 @@
             organisation,
             request.arrived_s + timeout_s,
             Attempts(route.max_attempts),
-            self._tools.knowledge.shutdown,
+            self._deps.knowledge.shutdown,
         )
 
     def _authenticate(
@@ -197,7 +197,7 @@
     ) -> Organisation | None:
         if route.is_anonymous or not configuration.has_organisations:
             return None
-        if not self._tools.knowledge.freshness.may_accept_keys(clock_s()):
+        if not self._deps.knowledge.freshness.may_accept_keys(clock_s()):
             raise RefusedError(
                 Refusal(Cause.STALE_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
             )
@@ -207,7 +207,7 @@
         return organisation
 
     def _forward(self, context: CallContext) -> None:
-        crashes = self._tools.knowledge.crashes
+        crashes = self._deps.knowledge.crashes
         if crashes.refuses(context.fingerprint, clock_s()):
             refusal = Refusal(Cause.QUARANTINED, crashes.retry_after_s)
             raise RefusedError(refusal)
@@ -216,13 +216,13 @@
             self._forward_by_kind(context)
         finally:
             if charge is not None and not context.attempts.may_have_run:
-                self._tools.limits.refund(charge)
+                self._deps.limits.refund(charge)
 
     def _forward_by_kind(self, context: CallContext) -> None:
         if context.route.kind is CallKind.STREAM:
-            self._forward_stream(self._tools, context)
+            self._forward_stream(self._deps, context)
         else:
-            self._forward_plain(self._tools, context)
+            self._forward_plain(self._deps, context)
 
     def _charge(self, context: CallContext) -> Charge | None:
         """Charge a call against the rate limit of its organisation."""
@@ -235,7 +235,7 @@
             organisation.rate_limit.amount_of(context.call.prompt),
         )
         try:
-            self._tools.limits.take(charge)
+            self._deps.limits.take(charge)
         except OverLimitError as error:
             refusal = Refusal(Cause.OVER_LIMIT, error.retry_after_s)
             raise RefusedError(refusal) from error
@@ -249,9 +249,9 @@
         attempts: Attempts,
     ) -> None:
         status = refusal.status(attempts.may_have_run)
-        knowledge = self._tools.knowledge
+        knowledge = self._deps.knowledge
         configuration = knowledge.configuration
-        self._tools.log.decide(
+        self._deps.log.decide(
             'call.refused',
             call.attempt_id,
             outcome=str(status),
@@ -267,11 +267,11 @@
         retry_after_s = refusal.retry_after_s
         if attempts.may_have_run:
             retry_after_s = None
-        head = self._tools.dialect.refusal_head(status, retry_after_s)
+        head = self._deps.dialect.refusal_head(status, retry_after_s)
         responder.respond(head, f'{refusal.cause.value}\n'.encode())
 
     def _log_internal_error(self, request: CallerRequest) -> None:
-        self._tools.log.decide(
+        self._deps.log.decide(
             'call.fault',
             request.head.target,
             outcome='closed',
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -10,7 +10,11 @@
     Refusal,
     RegisteredTarget,
 )
-from dandelionyoke_gateway._call_desk import CallContext, RefusedError, Tools
+from dandelionyoke_gateway._call_desk import (
+    CallContext,
+    CallDependencies,
+    RefusedError,
+)
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError, ExchangeTimeoutError
 from dandelionyoke_gateway._messages import ResponseHead
@@ -31,19 +35,19 @@
     body: bytes = attrs.field(repr=False)
 
 
-def carry_plain(tools: Tools, context: CallContext) -> None:
+def carry_plain(deps: CallDependencies, context: CallContext) -> None:
     """Send a call to one target after another until one responds."""
-    response = _PlainCall(tools, context).find_response()
-    head = tools.dialect.answer_head(response.head)
+    response = _PlainCall(deps, context).find_response()
+    head = deps.dialect.answer_head(response.head)
     context.responder.respond(head, response.body)
 
 
 class _PlainCall:
     """The attempts to get the response to one call."""
 
-    def __init__(self, tools: Tools, context: CallContext) -> None:
-        self._tools = tools
-        self._knowledge = tools.knowledge
+    def __init__(self, deps: CallDependencies, context: CallContext) -> None:
+        self._deps = deps
+        self._knowledge = deps.knowledge
         self._context = context
         self._tried_ids: set[str] = set()
         self._cause = Cause.NO_TARGET
@@ -93,7 +97,7 @@
             response = self._exchange(target)
         except ExchangeError as error:
             self._cause = record_failure(
-                self._tools, self._context, target, error
+                self._deps, self._context, target, error
             )
             return None
         finally:
@@ -108,17 +112,17 @@
             organisation=context.organisation_name,
             last_event_id=context.call.last_event_id,
         )
-        head = self._tools.dialect.call_head(context.request.head, forwarding)
-        with self._tools.pool.lend(target.address) as connection:
+        head = self._deps.dialect.call_head(context.request.head, forwarding)
+        with self._deps.pool.lend(target.address) as connection:
             sent_s = clock_s()
             context.attempts.sent(target.target_id)
             connection.send(head, context.request.body)
             response_head = connection.read_head(context.deadline_s)
             body = connection.read_body(context.deadline_s, MAX_RESPONSE_BYTES)
-            facts = self._tools.dialect.read_answer(response_head)
+            facts = self._deps.dialect.read_answer(response_head)
             validate_response(response_head, facts, context)
         if facts.is_signed and not facts.is_not_run:
-            count_usage_once(self._tools, context, sent_s)
+            count_usage_once(self._deps, context, sent_s)
         return BufferedResponse(response_head, facts, body)
 
     def _evaluate(
@@ -127,7 +131,7 @@
         """Return the response if it goes to the caller, else None."""
         loads, facts = self._knowledge.loads, response.facts
         self._log_response(target, facts)
-        apply_response_facts(self._tools, target, facts)
+        apply_response_facts(self._deps, target, facts)
         if facts.is_not_run:
             self._context.attempts.refused()
             loads.refused(target.target_id, clock_s())
@@ -148,8 +152,8 @@
     ) -> None:
         context = self._context
         since_arrival_s = clock_s() - context.request.arrived_s
-        self._tools.log.observe('plain.answer', since_arrival_s)
-        self._tools.log.decide(
+        self._deps.log.observe('plain.answer', since_arrival_s)
+        self._deps.log.decide(
             'call.answered',
             context.call.attempt_id,
             outcome=target.target_id,
@@ -175,32 +179,32 @@
 
 
 def count_usage_once(
-    tools: Tools, context: CallContext, started_s: float
+    deps: CallDependencies, context: CallContext, started_s: float
 ) -> None:
     """Count the usage of a call once, however often it is retried."""
     if context.is_usage_counted:
         return
     context.is_usage_counted = True
     if context.organisation_name is not None:
-        tools.knowledge.usage.count_call(context.organisation_name, started_s)
+        deps.knowledge.usage.count_call(context.organisation_name, started_s)
 
 
 def apply_response_facts(
-    tools: Tools, target: RegisteredTarget, facts: AnswerFacts
+    deps: CallDependencies, target: RegisteredTarget, facts: AnswerFacts
 ) -> None:
     """Record the load and the identity that a target reported."""
-    knowledge = tools.knowledge
+    knowledge = deps.knowledge
     if facts.busy is not None:
         knowledge.loads.reported(target.target_id, facts.busy, clock_s())
     if facts.is_other_target:
-        tools.log.decide(
+        deps.log.decide(
             'target.replaced', target.target_id, outcome='left alone'
         )
         knowledge.registry.mark_leaving(target.target_id, target.started_ms)
 
 
 def record_failure(
-    tools: Tools,
+    deps: CallDependencies,
     context: CallContext,
     target: RegisteredTarget,
     error: ExchangeError,
@@ -208,12 +212,12 @@
     """Record a failed exchange and return its cause."""
     now_s = clock_s()
     if error.sent:
-        tools.knowledge.loads.failed(target.target_id, now_s)
+        deps.knowledge.loads.failed(target.target_id, now_s)
     else:
-        tools.knowledge.loads.unreachable(target.target_id, now_s)
+        deps.knowledge.loads.unreachable(target.target_id, now_s)
     # Other open connections to the target may have failed as well.
-    tools.pool.drop(target.address)
-    tools.log.decide(
+    deps.pool.drop(target.address)
+    deps.log.decide(
         'attempt.failed',
         context.call.attempt_id,
         outcome='may have run' if error.sent else 'not sent',
@@ -223,5 +227,5 @@
     if isinstance(error, ExchangeTimeoutError):
         return Cause.OUT_OF_TIME
     if error.sent:
-        tools.suspect(context.fingerprint, target.target_id, target.address)
+        deps.suspect(context.fingerprint, target.target_id, target.address)
     return Cause.BROKEN
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -10,7 +10,7 @@
 
 from dandelionyoke_core import Metrics
 from dandelionyoke_dispatch import CallerLimits
-from dandelionyoke_gateway._call_desk import CallDesk, Tools
+from dandelionyoke_gateway._call_desk import CallDependencies, CallDesk
 from dandelionyoke_gateway._caller_connection import (
     CallerConnection,
     CallerRequest,
@@ -114,7 +114,7 @@
         )
         self._rate_limits = DomainRateLimits(self._knowledge, self._log)
         self._call_desk = CallDesk(
-            Tools(
+            CallDependencies(
                 self._knowledge,
                 self._adapters.dialect,
                 pool,
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -67,8 +67,8 @@
 
     def __init__(self, state: StreamCallState) -> None:
         self._state = state
-        self._tools = state.tools
-        self._knowledge = state.tools.knowledge
+        self._deps = state.deps
+        self._knowledge = state.deps.knowledge
         self._context = state.context
         self._service_stats = self._knowledge.service_state(
             self._context.service.name
@@ -108,7 +108,7 @@
             avoid=frozenset(self._state.tried_ids),
         )
         try:
-            return self._tools.prefills.enter(request)
+            return self._deps.prefills.enter(request)
         except TooLateError as error:
             self._service_stats.overload.record_refusal(clock_s())
             refusal = Refusal(Cause.TOO_LATE, error.retry_after_s)
@@ -125,7 +125,7 @@
             if cache is not None:
                 prefill_s = clock_s() - started_s
         finally:
-            self._tools.prefills.leave(grant, PrefillResult(prefill_s))
+            self._deps.prefills.leave(grant, PrefillResult(prefill_s))
         if placement is None or cache is None or prefill_s is None:
             return None
         self._record_fetch(prompt, placement, prefill_s)
@@ -212,16 +212,16 @@
         self, target: RegisteredTarget, head: RequestHead
     ) -> str | None:
         deadline_s = self._deadline_s()
-        with self._tools.pool.lend(target.address) as connection:
+        with self._deps.pool.lend(target.address) as connection:
             self.has_sent_prefill = True
             connection.send(head, self._context.request.body)
             response = connection.read_head(deadline_s)
             body = connection.read_body(deadline_s, MAX_PREFILL_BYTES)
-            facts = self._tools.dialect.read_answer(response)
-            apply_response_facts(self._tools, target, facts)
+            facts = self._deps.dialect.read_answer(response)
+            apply_response_facts(self._deps, target, facts)
             if facts.status != HTTPStatus.OK:
                 return None
-            return self._tools.dialect.read_prefill(body)
+            return self._deps.dialect.read_prefill(body)
 
     def _deadline_s(self) -> float:
         route = self._context.route
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -11,7 +11,11 @@
     Refusal,
     RegisteredTarget,
 )
-from dandelionyoke_gateway._call_desk import CallContext, RefusedError, Tools
+from dandelionyoke_gateway._call_desk import (
+    CallContext,
+    CallDependencies,
+    RefusedError,
+)
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError
 from dandelionyoke_gateway._event_stream import EventSplitter, StreamEvent
@@ -42,19 +46,19 @@
 STALL_TIMEOUT_S = 1.0
 
 
-def carry_stream(tools: Tools, context: CallContext) -> None:
+def carry_stream(deps: CallDependencies, context: CallContext) -> None:
     """Run the prefill, then forward the stream to the caller."""
-    _StreamCall(tools, context).run()
+    _StreamCall(deps, context).run()
 
 
 class _StreamCall:
     """One streamed call from its prefill to its last event."""
 
-    def __init__(self, tools: Tools, context: CallContext) -> None:
-        self._tools = tools
-        self._knowledge = tools.knowledge
+    def __init__(self, deps: CallDependencies, context: CallContext) -> None:
+        self._deps = deps
+        self._knowledge = deps.knowledge
         self._context = context
-        self._state = StreamCallState(tools, context)
+        self._state = StreamCallState(deps, context)
         self._prefiller = PromptPrefiller(self._state)
         # Kept for a retry as long as no decode engine has imported its KV cache.
         self._prompt: PrefilledPrompt | None = None
@@ -134,7 +138,7 @@
         """Free the memory of a KV cache that no engine has imported."""
         if prompt is None:
             return
-        eventlet.spawn_n(self._tools.engines.release_cache, prompt.cache)
+        eventlet.spawn_n(self._deps.engines.release_cache, prompt.cache)
 
     # Streaming.
 
@@ -161,7 +165,7 @@
             self._state.new_forwarding(target), cache=cache
         )
         head = self._state.new_request_head(forwarding)
-        with self._tools.pool.lend(target.address) as connection:
+        with self._deps.pool.lend(target.address) as connection:
             self._context.attempts.sent(target.target_id)
             connection.send(head, self._context.request.body)
             is_stream = self._read_head(target, connection)
@@ -178,11 +182,11 @@
         """Read the head of a response; return whether a stream follows."""
         sent_s = clock_s()
         response = connection.read_head(self._read_deadline_s())
-        facts = self._tools.dialect.read_answer(response)
+        facts = self._deps.dialect.read_answer(response)
         self._check_response(target, response, facts, connection)
         self._prompt = None
         since_arrival_s = clock_s() - self._context.request.arrived_s
-        self._tools.log.observe('stream.begin', since_arrival_s)
+        self._deps.log.observe('stream.begin', since_arrival_s)
         self._knowledge.service_state(
             self._context.service.name
         ).overload.record_first_token(
@@ -214,7 +218,7 @@
             RetryableError: the target refused the call.
             ExchangeError: the response must not reach the caller.
         """
-        apply_response_facts(self._tools, target, facts)
+        apply_response_facts(self._deps, target, facts)
         if facts.is_not_run:
             self._context.attempts.refused()
             self._state.tried_ids.add(target.target_id)
@@ -235,12 +239,12 @@
         )
         self._context.attempts.ran()
         if not self._context.responder.has_started:
-            head = self._tools.dialect.answer_head(response)
+            head = self._deps.dialect.answer_head(response)
             self._context.responder.respond(head, body)
 
     def _start_response(self, response: ResponseHead) -> None:
         if not self._context.responder.has_started:
-            head = self._tools.dialect.answer_head(response)
+            head = self._deps.dialect.answer_head(response)
             self._context.responder.start(head)
 
     def _relay(self, connection: TargetConnection) -> None:
@@ -258,7 +262,7 @@
             )
 
     def _forward_events(self, events: list[StreamEvent]) -> None:
-        count_usage_once(self._tools, self._context, clock_s())
+        count_usage_once(self._deps, self._context, clock_s())
         self._context.responder.send_chunk(
             b''.join(event.content for event in events)
         )
--- a/packages/gateway/dandelionyoke_gateway/_stream_tries.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_tries.py
@@ -1,7 +1,7 @@
 """State that the prefill and the decode phase of a streamed call share."""
 
 from dandelionyoke_dispatch import Cause, RegisteredTarget
-from dandelionyoke_gateway._call_desk import CallContext, Tools
+from dandelionyoke_gateway._call_desk import CallContext, CallDependencies
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError
 from dandelionyoke_gateway._messages import RequestHead
@@ -20,8 +20,8 @@
 class StreamCallState:
     """One streamed call and the targets that it was already sent to."""
 
-    def __init__(self, tools: Tools, context: CallContext) -> None:
-        self.tools = tools
+    def __init__(self, deps: CallDependencies, context: CallContext) -> None:
+        self.deps = deps
         self.context = context
         self.tried_ids: set[str] = set()
         self.last_event_id = context.call.last_event_id
@@ -32,7 +32,7 @@
         """Record a failed send; return the error to raise for a retry."""
         self.tried_ids.add(target.target_id)
         return RetryableError(
-            record_failure(self.tools, self.context, target, error)
+            record_failure(self.deps, self.context, target, error)
         )
 
     def log_decision(
@@ -42,14 +42,14 @@
         **inputs: str | float | None,
     ) -> None:
         """Log a decision about the call and a target."""
-        stats = self.tools.knowledge.service_state(self.context.service.name)
-        self.tools.log.decide(
+        stats = self.deps.knowledge.service_state(self.context.service.name)
+        self.deps.log.decide(
             decision,
             self.context.call.attempt_id,
             outcome=target.target_id,
             service=self.context.service.name,
             line_s=stats.prompt_queue.expected_wait_s(),
-            busy=self.tools.knowledge.loads.busy(target.target_id, clock_s()),
+            busy=self.deps.knowledge.loads.busy(target.target_id, clock_s()),
             **inputs,
         )
 
@@ -65,6 +65,6 @@
 
     def new_request_head(self, forwarding: Forwarding) -> RequestHead:
         """Return the request head that the call is sent with."""
-        return self.tools.dialect.call_head(
+        return self.deps.dialect.call_head(
             self.context.request.head, forwarding
         )
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -24,7 +24,7 @@
     ServiceShare,
 )
 from dandelionyoke_gateway import TargetPool, clock_s
-from dandelionyoke_gateway._call_desk import CallDesk, Tools
+from dandelionyoke_gateway._call_desk import CallDependencies, CallDesk
 from dandelionyoke_gateway._caller_connection import CallerConnection
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
@@ -187,7 +187,7 @@
         self._registered: list[RegisteredTarget] = []
         self._log = DecisionLog(self.log_lines, 'n-1', Metrics())
         self._desk = CallDesk(
-            Tools(
+            CallDependencies(
                 self.knowledge,
                 PlatformDialect(),
                 self.pool,
