--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -45,7 +45,7 @@
     dialect: Dialect
     pool: TargetPool
     engines: EngineClient
-    prefills: PrefillQueue
+    prefill_queue: PrefillQueue
     limits: RateLimits
     log: DecisionLog
     # Reports that a target broke a call off. Takes the fingerprint of the
