--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -46,7 +46,7 @@
     pool: TargetPool
     engines: EngineClient
     prefill_queue: PrefillQueue
-    limits: RateLimits
+    rate_limits: RateLimits
     log: DecisionLog
     # Reports that a target broke a call off. Takes the fingerprint of the
     # call, and the id and the address of the target.
@@ -216,7 +216,7 @@
             self._forward_by_kind(context)
         finally:
             if charge is not None and not context.attempts.may_have_run:
-                self._deps.limits.refund(charge)
+                self._deps.rate_limits.refund(charge)
 
     def _forward_by_kind(self, context: CallContext) -> None:
         if context.route.kind is CallKind.STREAM:
@@ -235,7 +235,7 @@
             organisation.rate_limit.amount_of(context.call.prompt),
         )
         try:
-            self._deps.limits.take(charge)
+            self._deps.rate_limits.take(charge)
         except OverLimitError as error:
             refusal = Refusal(Cause.OVER_LIMIT, error.retry_after_s)
             raise RefusedError(refusal) from error
