--- a/packages/gateway/dandelionyoke_gateway/_call_desk.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_desk.py
@@ -112,7 +112,7 @@
 CallForwarder = Callable[[CallDependencies, CallContext], None]
 
 
-class CallDesk:
+class CallDispatcher:
     """Admits the requests of callers and hands them to a forwarder."""
 
     def __init__(
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -10,7 +10,7 @@
 
 from dandelionyoke_core import Metrics
 from dandelionyoke_dispatch import CallerLimits
-from dandelionyoke_gateway._call_desk import CallDependencies, CallDesk
+from dandelionyoke_gateway._call_desk import CallDependencies, CallDispatcher
 from dandelionyoke_gateway._caller_connection import (
     CallerConnection,
     CallerRequest,
@@ -113,7 +113,7 @@
             self._local_prefill_queue, self._knowledge, self._log
         )
         self._rate_limits = DomainRateLimits(self._knowledge, self._log)
-        self._call_desk = CallDesk(
+        self._call_dispatcher = CallDispatcher(
             CallDependencies(
                 self._knowledge,
                 self._adapters.dialect,
@@ -140,7 +140,9 @@
         peers = _listen(self._settings.peers)
         self._listen_and_serve(self._settings.health, self._answer_health)
         self._listen_and_serve(self._settings.metrics, self._answer_metrics)
-        self._listen_and_serve(self._settings.callers, self._call_desk.handle)
+        self._listen_and_serve(
+            self._settings.callers, self._call_dispatcher.handle
+        )
         self._start_tasks(peers)
         self._log.decide(
             'process.started', self._settings.instance_id, outcome='listening'
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -24,7 +24,7 @@
     ServiceShare,
 )
 from dandelionyoke_gateway import TargetPool, clock_s
-from dandelionyoke_gateway._call_desk import CallDependencies, CallDesk
+from dandelionyoke_gateway._call_desk import CallDependencies, CallDispatcher
 from dandelionyoke_gateway._caller_connection import CallerConnection
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
@@ -186,7 +186,7 @@
         self.targets: list[ScriptedTarget] = []
         self._registered: list[RegisteredTarget] = []
         self._log = DecisionLog(self.log_lines, 'n-1', Metrics())
-        self._desk = CallDesk(
+        self._dispatcher = CallDispatcher(
             CallDependencies(
                 self.knowledge,
                 PlatformDialect(),
@@ -256,7 +256,7 @@
             connection = CallerConnection(
                 sock,
                 configuration().limits,
-                self._desk.handle,
+                self._dispatcher.handle,
                 lambda: True,
             )
             eventlet.spawn_n(connection.serve)
