--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -10,7 +10,7 @@
     Refusal,
     RegisteredTarget,
 )
-from dandelionyoke_gateway._call_desk import (
+from dandelionyoke_gateway._call_dispatcher import (
     CallContext,
     CallDependencies,
     RefusedError,
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -10,7 +10,10 @@
 
 from dandelionyoke_core import Metrics
 from dandelionyoke_dispatch import CallerLimits
-from dandelionyoke_gateway._call_desk import CallDependencies, CallDispatcher
+from dandelionyoke_gateway._call_dispatcher import (
+    CallDependencies,
+    CallDispatcher,
+)
 from dandelionyoke_gateway._caller_connection import (
     CallerConnection,
     CallerRequest,
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
@@ -11,7 +11,7 @@
     Refusal,
     RegisteredTarget,
 )
-from dandelionyoke_gateway._call_desk import RefusedError
+from dandelionyoke_gateway._call_dispatcher import RefusedError
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError
 from dandelionyoke_gateway._messages import RequestHead
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -24,7 +24,10 @@
     ServiceShare,
 )
 from dandelionyoke_gateway import TargetPool, clock_s
-from dandelionyoke_gateway._call_desk import CallDependencies, CallDispatcher
+from dandelionyoke_gateway._call_dispatcher import (
+    CallDependencies,
+    CallDispatcher,
+)
 from dandelionyoke_gateway._caller_connection import CallerConnection
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
