--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -35,7 +35,7 @@
     body: bytes = attrs.field(repr=False)
 
 
-def carry_plain(deps: CallDependencies, context: CallContext) -> None:
+def forward_plain_call(deps: CallDependencies, context: CallContext) -> None:
     """Send a call to one target after another until one responds."""
     response = _PlainCall(deps, context).find_response()
     head = deps.dialect.answer_head(response.head)
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -34,7 +34,7 @@
 from dandelionyoke_gateway._news_links import serve_news
 from dandelionyoke_gateway._news_task import NewsTask
 from dandelionyoke_gateway._phase_task import FleetChanges, PhaseTask
-from dandelionyoke_gateway._plain_call import carry_plain
+from dandelionyoke_gateway._plain_call import forward_plain_call
 from dandelionyoke_gateway._ports import (
     Dialect,
     DutyClient,
@@ -127,7 +127,7 @@
                 self._log,
                 self._crash_task.suspect,
             ),
-            carry_plain,
+            forward_plain_call,
             carry_stream,
         )
         self._duty_task = DutyTask(
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -31,7 +31,7 @@
 from dandelionyoke_gateway._caller_connection import CallerConnection
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._plain_call import carry_plain
+from dandelionyoke_gateway._plain_call import forward_plain_call
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._stream_call import carry_stream
@@ -200,7 +200,7 @@
                 self._log,
                 self._record_suspect,
             ),
-            carry_plain,
+            forward_plain_call,
             carry_stream,
         )
         self._listener = eventlet.listen(('127.0.0.1', 0))
