--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -57,7 +57,7 @@
     RegistryTask,
     StorePollIntervals,
 )
-from dandelionyoke_gateway._stream_call import carry_stream
+from dandelionyoke_gateway._stream_call import forward_stream_call
 from dandelionyoke_gateway._target_pool import TargetPool
 from dandelionyoke_gateway._usage_tasks import CountsTask, UsageTask
 from dandelionyoke_links import listen, set_options
@@ -128,7 +128,7 @@
                 self._crash_task.suspect,
             ),
             forward_plain_call,
-            carry_stream,
+            forward_stream_call,
         )
         self._duty_task = DutyTask(
             self._knowledge, self._adapters.store, self._log
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -46,7 +46,7 @@
 STALL_TIMEOUT_S = 1.0
 
 
-def carry_stream(deps: CallDependencies, context: CallContext) -> None:
+def forward_stream_call(deps: CallDependencies, context: CallContext) -> None:
     """Run the prefill, then forward the stream to the caller."""
     _StreamCall(deps, context).run()
 
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -34,7 +34,7 @@
 from dandelionyoke_gateway._plain_call import forward_plain_call
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
-from dandelionyoke_gateway._stream_call import carry_stream
+from dandelionyoke_gateway._stream_call import forward_stream_call
 from dandelionyoke_links import reset_at_end, set_options
 from dandelionyoke_platform._dialect import PlatformDialect
 from dandelionyoke_platform._duties import PlatformDuties
@@ -201,7 +201,7 @@
                 self._record_suspect,
             ),
             forward_plain_call,
-            carry_stream,
+            forward_stream_call,
         )
         self._listener = eventlet.listen(('127.0.0.1', 0))
         self._accept_thread = eventlet.spawn(self._accept)
