--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -40,8 +40,8 @@
     read_settings as read_settings,
 )
 from dandelionyoke_gateway._shapes import (
+    FieldError as FieldError,
     Fields as Fields,
-    ShapeError as ShapeError,
     mapping_of as mapping_of,
     number_of as number_of,
     objects_of as objects_of,
--- a/packages/gateway/dandelionyoke_gateway/_shapes.py
+++ b/packages/gateway/dandelionyoke_gateway/_shapes.py
@@ -7,7 +7,7 @@
 Fields = Mapping[str, Any]
 
 
-class ShapeError(ValueError):
+class FieldError(ValueError):
     """A field is missing or has the wrong type."""
 
 
@@ -16,9 +16,9 @@
     try:
         value = json.loads(text)
     except ValueError as error:
-        raise ShapeError('not valid JSON') from error
+        raise FieldError('not valid JSON') from error
     if not isinstance(value, dict):
-        raise ShapeError('not a JSON object')
+        raise FieldError('not a JSON object')
     return value
 
 
@@ -26,7 +26,7 @@
     """Return a required, non-empty string."""
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise ShapeError(f'{name} is not a non-empty string')
+        raise FieldError(f'{name} is not a non-empty string')
     return value
 
 
@@ -34,7 +34,7 @@
     """Return a number, or the default if the field is missing."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ShapeError(f'{name} is not a number')
+        raise FieldError(f'{name} is not a number')
     return value
 
 
@@ -42,7 +42,7 @@
     """Return an integer, or the default if the field is missing."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ShapeError(f'{name} is not an integer')
+        raise FieldError(f'{name} is not an integer')
     return value
 
 
@@ -50,7 +50,7 @@
     """Return a list of objects; a missing field is an empty list."""
     value = fields.get(name) or []
     if not isinstance(value, list):
-        raise ShapeError(f'{name} is not a list')
+        raise FieldError(f'{name} is not a list')
     if not all(isinstance(item, dict) for item in value):
-        raise ShapeError(f'{name} contains an item that is not an object')
+        raise FieldError(f'{name} contains an item that is not an object')
     return value
