--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -42,9 +42,9 @@
 from dandelionyoke_gateway._shapes import (
     FieldError as FieldError,
     Fields as Fields,
-    mapping_of as mapping_of,
     number_of as number_of,
     objects_of as objects_of,
+    parse_object as parse_object,
     text_of as text_of,
     whole_of as whole_of,
 )
--- a/packages/gateway/dandelionyoke_gateway/_shapes.py
+++ b/packages/gateway/dandelionyoke_gateway/_shapes.py
@@ -11,7 +11,7 @@
     """A field is missing or has the wrong type."""
 
 
-def mapping_of(text: str | bytes) -> Fields:
+def parse_object(text: str | bytes) -> Fields:
     """Parse a JSON object."""
     try:
         value = json.loads(text)
