--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -42,11 +42,11 @@
 from dandelionyoke_gateway._shapes import (
     FieldError as FieldError,
     Fields as Fields,
-    number_of as number_of,
-    objects_of as objects_of,
+    get_int as get_int,
+    get_number as get_number,
+    get_objects as get_objects,
+    get_text as get_text,
     parse_object as parse_object,
-    text_of as text_of,
-    whole_of as whole_of,
 )
 from dandelionyoke_gateway._status import (
     ExitStatus as ExitStatus,
--- a/packages/gateway/dandelionyoke_gateway/_shapes.py
+++ b/packages/gateway/dandelionyoke_gateway/_shapes.py
@@ -22,7 +22,7 @@
     return value
 
 
-def text_of(fields: Fields, name: str) -> str:
+def get_text(fields: Fields, name: str) -> str:
     """Return a required, non-empty string."""
     value = fields.get(name)
     if not isinstance(value, str) or not value:
@@ -30,7 +30,9 @@
     return value
 
 
-def number_of(fields: Fields, name: str, default: float | None = None) -> float:
+def get_number(
+    fields: Fields, name: str, default: float | None = None
+) -> float:
     """Return a number, or the default if the field is missing."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
@@ -38,7 +40,7 @@
     return value
 
 
-def whole_of(fields: Fields, name: str, default: int | None = None) -> int:
+def get_int(fields: Fields, name: str, default: int | None = None) -> int:
     """Return an integer, or the default if the field is missing."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int):
@@ -46,7 +48,7 @@
     return value
 
 
-def objects_of(fields: Fields, name: str) -> list[Fields]:
+def get_objects(fields: Fields, name: str) -> list[Fields]:
     """Return a list of objects; a missing field is an empty list."""
     value = fields.get(name) or []
     if not isinstance(value, list):
