--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -7,6 +7,15 @@
     AddressError as AddressError,
     ExchangeError as ExchangeError,
 )
+from dandelionyoke_gateway._json_fields import (
+    FieldError as FieldError,
+    Fields as Fields,
+    get_int as get_int,
+    get_number as get_number,
+    get_objects as get_objects,
+    get_text as get_text,
+    parse_object as parse_object,
+)
 from dandelionyoke_gateway._log import (
     DescriptorSink as DescriptorSink,
     LineSink as LineSink,
@@ -39,15 +48,6 @@
     GatewaySettings as GatewaySettings,
     read_settings as read_settings,
 )
-from dandelionyoke_gateway._shapes import (
-    FieldError as FieldError,
-    Fields as Fields,
-    get_int as get_int,
-    get_number as get_number,
-    get_objects as get_objects,
-    get_text as get_text,
-    parse_object as parse_object,
-)
 from dandelionyoke_gateway._status import (
     ExitStatus as ExitStatus,
 )
