--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -28,7 +28,7 @@
 from dandelionyoke_gateway._ports import (
     AnswerFacts,
 )
-from dandelionyoke_gateway._prompt_reader import (
+from dandelionyoke_gateway._prompt_prefiller import (
     PrefilledPrompt,
     PromptPrefiller,
 )
