--- a/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
@@ -23,7 +23,7 @@
     PrefillResult,
     TooLateError,
 )
-from dandelionyoke_gateway._stream_tries import (
+from dandelionyoke_gateway._stream_call_state import (
     RetryableError,
     StreamCallState,
 )
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -32,7 +32,7 @@
     PrefilledPrompt,
     PromptPrefiller,
 )
-from dandelionyoke_gateway._stream_tries import (
+from dandelionyoke_gateway._stream_call_state import (
     RetryableError,
     StreamCallState,
 )
