--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -26,7 +26,6 @@
     without_connection_headers as without_connection_headers,
 )
 from dandelionyoke_gateway._ports import (
-    AnswerFacts as AnswerFacts,
     CacheSource as CacheSource,
     Dialect as Dialect,
     DutyAnswer as DutyAnswer,
@@ -37,6 +36,7 @@
     EngineReport as EngineReport,
     Forwarding as Forwarding,
     PhaseOrder as PhaseOrder,
+    ResponseFacts as ResponseFacts,
     Store as Store,
     TargetCount as TargetCount,
 )
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -18,7 +18,7 @@
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError, ExchangeTimeoutError
 from dandelionyoke_gateway._messages import ResponseHead
-from dandelionyoke_gateway._ports import AnswerFacts, Forwarding
+from dandelionyoke_gateway._ports import Forwarding, ResponseFacts
 
 MAX_RESPONSE_BYTES = 8388608
 # Each target refuses a call at most once. After this many the service as a
@@ -31,7 +31,7 @@
     """The complete response of a target."""
 
     head: ResponseHead
-    facts: AnswerFacts
+    facts: ResponseFacts
     body: bytes = attrs.field(repr=False)
 
 
@@ -148,7 +148,7 @@
         return None
 
     def _log_response(
-        self, target: RegisteredTarget, facts: AnswerFacts
+        self, target: RegisteredTarget, facts: ResponseFacts
     ) -> None:
         context = self._context
         since_arrival_s = clock_s() - context.request.arrived_s
@@ -165,7 +165,7 @@
 
 
 def validate_response(
-    head: ResponseHead, facts: AnswerFacts, context: CallContext
+    head: ResponseHead, facts: ResponseFacts, context: CallContext
 ) -> None:
     """Check that a response belongs to this call and comes from a target.
 
@@ -190,7 +190,7 @@
 
 
 def apply_response_facts(
-    deps: CallDependencies, target: RegisteredTarget, facts: AnswerFacts
+    deps: CallDependencies, target: RegisteredTarget, facts: ResponseFacts
 ) -> None:
     """Record the load and the identity that a target reported."""
     knowledge = deps.knowledge
--- a/packages/gateway/dandelionyoke_gateway/_ports.py
+++ b/packages/gateway/dandelionyoke_gateway/_ports.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class AnswerFacts:
+class ResponseFacts:
     """The status and metadata in the head of a target's response.
 
     `is_not_run` means that the target states that it did not run the call.
@@ -155,7 +155,7 @@
     ) -> RequestHead:
         """Return the request head to send to a target."""
 
-    def read_answer(self, head: ResponseHead) -> AnswerFacts:
+    def read_answer(self, head: ResponseHead) -> ResponseFacts:
         """Read the metadata of a target's response."""
 
     def answer_head(self, head: ResponseHead) -> ResponseHead:
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -26,7 +26,7 @@
     validate_response,
 )
 from dandelionyoke_gateway._ports import (
-    AnswerFacts,
+    ResponseFacts,
 )
 from dandelionyoke_gateway._prompt_prefiller import (
     PrefilledPrompt,
@@ -209,7 +209,7 @@
         self,
         target: RegisteredTarget,
         response: ResponseHead,
-        facts: AnswerFacts,
+        facts: ResponseFacts,
         connection: TargetConnection,
     ) -> None:
         """Check that the target ran this call and the response belongs to it.
