--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -38,7 +38,7 @@
 def forward_plain_call(deps: CallDependencies, context: CallContext) -> None:
     """Send a call to one target after another until one responds."""
     response = _PlainCall(deps, context).find_response()
-    head = deps.dialect.answer_head(response.head)
+    head = deps.dialect.response_head(response.head)
     context.responder.respond(head, response.body)
 
 
@@ -119,7 +119,7 @@
             connection.send(head, context.request.body)
             response_head = connection.read_head(context.deadline_s)
             body = connection.read_body(context.deadline_s, MAX_RESPONSE_BYTES)
-            facts = self._deps.dialect.read_answer(response_head)
+            facts = self._deps.dialect.read_response(response_head)
             validate_response(response_head, facts, context)
         if facts.is_signed and not facts.is_not_run:
             count_usage_once(self._deps, context, sent_s)
--- a/packages/gateway/dandelionyoke_gateway/_ports.py
+++ b/packages/gateway/dandelionyoke_gateway/_ports.py
@@ -155,10 +155,10 @@
     ) -> RequestHead:
         """Return the request head to send to a target."""
 
-    def read_answer(self, head: ResponseHead) -> ResponseFacts:
+    def read_response(self, head: ResponseHead) -> ResponseFacts:
         """Read the metadata of a target's response."""
 
-    def answer_head(self, head: ResponseHead) -> ResponseHead:
+    def response_head(self, head: ResponseHead) -> ResponseHead:
         """Return the response head to send to the caller."""
 
     def refusal_head(
--- a/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
@@ -217,7 +217,7 @@
             connection.send(head, self._context.request.body)
             response = connection.read_head(deadline_s)
             body = connection.read_body(deadline_s, MAX_PREFILL_BYTES)
-            facts = self._deps.dialect.read_answer(response)
+            facts = self._deps.dialect.read_response(response)
             apply_response_facts(self._deps, target, facts)
             if facts.status != HTTPStatus.OK:
                 return None
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -182,7 +182,7 @@
         """Read the head of a response; return whether a stream follows."""
         sent_s = clock_s()
         response = connection.read_head(self._read_deadline_s())
-        facts = self._deps.dialect.read_answer(response)
+        facts = self._deps.dialect.read_response(response)
         self._check_response(target, response, facts, connection)
         self._prompt = None
         since_arrival_s = clock_s() - self._context.request.arrived_s
@@ -239,12 +239,12 @@
         )
         self._context.attempts.ran()
         if not self._context.responder.has_started:
-            head = self._deps.dialect.answer_head(response)
+            head = self._deps.dialect.response_head(response)
             self._context.responder.respond(head, body)
 
     def _start_response(self, response: ResponseHead) -> None:
         if not self._context.responder.has_started:
-            head = self._deps.dialect.answer_head(response)
+            head = self._deps.dialect.response_head(response)
             self._context.responder.start(head)
 
     def _relay(self, connection: TargetConnection) -> None:
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -98,12 +98,14 @@
         overloaded = ResponseHead(
             503, (('not-executed', '1'), ('server-load', '3,4,8'))
         )
-        facts = DIALECT.read_answer(overloaded)
+        facts = DIALECT.read_response(overloaded)
         self.assertTrue(facts.is_not_run)
         self.assertEqual(7, facts.busy)
-        misdirected = DIALECT.read_answer(ResponseHead(421, ()))
+        misdirected = DIALECT.read_response(ResponseHead(421, ()))
         self.assertTrue(misdirected.is_other_target and misdirected.is_not_run)
-        self.assertFalse(DIALECT.read_answer(ResponseHead(500, ())).is_not_run)
+        self.assertFalse(
+            DIALECT.read_response(ResponseHead(500, ())).is_not_run
+        )
 
 
 class DocumentTest(testtools.TestCase):
