--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -28,7 +28,7 @@
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import (
-    DutyStamp,
+    FencingStamp,
     Store,
 )
 
@@ -97,7 +97,7 @@
         self._held_until_s = 0.0
 
     @property
-    def stamp(self) -> DutyStamp | None:
+    def stamp(self) -> FencingStamp | None:
         """The authority to act now; None if this node does not hold the duty.
 
         Its time limit ends `MAX_SEND_TIME_S` before the lease does.
@@ -105,7 +105,7 @@
         send_until_s = self._held_until_s - MAX_SEND_TIME_S
         if clock_s() >= send_until_s:
             return None
-        return DutyStamp(self._own_id, self._fencing_token, send_until_s)
+        return FencingStamp(self._own_id, self._fencing_token, send_until_s)
 
     def run(self) -> None:
         """Compete for the duty until the process exits."""
--- a/packages/gateway/dandelionyoke_gateway/_ports.py
+++ b/packages/gateway/dandelionyoke_gateway/_ports.py
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class DutyStamp:
+class FencingStamp:
     """The holder and the fencing token with which an order or report is sent.
 
     No byte of it may be sent after `send_until_s`, a time of `clock_s`.
@@ -199,14 +199,16 @@
     """Calls that only the holder of the lease on a duty may make."""
 
     def report_usage(
-        self, counts: WindowCounts, stamp: DutyStamp
+        self, counts: WindowCounts, stamp: FencingStamp
     ) -> DutyAnswer:
         """Report the usage counts of a window."""
 
-    def order_targets(self, order: TargetCount, stamp: DutyStamp) -> DutyAnswer:
+    def order_targets(
+        self, order: TargetCount, stamp: FencingStamp
+    ) -> DutyAnswer:
         """Order the platform to run a number of targets."""
 
-    def order_phase(self, order: PhaseOrder, stamp: DutyStamp) -> DutyAnswer:
+    def order_phase(self, order: PhaseOrder, stamp: FencingStamp) -> DutyAnswer:
         """Order an engine to change its phase."""
 
 
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -9,7 +9,7 @@
 from dandelionyoke_gateway import (
     DutyAnswer,
     DutyOutcome,
-    DutyStamp,
+    FencingStamp,
     TargetCount,
     clock_s,
 )
@@ -25,8 +25,8 @@
     """A duty that this node holds."""
 
     @property
-    def stamp(self) -> DutyStamp:
-        return DutyStamp('n-1', 9, clock_s() + 5)
+    def stamp(self) -> FencingStamp:
+        return FencingStamp('n-1', 9, clock_s() + 5)
 
 
 class FakePlatform:
@@ -35,7 +35,9 @@
     def __init__(self, outcome: DutyOutcome) -> None:
         self._outcome = outcome
 
-    def order_targets(self, order: TargetCount, stamp: DutyStamp) -> DutyAnswer:
+    def order_targets(
+        self, order: TargetCount, stamp: FencingStamp
+    ) -> DutyAnswer:
         return DutyAnswer(self._outcome, 'as the test says', 0.001)
 
 
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -10,7 +10,7 @@
 from dandelionyoke_gateway import (
     DutyAnswer,
     DutyOutcome,
-    DutyStamp,
+    FencingStamp,
     PhaseOrder,
     TargetCount,
     TargetPool,
@@ -53,7 +53,7 @@
         target = ScriptedTarget(lambda _: [answer('200 OK', b'{}', '')])
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, PausedPool(pause_s))
-        duties.order_targets(ORDER, DutyStamp('n-1', 9, clock_s() + 0.05))
+        duties.order_targets(ORDER, FencingStamp('n-1', 9, clock_s() + 0.05))
         eventlet.sleep(0.05)
         return [seen.line for seen in target.seen]
 
@@ -76,7 +76,7 @@
         target = ScriptedTarget(lambda _: [answer('200 OK', b'{}', '')])
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, TargetPool())
-        stamp = DutyStamp('n-1', 9, clock_s() + 5)
+        stamp = FencingStamp('n-1', 9, clock_s() + 5)
         self.assertTrue(duties.order_targets(ORDER, stamp).is_accepted)
         target.refuse_connections()
         answer_behind = duties.order_targets(ORDER, stamp)
@@ -97,7 +97,7 @@
         engine = RegisteredTarget('i-1', 'lm', target.address, 'a', 4, False)
         self.assertIsNotNone(duties.read_report(engine))
         target.refuse_connections()
-        stamp = DutyStamp('n-1', 9, clock_s() + 5)
+        stamp = FencingStamp('n-1', 9, clock_s() + 5)
         order = PhaseOrder(engine, Phase.DECODE, 0)
         answer_behind = duties.order_phase(order, stamp)
         self.assertIs(DutyOutcome.NOT_SENT, answer_behind.outcome)
@@ -111,7 +111,7 @@
         target = ScriptedTarget(script)
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, TargetPool())
-        stamp = DutyStamp('n-1', 9, clock_s() + 5)
+        stamp = FencingStamp('n-1', 9, clock_s() + 5)
         return duties.order_targets(ORDER, stamp)
 
     def test_the_cause_of_a_refusal_contains_the_status(self) -> None:
