--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -28,7 +28,7 @@
 from dandelionyoke_gateway._ports import (
     CacheSource as CacheSource,
     Dialect as Dialect,
-    DutyAnswer as DutyAnswer,
+    DutyCallResult as DutyCallResult,
     DutyClient as DutyClient,
     DutyOutcome as DutyOutcome,
     EngineClient as EngineClient,
--- a/packages/gateway/dandelionyoke_gateway/_ports.py
+++ b/packages/gateway/dandelionyoke_gateway/_ports.py
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen
-class DutyAnswer:
+class DutyCallResult:
     """An outcome, the cause if it was not accepted, and the elapsed time."""
 
     outcome: DutyOutcome
@@ -200,15 +200,17 @@
 
     def report_usage(
         self, counts: WindowCounts, stamp: FencingStamp
-    ) -> DutyAnswer:
+    ) -> DutyCallResult:
         """Report the usage counts of a window."""
 
     def order_targets(
         self, order: TargetCount, stamp: FencingStamp
-    ) -> DutyAnswer:
+    ) -> DutyCallResult:
         """Order the platform to run a number of targets."""
 
-    def order_phase(self, order: PhaseOrder, stamp: FencingStamp) -> DutyAnswer:
+    def order_phase(
+        self, order: PhaseOrder, stamp: FencingStamp
+    ) -> DutyCallResult:
         """Order an engine to change its phase."""
 
 
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -7,7 +7,7 @@
 from dandelionyoke_core import Metrics
 from dandelionyoke_dispatch import Service, WantedCount
 from dandelionyoke_gateway import (
-    DutyAnswer,
+    DutyCallResult,
     DutyOutcome,
     FencingStamp,
     TargetCount,
@@ -37,8 +37,8 @@
 
     def order_targets(
         self, order: TargetCount, stamp: FencingStamp
-    ) -> DutyAnswer:
-        return DutyAnswer(self._outcome, 'as the test says', 0.001)
+    ) -> DutyCallResult:
+        return DutyCallResult(self._outcome, 'as the test says', 0.001)
 
 
 class UnacceptedOrderTest(testtools.TestCase):
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -8,7 +8,7 @@
 
 from dandelionyoke_dispatch import Phase, RegisteredTarget
 from dandelionyoke_gateway import (
-    DutyAnswer,
+    DutyCallResult,
     DutyOutcome,
     FencingStamp,
     PhaseOrder,
@@ -107,7 +107,7 @@
 class DutyAnswerTest(testtools.TestCase):
     """Outcome and cause that are logged for an order that is not accepted."""
 
-    def order(self, script: Script) -> DutyAnswer:
+    def order(self, script: Script) -> DutyCallResult:
         target = ScriptedTarget(script)
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, TargetPool())
