--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -38,7 +38,7 @@
     PhaseOrder as PhaseOrder,
     ResponseFacts as ResponseFacts,
     Store as Store,
-    TargetCount as TargetCount,
+    TargetCountOrder as TargetCountOrder,
 )
 from dandelionyoke_gateway._process import (
     Adapters as Adapters,
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -22,7 +22,7 @@
 from dandelionyoke_gateway._ports import (
     DutyClient,
     DutyOutcome,
-    TargetCount,
+    TargetCountOrder,
 )
 
 CHECK_INTERVAL_S = 0.5
@@ -174,7 +174,7 @@
         stamp = self._duty.stamp
         if stamp is None:
             return
-        order = TargetCount(
+        order = TargetCountOrder(
             service.name, wanted.domain, wanted.count, wanted.is_reclaimable
         )
         answer = self._client.order_targets(order, stamp)
--- a/packages/gateway/dandelionyoke_gateway/_ports.py
+++ b/packages/gateway/dandelionyoke_gateway/_ports.py
@@ -135,7 +135,7 @@
 
 
 @attrs.frozen
-class TargetCount:
+class TargetCountOrder:
     """An order to the platform to run `count` targets of a service in a domain."""
 
     service: str
@@ -204,7 +204,7 @@
         """Report the usage counts of a window."""
 
     def order_targets(
-        self, order: TargetCount, stamp: FencingStamp
+        self, order: TargetCountOrder, stamp: FencingStamp
     ) -> DutyCallResult:
         """Order the platform to run a number of targets."""
 
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -10,7 +10,7 @@
     DutyCallResult,
     DutyOutcome,
     FencingStamp,
-    TargetCount,
+    TargetCountOrder,
     clock_s,
 )
 from dandelionyoke_gateway._engine_count_task import EngineCountTask
@@ -36,7 +36,7 @@
         self._outcome = outcome
 
     def order_targets(
-        self, order: TargetCount, stamp: FencingStamp
+        self, order: TargetCountOrder, stamp: FencingStamp
     ) -> DutyCallResult:
         return DutyCallResult(self._outcome, 'as the test says', 0.001)
 
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -12,7 +12,7 @@
     DutyOutcome,
     FencingStamp,
     PhaseOrder,
-    TargetCount,
+    TargetCountOrder,
     TargetPool,
     clock_s,
 )
@@ -24,7 +24,7 @@
 from dandelionyoke_platform._duties import CALL_TIMEOUT_S, PlatformDuties
 from tests.platform.path import Script, ScriptedTarget, answer
 
-ORDER = TargetCount('lm', 'a', 3, True)
+ORDER = TargetCountOrder('lm', 'a', 3, True)
 
 
 class PausedPool(TargetPool):
