--- a/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
@@ -8,7 +8,7 @@
 from dandelionyoke_gateway._ports import Dialect
 
 
-class ConfigurationKeeper:
+class ConfigurationUpdater:
     """Applies the newest configuration and never an older one."""
 
     def __init__(
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -21,7 +21,7 @@
     Responder,
 )
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
+from dandelionyoke_gateway._configuration_keeper import ConfigurationUpdater
 from dandelionyoke_gateway._crash_task import CrashTask
 from dandelionyoke_gateway._domain_prefill_queue import DomainPrefillQueue
 from dandelionyoke_gateway._duty_task import DutyTask
@@ -196,7 +196,7 @@
         dialect, store = adapters.dialect, adapters.store
         intervals = StorePollIntervals()
         store_polling = StorePollPolicy(knowledge, StorePollSettings())
-        configurations = ConfigurationKeeper(knowledge, dialect, log)
+        configurations = ConfigurationUpdater(knowledge, dialect, log)
         registry = RegistryKeeper(knowledge, log)
         configuration_task = ConfigurationTask(
             configurations,
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -11,7 +11,7 @@
 )
 from dandelionyoke_dispatch import RegisteredTarget
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
+from dandelionyoke_gateway._configuration_keeper import ConfigurationUpdater
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Dialect, Store
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        keeper: ConfigurationKeeper,
+        updater: ConfigurationUpdater,
         knowledge: Knowledge,
         store_polling: StorePollPolicy,
         dialect: Dialect,
@@ -51,7 +51,7 @@
         log: DecisionLog,
         intervals: StorePollIntervals,
     ) -> None:
-        self._keeper = keeper
+        self._updater = updater
         self._knowledge = knowledge
         self._store_polling = store_polling
         self._key = dialect.configuration_key
@@ -86,7 +86,7 @@
             self._failing_since_s = None
         for item in listing.items:
             if item.key == self._key and item.value:
-                self._keeper.adopt(item.value, item.revision, 'store')
+                self._updater.adopt(item.value, item.revision, 'store')
         self._knowledge.freshness.confirm(polled_s)
 
     def _record_failure(self, answer: object) -> None:
@@ -101,14 +101,14 @@
 
     def __init__(
         self,
-        keeper: RegistryKeeper,
+        updater: RegistryKeeper,
         knowledge: Knowledge,
         store_polling: StorePollPolicy,
         dialect: Dialect,
         store: Store,
         intervals: StorePollIntervals,
     ) -> None:
-        self._keeper = keeper
+        self._updater = updater
         self._knowledge = knowledge
         self._store_polling = store_polling
         self._dialect = dialect
@@ -137,7 +137,7 @@
         if isinstance(answer, StoreListing):
             self._apply_unless_stale(answer, polled_s)
         else:
-            self._keeper.failed()
+            self._updater.failed()
             self._follower.pause()
 
     def _apply_unless_stale(
@@ -162,10 +162,10 @@
         }
         changed = [target for target in newest.values() if target is not None]
         if self._follower.was_whole:
-            self._keeper.replace(changed, polled_s)
+            self._updater.replace(changed, polled_s)
         else:
             gone = [name for name, target in newest.items() if target is None]
-            self._keeper.change(changed, gone, polled_s)
+            self._updater.change(changed, gone, polled_s)
 
     def _wait_for_batch(self, polled_s: float) -> None:
         """Sleep so that the next poll returns several changes at once."""
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -24,7 +24,7 @@
     WindowCounts,
 )
 from dandelionyoke_gateway import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
+from dandelionyoke_gateway._configuration_keeper import ConfigurationUpdater
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._news_messages import (
@@ -56,7 +56,7 @@
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(3))
         log = DecisionLog(Lines(), 'n-1', Metrics())
         self.addCleanup(log.close)
-        self.configurations = ConfigurationKeeper(
+        self.configurations = ConfigurationUpdater(
             self.knowledge, PlatformDialect(), log
         )
         self.registry = RegistryKeeper(self.knowledge, log)
