--- a/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
@@ -18,7 +18,7 @@
         self._dialect = dialect
         self._log = log
 
-    def adopt(self, text: str, revision: int, source: str) -> None:
+    def apply(self, text: str, revision: int, source: str) -> None:
         """Apply a configuration if it is newer than the current one."""
         knowledge = self._knowledge
         if revision <= knowledge.configuration_revision:
@@ -51,7 +51,9 @@
             source=source,
         )
 
-    def adopt_packed(self, packed: bytes, revision: int, source: str) -> None:
+    def apply_compressed(
+        self, packed: bytes, revision: int, source: str
+    ) -> None:
         """Apply a compressed configuration that another node sent."""
         try:
             text = zlib.decompress(packed).decode()
@@ -64,9 +66,9 @@
                 source=source,
             )
             return
-        self.adopt(text, revision, source)
+        self.apply(text, revision, source)
 
-    def prove(self, revision: int, confirmed_s: float) -> bool:
+    def confirm(self, revision: int, confirmed_s: float) -> bool:
         """Record that a revision was the newest at the time `confirmed_s`.
 
         Return False and record nothing if this node has another revision:
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -226,7 +226,9 @@
             return
         if news.revision > self._knowledge.configuration_revision:
             self._fetch_configuration(news, member.instance_id)
-        self._configurations.prove(news.revision, sent_s + news.proven_after_s)
+        self._configurations.confirm(
+            news.revision, sent_s + news.proven_after_s
+        )
 
     def _fetch_configuration(
         self, news: ConfigurationNews, source: str
@@ -237,7 +239,7 @@
         fails, the next request asks for the text.
         """
         if news.packed is not None:
-            self._configurations.adopt_packed(
+            self._configurations.apply_compressed(
                 news.packed, news.revision, source
             )
             self._wants_configuration = False
@@ -250,8 +252,8 @@
             )
         )
         if isinstance(item, StoreItem) and item.value:
-            self._configurations.adopt(item.value, item.revision, 'store')
-            self._configurations.prove(item.revision, read_s)
+            self._configurations.apply(item.value, item.revision, 'store')
+            self._configurations.confirm(item.revision, read_s)
             self._wants_configuration = False
         else:
             self._wants_configuration = True
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -86,7 +86,7 @@
             self._failing_since_s = None
         for item in listing.items:
             if item.key == self._key and item.value:
-                self._updater.adopt(item.value, item.revision, 'store')
+                self._updater.apply(item.value, item.revision, 'store')
         self._knowledge.freshness.confirm(polled_s)
 
     def _record_failure(self, answer: object) -> None:
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -84,15 +84,15 @@
         The answering node lost the store four seconds ago. Its answer must
         not count as fresh.
         """
-        self.configurations.adopt(configuration(), 7, 'store')
-        self.configurations.prove(7, clock_s() - 4.0)
+        self.configurations.apply(configuration(), 7, 'store')
+        self.configurations.confirm(7, clock_s() - 4.0)
         news = self.ask().configuration
         self.assertLess(news.proven_after_s, -3.9)
         self.assertEqual(7, news.revision)
 
     def test_a_proof_of_another_revision_is_ignored(self) -> None:
-        self.configurations.adopt(configuration(), 7, 'store')
-        self.assertFalse(self.configurations.prove(8, clock_s()))
+        self.configurations.apply(configuration(), 7, 'store')
+        self.assertFalse(self.configurations.confirm(8, clock_s()))
         self.assertIsNone(self.knowledge.freshness.confirmed_s)
 
     def test_a_request_waits_for_a_change(self) -> None:
@@ -140,16 +140,16 @@
 
     def test_a_configuration_is_sent_unless_it_is_large(self) -> None:
         """Guards against large configurations that saturate a slow link."""
-        self.configurations.adopt(configuration(), 7, 'store')
-        self.configurations.prove(7, clock_s())
+        self.configurations.apply(configuration(), 7, 'store')
+        self.configurations.confirm(7, clock_s())
         packed = self.ask().configuration.packed
         self.assertEqual(configuration(), zlib.decompress(packed).decode())
         self.assertIsNone(
             self.ask(configuration_revision=7).configuration.packed
         )
         noise = Random(5).randbytes(MAX_PACKED_BYTES).hex()
-        self.configurations.adopt(noise, 8, 'store')
-        self.configurations.prove(8, clock_s())
+        self.configurations.apply(noise, 8, 'store')
+        self.configurations.confirm(8, clock_s())
         self.assertIsNone(self.ask().configuration.packed)
         wanted = self.ask(wants_configuration=True).configuration.packed
         self.assertIsNotNone(wanted)
