--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -18,7 +18,7 @@
 )
 from dandelionyoke_dispatch import ListingMark, Member
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationUpdater
+from dandelionyoke_gateway._configuration_updater import ConfigurationUpdater
 from dandelionyoke_gateway._knowledge import NEVER_S, Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._news_messages import (
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -21,7 +21,7 @@
     Responder,
 )
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationUpdater
+from dandelionyoke_gateway._configuration_updater import ConfigurationUpdater
 from dandelionyoke_gateway._crash_task import CrashTask
 from dandelionyoke_gateway._domain_prefill_queue import DomainPrefillQueue
 from dandelionyoke_gateway._duty_task import DutyTask
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -11,7 +11,7 @@
 )
 from dandelionyoke_dispatch import RegisteredTarget
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationUpdater
+from dandelionyoke_gateway._configuration_updater import ConfigurationUpdater
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Dialect, Store
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -24,7 +24,7 @@
     WindowCounts,
 )
 from dandelionyoke_gateway import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationUpdater
+from dandelionyoke_gateway._configuration_updater import ConfigurationUpdater
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._news_messages import (
