--- a/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
@@ -10,7 +10,7 @@
 from dandelionyoke_gateway._log import DecisionLog
 
 
-class RegistryKeeper:
+class RegistryUpdater:
     """Updates the target registry and logs its changes."""
 
     def __init__(self, knowledge: Knowledge, log: DecisionLog) -> None:
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -35,7 +35,7 @@
 )
 from dandelionyoke_gateway._news_server import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_task import NewsTask
-from dandelionyoke_gateway._registry_keeper import RegistryKeeper
+from dandelionyoke_gateway._registry_keeper import RegistryUpdater
 from dandelionyoke_gateway._store_poll_policy import (
     StorePollPolicy,
     StorePollSettings,
@@ -59,7 +59,7 @@
         self.configurations = ConfigurationUpdater(
             self.knowledge, PlatformDialect(), log
         )
-        self.registry = RegistryKeeper(self.knowledge, log)
+        self.registry = RegistryUpdater(self.knowledge, log)
         self.sent: list[PeerMessage] = []
         self.server = NewsServer(self.knowledge, self.send)
 
