--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -209,7 +209,7 @@
             seen_s = clock_s() - note.age_s
             knowledge.crashes.record_crash(note.call, note.target_id, seen_s)
         if answer.targets is not None:
-            is_taken = self._registry.take_news(
+            is_taken = self._registry.apply_peer_changes(
                 answer.targets.changes,
                 sent_s + answer.targets.proven_after_s,
                 member.instance_id,
--- a/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_registry_keeper.py
@@ -37,7 +37,7 @@
         self._knowledge.listing.change(changed, gone, confirmed_s)
         self._apply('store')
 
-    def take_news(
+    def apply_peer_changes(
         self, changes: ListingChanges, confirmed_s: float, peer_id: str
     ) -> bool:
         """Apply changes that another node sent; False if they are stale.
@@ -59,7 +59,7 @@
         self._apply(peer_id)
         return True
 
-    def failed(self) -> None:
+    def record_store_failure(self) -> None:
         """Record that the store returned no listing."""
         self._knowledge.registry.store_failed(clock_s())
 
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -137,7 +137,7 @@
         if isinstance(answer, StoreListing):
             self._apply_unless_stale(answer, polled_s)
         else:
-            self._updater.failed()
+            self._updater.record_store_failure()
             self._follower.pause()
 
     def _apply_unless_stale(
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -122,16 +122,20 @@
         changes = ListingChanges(
             ListingMark('n-2', 3), True, (target('i-1'),), ()
         )
-        self.assertFalse(self.registry.take_news(changes, now_s - 1, 'n-2'))
+        self.assertFalse(
+            self.registry.apply_peer_changes(changes, now_s - 1, 'n-2')
+        )
         self.assertEqual([], self.knowledge.registry.of_service('lm'))
-        self.assertTrue(self.registry.take_news(changes, now_s + 1, 'n-2'))
+        self.assertTrue(
+            self.registry.apply_peer_changes(changes, now_s + 1, 'n-2')
+        )
 
     def test_a_grace_period_ends_without_another_listing(self) -> None:
         """Guards against calls to a target that left during an outage."""
         settings = RegistrySettings(return_grace_s=0.1, outage_s=0)
         self.knowledge.registry = TargetRegistry(settings)
         self.registry.replace([target('i-1')], clock_s())
-        self.registry.failed()
+        self.registry.record_store_failure()
         eventlet.sleep(0.01)
         self.registry.replace([], clock_s())
         self.assertEqual(1, len(self.knowledge.registry.of_service('lm')))
