--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -28,7 +28,7 @@
 )
 from dandelionyoke_gateway._news_server import NewsServer
 from dandelionyoke_gateway._ports import Dialect, Store
-from dandelionyoke_gateway._registry_keeper import RegistryUpdater
+from dandelionyoke_gateway._registry_updater import RegistryUpdater
 from dandelionyoke_gateway._store_poll_policy import StorePollPolicy
 from dandelionyoke_links import PeerHub
 
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -44,7 +44,7 @@
 from dandelionyoke_gateway._prefill_links import PrefillLinks
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
-from dandelionyoke_gateway._registry_keeper import RegistryUpdater
+from dandelionyoke_gateway._registry_updater import RegistryUpdater
 from dandelionyoke_gateway._settings import Endpoint, GatewaySettings
 from dandelionyoke_gateway._source_parts import SourceParts
 from dandelionyoke_gateway._status import ExitStatus
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -15,7 +15,7 @@
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Dialect, Store
-from dandelionyoke_gateway._registry_keeper import RegistryUpdater
+from dandelionyoke_gateway._registry_updater import RegistryUpdater
 from dandelionyoke_gateway._store_follower import StoreFollower
 from dandelionyoke_gateway._store_poll_policy import StorePollPolicy
 
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -35,7 +35,7 @@
 )
 from dandelionyoke_gateway._news_server import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_task import NewsTask
-from dandelionyoke_gateway._registry_keeper import RegistryUpdater
+from dandelionyoke_gateway._registry_updater import RegistryUpdater
 from dandelionyoke_gateway._store_poll_policy import (
     StorePollPolicy,
     StorePollSettings,
