--- a/packages/gateway/dandelionyoke_gateway/_crash_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_crash_task.py
@@ -13,7 +13,7 @@
 from dandelionyoke_gateway._leased_records import LeasedRecords
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Store
-from dandelionyoke_gateway._store_follower import StoreFollower
+from dandelionyoke_gateway._store_follower import PrefixWatcher
 from dandelionyoke_gateway._target_connection import connect
 
 CRASHES_PREFIX = 'crashes/'
@@ -34,7 +34,7 @@
         self._knowledge = knowledge
         self._log = log
         self._records = LeasedRecords(store, RECORD_TTL_S)
-        self._follower = StoreFollower(
+        self._watcher = PrefixWatcher(
             store,
             CRASHES_PREFIX,
             BackOff(BackOffSettings(), knowledge.random),
@@ -48,11 +48,11 @@
                 # The node that answers news requests reports crashes too.
                 eventlet.sleep(NEWS_FRESH_S)
                 continue
-            answer = self._follower.ask(WATCH_DURATION_S)
+            answer = self._watcher.ask(WATCH_DURATION_S)
             if isinstance(answer, StoreListing):
                 self._record_crashes(answer)
             else:
-                self._follower.pause()
+                self._watcher.pause()
 
     def suspect(self, fingerprint: str, target_id: str, address: str) -> None:
         """Probe a target that aborted a call; publish a crash if it is dead."""
--- a/packages/gateway/dandelionyoke_gateway/_store_follower.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_follower.py
@@ -18,7 +18,7 @@
 MAX_WATCH_GAP_S = 10.0
 
 
-class StoreFollower:
+class PrefixWatcher:
     """Lists the keys under a prefix, then watches for changes.
 
     After a failure all keys are listed again, because a change may have been
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -16,7 +16,7 @@
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Dialect, Store
 from dandelionyoke_gateway._registry_updater import RegistryUpdater
-from dandelionyoke_gateway._store_follower import StoreFollower
+from dandelionyoke_gateway._store_follower import PrefixWatcher
 from dandelionyoke_gateway._store_poll_policy import StorePollPolicy
 
 
@@ -57,7 +57,7 @@
         self._key = dialect.configuration_key
         self._log = log
         self._failing_since_s: float | None = None
-        self._follower = StoreFollower(
+        self._watcher = PrefixWatcher(
             store, self._key, BackOff(intervals.back_off, knowledge.random)
         )
 
@@ -72,12 +72,12 @@
 
     def _poll_store(self) -> None:
         polled_s = clock_s()
-        answer = self._follower.ask(self._store_polling.watch_duration_s)
+        answer = self._watcher.ask(self._store_polling.watch_duration_s)
         if isinstance(answer, StoreListing):
             self._apply(answer, polled_s)
         else:
             self._record_failure(answer)
-            self._follower.pause()
+            self._watcher.pause()
 
     def _apply(self, listing: StoreListing, polled_s: float) -> None:
         if self._failing_since_s is not None:
@@ -116,7 +116,7 @@
         self._watch_duration_s = (
             intervals.registry_watch_share * knowledge.settings.drain_s
         )
-        self._follower = StoreFollower(
+        self._watcher = PrefixWatcher(
             store,
             dialect.registry_prefix,
             BackOff(intervals.back_off, knowledge.random),
@@ -133,12 +133,12 @@
 
     def _poll_store(self) -> None:
         polled_s = clock_s()
-        answer = self._follower.ask(self._watch_duration_s)
+        answer = self._watcher.ask(self._watch_duration_s)
         if isinstance(answer, StoreListing):
             self._apply_unless_stale(answer, polled_s)
         else:
             self._updater.record_store_failure()
-            self._follower.pause()
+            self._watcher.pause()
 
     def _apply_unless_stale(
         self, listing: StoreListing, polled_s: float
@@ -146,7 +146,7 @@
         """Apply a listing unless another node has sent a newer one."""
         confirmed_s = self._knowledge.listing.confirmed_s
         if confirmed_s is not None and confirmed_s > polled_s:
-            self._follower.restart()
+            self._watcher.restart()
             return
         self._apply(listing, polled_s)
         self._wait_for_batch(polled_s)
@@ -161,7 +161,7 @@
             for item in listing.items
         }
         changed = [target for target in newest.values() if target is not None]
-        if self._follower.was_whole:
+        if self._watcher.was_whole:
             self._updater.replace(changed, polled_s)
         else:
             gone = [name for name, target in newest.items() if target is None]
