--- a/packages/gateway/dandelionyoke_gateway/_crash_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_crash_task.py
@@ -48,11 +48,11 @@
                 # The node that answers news requests reports crashes too.
                 eventlet.sleep(NEWS_FRESH_S)
                 continue
-            answer = self._watcher.ask(WATCH_DURATION_S)
+            answer = self._watcher.poll(WATCH_DURATION_S)
             if isinstance(answer, StoreListing):
                 self._record_crashes(answer)
             else:
-                self._watcher.pause()
+                self._watcher.back_off()
 
     def suspect(self, fingerprint: str, target_id: str, address: str) -> None:
         """Probe a target that aborted a call; publish a crash if it is dead."""
--- a/packages/gateway/dandelionyoke_gateway/_store_follower.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_follower.py
@@ -32,12 +32,12 @@
         self._revision: int | None = None
         self._last_listing_s = 0.0
         # Whether the last result lists all keys, not only the changed ones.
-        self.was_whole = False
+        self.was_full_listing = False
 
-    def ask(self, watch_s: float) -> StoreResult:
+    def poll(self, watch_s: float) -> StoreResult:
         """Return the next listing, or the result of a failed operation.
 
-        The caller must pause after a failure. Waits up to `watch_s` for a
+        The caller must back off after a failure. Waits up to `watch_s` for a
         change, unless all keys are listed.
         """
         if clock_s() - self._last_listing_s > MAX_WATCH_GAP_S:
@@ -47,7 +47,7 @@
             self._revision = None
             return result
         self._back_off.reset()
-        self.was_whole = self._revision is None
+        self.was_full_listing = self._revision is None
         self._revision = result.revision
         self._last_listing_s = clock_s()
         return result
@@ -56,7 +56,7 @@
         """List all keys with the next operation."""
         self._revision = None
 
-    def pause(self) -> None:
+    def back_off(self) -> None:
         """Wait for the backoff delay after a failure."""
         sleep(self._back_off.next_s())
 
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -72,12 +72,12 @@
 
     def _poll_store(self) -> None:
         polled_s = clock_s()
-        answer = self._watcher.ask(self._store_polling.watch_duration_s)
+        answer = self._watcher.poll(self._store_polling.watch_duration_s)
         if isinstance(answer, StoreListing):
             self._apply(answer, polled_s)
         else:
             self._record_failure(answer)
-            self._watcher.pause()
+            self._watcher.back_off()
 
     def _apply(self, listing: StoreListing, polled_s: float) -> None:
         if self._failing_since_s is not None:
@@ -133,12 +133,12 @@
 
     def _poll_store(self) -> None:
         polled_s = clock_s()
-        answer = self._watcher.ask(self._watch_duration_s)
+        answer = self._watcher.poll(self._watch_duration_s)
         if isinstance(answer, StoreListing):
             self._apply_unless_stale(answer, polled_s)
         else:
             self._updater.record_store_failure()
-            self._watcher.pause()
+            self._watcher.back_off()
 
     def _apply_unless_stale(
         self, listing: StoreListing, polled_s: float
@@ -161,7 +161,7 @@
             for item in listing.items
         }
         changed = [target for target in newest.values() if target is not None]
-        if self._watcher.was_whole:
+        if self._watcher.was_full_listing:
             self._updater.replace(changed, polled_s)
         else:
             gone = [name for name, target in newest.items() if target is None]
