--- a/packages/gateway/dandelionyoke_gateway/_crash_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_crash_task.py
@@ -13,7 +13,7 @@
 from dandelionyoke_gateway._leased_records import LeasedRecords
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Store
-from dandelionyoke_gateway._store_follower import PrefixWatcher
+from dandelionyoke_gateway._prefix_watcher import PrefixWatcher
 from dandelionyoke_gateway._target_connection import connect
 
 CRASHES_PREFIX = 'crashes/'
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -15,8 +15,8 @@
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Dialect, Store
+from dandelionyoke_gateway._prefix_watcher import PrefixWatcher
 from dandelionyoke_gateway._registry_updater import RegistryUpdater
-from dandelionyoke_gateway._store_follower import PrefixWatcher
 from dandelionyoke_gateway._store_poll_policy import StorePollPolicy
 
 
