--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -113,7 +113,7 @@
             last_event_id=context.call.last_event_id,
         )
         head = self._deps.dialect.call_head(context.request.head, forwarding)
-        with self._deps.pool.lend(target.address) as connection:
+        with self._deps.pool.acquire(target.address) as connection:
             sent_s = clock_s()
             context.attempts.sent(target.target_id)
             connection.send(head, context.request.body)
@@ -216,7 +216,7 @@
     else:
         deps.knowledge.loads.unreachable(target.target_id, now_s)
     # Other open connections to the target may have failed as well.
-    deps.pool.drop(target.address)
+    deps.pool.close_idle(target.address)
     deps.log.decide(
         'attempt.failed',
         context.call.attempt_id,
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -165,7 +165,7 @@
             self._state.new_forwarding(target), cache=cache
         )
         head = self._state.new_request_head(forwarding)
-        with self._deps.pool.lend(target.address) as connection:
+        with self._deps.pool.acquire(target.address) as connection:
             self._context.attempts.sent(target.target_id)
             connection.send(head, self._context.request.body)
             is_stream = self._read_head(target, connection)
--- a/packages/gateway/dandelionyoke_gateway/_target_pool.py
+++ b/packages/gateway/dandelionyoke_gateway/_target_pool.py
@@ -20,7 +20,7 @@
         self._idle: dict[str, deque[TargetConnection]] = {}
 
     @contextmanager
-    def lend(self, address: str) -> Iterator[TargetConnection]:
+    def acquire(self, address: str) -> Iterator[TargetConnection]:
         """Lend an idle or new connection for one exchange."""
         connection = self._take_idle(address)
         if connection is None:
@@ -33,7 +33,7 @@
             self._release(connection, is_complete)
 
     @contextmanager
-    def lend_new(self, address: str) -> Iterator[TargetConnection]:
+    def acquire_new(self, address: str) -> Iterator[TargetConnection]:
         """Open a new connection for one exchange.
 
         An idle connection may be cut off by an undetected network partition.
@@ -45,7 +45,7 @@
         finally:
             connection.close()
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close all idle connections to an address."""
         for connection in self._idle.pop(address, ()):
             connection.close()
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -35,14 +35,14 @@
         self._pause_s = pause_s
 
     @contextmanager
-    def lend(self, address: str) -> Iterator:
-        with super().lend(address) as connection:
+    def acquire(self, address: str) -> Iterator:
+        with super().acquire(address) as connection:
             eventlet.sleep(self._pause_s)
             yield connection
 
     @contextmanager
-    def lend_new(self, address: str) -> Iterator:
-        with super().lend_new(address) as connection:
+    def acquire_new(self, address: str) -> Iterator:
+        with super().acquire_new(address) as connection:
             eventlet.sleep(self._pause_s)
             yield connection
 
