--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -23,7 +23,7 @@
 from dandelionyoke_gateway._messages import (
     RequestHead as RequestHead,
     ResponseHead as ResponseHead,
-    without_connection_headers as without_connection_headers,
+    strip_hop_by_hop_headers as strip_hop_by_hop_headers,
 )
 from dandelionyoke_gateway._ports import (
     CacheSource as CacheSource,
--- a/packages/gateway/dandelionyoke_gateway/_messages.py
+++ b/packages/gateway/dandelionyoke_gateway/_messages.py
@@ -67,7 +67,7 @@
     return values[0] if len(values) == 1 else None
 
 
-def without_connection_headers(headers: HeaderList) -> HeaderList:
+def strip_hop_by_hop_headers(headers: HeaderList) -> HeaderList:
     """Drop hop-by-hop headers and those that `Connection` lists."""
     listed = {
         token.strip().lower()
