--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -74,7 +74,7 @@
         self._source.attach(send)
         self._knowledge.loads.listen(self._report_failure)
 
-    def enter(self, request: PrefillRequest) -> PrefillGrant:
+    def acquire(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine.
 
         Raises:
@@ -85,13 +85,13 @@
             grant = self._request_grant(peer_id, request)
             if grant is not None:
                 return grant
-        return self._local_queue.enter(request)
+        return self._local_queue.acquire(request)
 
-    def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
+    def release(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant at the node that issued it."""
         pending = self._pending.pop(grant.ticket_id, None)
         if pending is None:
-            self._local_queue.leave(grant, result)
+            self._local_queue.release(grant, result)
             return
         self._send_end(pending, result)
         if result.read_s is not None:
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -72,14 +72,14 @@
 class PrefillQueue(Protocol):
     """Grants each queued prompt an engine when its turn comes."""
 
-    def enter(self, request: PrefillRequest) -> PrefillGrant:
+    def acquire(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine.
 
         Raises:
             TooLateError: no engine could start before the deadline.
         """
 
-    def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
+    def release(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant, whatever the prefill's result."""
 
 
@@ -99,7 +99,7 @@
         self._knowledge = knowledge
         self._ticket_numbers = itertools.count(1)
 
-    def enter(self, request: PrefillRequest) -> PrefillGrant:
+    def acquire(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine.
 
         Raises:
@@ -154,7 +154,7 @@
         """Remove a request from the queue without a prefill."""
         self._release(queued.request, queued.queued_prompt.ticket_id, None)
 
-    def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
+    def release(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant, and record how long the prefill took."""
         self._release(grant.request, grant.ticket_id, result.read_s)
         if result.read_s is not None:
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -133,7 +133,7 @@
         peer_id, number = key
         placement = grant.home
         if placement is None:
-            self._queue.leave(grant, PrefillResult())
+            self._queue.release(grant, PrefillResult())
             verdict = PrefillVerdict.NO_ENGINE
             self._send(peer_id, PrefillTold(number, verdict))
             return
@@ -162,7 +162,7 @@
     def _release(self, key: RequestKey, result: PrefillResult) -> None:
         grant = self._granted.pop(key, None)
         if grant is not None:
-            self._queue.leave(grant, result)
+            self._queue.release(grant, result)
         if grant is not None and grant.home and result.read_s is not None:
             self._loads.succeeded(grant.home.target.target_id)
 
--- a/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
@@ -108,7 +108,7 @@
             avoid=frozenset(self._state.tried_ids),
         )
         try:
-            return self._deps.prefill_queue.enter(request)
+            return self._deps.prefill_queue.acquire(request)
         except TooLateError as error:
             self._service_stats.overload.record_refusal(clock_s())
             refusal = Refusal(Cause.TOO_LATE, error.retry_after_s)
@@ -125,7 +125,7 @@
             if cache is not None:
                 prefill_s = clock_s() - started_s
         finally:
-            self._deps.prefill_queue.leave(grant, PrefillResult(prefill_s))
+            self._deps.prefill_queue.release(grant, PrefillResult(prefill_s))
         if placement is None or cache is None or prefill_s is None:
             return None
         self._record_fetch(prompt, placement, prefill_s)
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -73,7 +73,7 @@
         """Assign a prefill without a shared prefix."""
         now_s = clock_s()
         prompt = Prompt('m', 9000, 10, (PromptPart('own', 9000),))
-        return self.queue.enter(
+        return self.queue.acquire(
             PrefillRequest('lm', prompt, 1, now_s, 1.0, now_s + 5)
         )
 
@@ -96,7 +96,7 @@
         self.first, self.second, self.third = self.nodes.values()
         # A node tracks a service from its first call on.
         for node in self.nodes.values():
-            node.queue.leave(node.assign(), PrefillResult(0.2))
+            node.queue.release(node.assign(), PrefillResult(0.2))
 
     def wait_for_messages(self) -> None:
         eventlet.sleep(2 * CHECK_INTERVAL_S)
@@ -119,7 +119,7 @@
             tokens = prompt_queue.fleet_backlog(clock_s())[target_id]
             self.assertEqual(9000, tokens)
         for grant in grants:
-            self.first.queue.leave(grant, PrefillResult(0.2))
+            self.first.queue.release(grant, PrefillResult(0.2))
         self.wait_for_messages()
         for target_id in busy:
             tokens = prompt_queue.fleet_backlog(clock_s())[target_id]
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -122,8 +122,8 @@
         """Let the source node learn how long a prefill takes."""
         local_queue = network.source.local_queue
         for number in range(40):
-            grant = local_queue.enter(request(number))
-            local_queue.leave(grant, PrefillResult(read_s))
+            grant = local_queue.acquire(request(number))
+            local_queue.release(grant, PrefillResult(read_s))
 
     def test_a_hot_prefix_is_spread_over_engines(self) -> None:
         """Guards against overload of the first engine of a hot prefix."""
@@ -131,7 +131,7 @@
         self.teach_duration(network)
         assigned: Counter[str] = Counter()
         for node in network.others:
-            grant = node.queue.enter(request())
+            grant = node.queue.acquire(request())
             assigned[grant.home.target.target_id] += 1
         self.assertEqual(16, sum(assigned.values()))
         self.assertLessEqual(max(assigned.values()), 2 * 16 // 8)
@@ -141,12 +141,15 @@
         network = self.network(nodes=4, engines=1)
         self.teach_duration(network)
         first, second, third = network.others
-        grants = [first.queue.enter(request()), second.queue.enter(request())]
+        grants = [
+            first.queue.acquire(request()),
+            second.queue.acquire(request()),
+        ]
         granted = GreenEvent()
-        eventlet.spawn_n(lambda: granted.send(third.queue.enter(request())))
+        eventlet.spawn_n(lambda: granted.send(third.queue.acquire(request())))
         eventlet.sleep(0.02)
         self.assertFalse(granted.ready())
-        first.queue.leave(grants[0], PrefillResult(READ_S))
+        first.queue.release(grants[0], PrefillResult(READ_S))
         grant: PrefillGrant = granted.wait(timeout=1)
         self.assertEqual('i-0', grant.home.target.target_id)
 
@@ -156,10 +159,10 @@
         self.teach_duration(network, read_s=0.5)
         first, second, third = network.others
         for node in (first, second):
-            node.queue.enter(request())
+            node.queue.acquire(request())
         started_s = clock_s()
         late = request(goal_s=0.2, patience_s=0.3)
-        refused = self.assertRaises(TooLateError, third.queue.enter, late)
+        refused = self.assertRaises(TooLateError, third.queue.acquire, late)
         self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S)
         self.assertGreaterEqual(refused.retry_after_s, 0.2)
 
@@ -169,10 +172,10 @@
         network.silent.add(network.source.name)
         node = network.others[0]
         started_s = clock_s()
-        self.assertIsNotNone(node.queue.enter(request()).home)
+        self.assertIsNotNone(node.queue.acquire(request()).home)
         self.assertLess(clock_s() - started_s, 2 * ANSWER_TIMEOUT_S)
         started_s = clock_s()
-        self.assertIsNotNone(node.queue.enter(request()).home)
+        self.assertIsNotNone(node.queue.acquire(request()).home)
         self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S / 2)
 
     def test_a_source_node_that_fails_while_a_call_waits(self) -> None:
@@ -181,9 +184,9 @@
         self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
-            node.queue.enter(request())
+            node.queue.acquire(request())
         granted = GreenEvent()
-        eventlet.spawn_n(lambda: granted.send(third.queue.enter(request())))
+        eventlet.spawn_n(lambda: granted.send(third.queue.acquire(request())))
         eventlet.sleep(0.02)
         network.silent.update(network.nodes)
         self.assertIsNotNone(granted.wait(timeout=1).home)
@@ -194,18 +197,18 @@
         self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
-            node.queue.enter(request())
+            node.queue.acquire(request())
         network.silent.update({first.name, second.name})
         network.disconnect(first.name)
         started_s = clock_s()
-        third.queue.enter(request())
+        third.queue.acquire(request())
         self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S / 2)
 
     def test_grants_that_are_not_released_expire(self) -> None:
         """Guards against grants that leak with a link that fails silently."""
         network = self.network(nodes=2, engines=1)
         node, source = network.others[0], network.source
-        node.queue.enter(request(patience_s=-0.95))
+        node.queue.acquire(request(patience_s=-0.95))
         tokens = source.knowledge.service_state(
             'lm'
         ).prompt_queue.backlog_tokens
@@ -219,7 +222,7 @@
         node = network.others[0]
         left = [engine('i-0', leaving=True), engine('i-9')]
         node.knowledge.registry.replace(left, clock_s())
-        grant = node.queue.enter(request())
+        grant = node.queue.acquire(request())
         self.assertEqual('i-9', grant.home.target.target_id)
 
     def test_a_caller_that_disconnects_leaves_the_queue(self) -> None:
@@ -228,8 +231,8 @@
         self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
-            node.queue.enter(request())
-        waiting = eventlet.spawn(third.queue.enter, request())
+            node.queue.acquire(request())
+        waiting = eventlet.spawn(third.queue.acquire, request())
         eventlet.sleep(0.02)
         prompt_queue = network.source.knowledge.service_state('lm').prompt_queue
         before_s = prompt_queue.expected_wait_s()
@@ -245,13 +248,13 @@
 
         def use_engine(node: Node) -> None:
             try:
-                grant = node.queue.enter(request(patience_s=0.2))
+                grant = node.queue.acquire(request(patience_s=0.2))
             except TooLateError:
                 return
             try:
                 eventlet.sleep(0.01 * random.random())
             finally:
-                node.queue.leave(grant, PrefillResult(0.01))
+                node.queue.release(grant, PrefillResult(0.01))
 
         users = [
             eventlet.spawn(use_engine, random.choice(network.others))
@@ -276,7 +279,7 @@
         first, second, _ = network.others
         first.knowledge.loads.unreachable('i-0', clock_s())
         eventlet.sleep(0.02)
-        grant = second.queue.enter(request())
+        grant = second.queue.acquire(request())
         self.assertEqual('i-1', grant.home.target.target_id)
         self.assertTrue(second.knowledge.loads.is_in_cooldown('i-0', clock_s()))
 
@@ -289,9 +292,9 @@
         for name in ('i-0', 'i-1'):
             cut_off.knowledge.loads.unreachable(name, clock_s())
         eventlet.sleep(0.02)
-        grant = healthy.queue.enter(request())
+        grant = healthy.queue.acquire(request())
         self.assertIsNotNone(grant.home)
-        healthy.queue.leave(grant, PrefillResult(READ_S))
+        healthy.queue.release(grant, PrefillResult(READ_S))
         eventlet.sleep(0.02)
         loads = network.source.knowledge.loads
         target_id = grant.home.target.target_id
@@ -317,9 +320,9 @@
         """Guards against late or repeated answers that affect a call."""
         network = self.network(nodes=2, engines=1)
         node, source = network.others[0], network.source
-        grant = node.queue.enter(request())
+        grant = node.queue.acquire(request())
         message = PrefillAsked(77, 'lm', 'hot', 6000, 9000, 1, 0.0, 1.0, 5.0)
         source.links.handle_event(PeerMessageArrived(node.name, message))
         eventlet.sleep(0.02)
-        node.queue.leave(grant, PrefillResult(READ_S))
-        self.assertIsNotNone(node.queue.enter(request()).home)
+        node.queue.release(grant, PrefillResult(READ_S))
+        self.assertIsNotNone(node.queue.acquire(request()).home)
