--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -51,14 +51,14 @@
 
 @attrs.frozen
 class PrefillGrant:
-    """The engine chosen for a request; `home` is None if there is none.
+    """The engine chosen for a request; `placement` is None if there is none.
 
     `placed_by` is the other node that chose it; None if this one did.
     """
 
     request: PrefillRequest
     ticket_id: str
-    home: PrefillPlacement | None
+    placement: PrefillPlacement | None
     placed_by: str | None = None
 
 
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -131,7 +131,7 @@
 
     def _grant(self, key: RequestKey, grant: PrefillGrant) -> None:
         peer_id, number = key
-        placement = grant.home
+        placement = grant.placement
         if placement is None:
             self._queue.release(grant, PrefillResult())
             verdict = PrefillVerdict.NO_ENGINE
@@ -163,8 +163,8 @@
         grant = self._granted.pop(key, None)
         if grant is not None:
             self._queue.release(grant, result)
-        if grant is not None and grant.home and result.read_s is not None:
-            self._loads.succeeded(grant.home.target.target_id)
+        if grant is not None and grant.placement and result.read_s is not None:
+            self._loads.succeeded(grant.placement.target.target_id)
 
     def handle_failure(self, message: TargetFailed) -> None:
         """Record a target failure reported by another node."""
--- a/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
@@ -118,7 +118,7 @@
         self, prompt: Prompt, grant: PrefillGrant, queued_s: float
     ) -> PrefilledPrompt | None:
         """Run the prefill, then leave the prefill queue."""
-        started_s, placement = clock_s(), grant.home
+        started_s, placement = clock_s(), grant.placement
         prefill_s: float | None = None
         try:
             cache = None if placement is None else self._prefill_on(placement)
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -79,7 +79,7 @@
 
     def assign_engine(self) -> str:
         """Assign a prefill; return its engine."""
-        placement = self.assign().home
+        placement = self.assign().placement
         assert placement is not None
         return placement.target.target_id
 
@@ -114,7 +114,11 @@
         grants = [self.first.assign() for _ in range(4)]
         self.wait_for_messages()
         prompt_queue = self.second.knowledge.service_state('lm').prompt_queue
-        busy = [grant.home.target.target_id for grant in grants if grant.home]
+        busy = [
+            grant.placement.target.target_id
+            for grant in grants
+            if grant.placement
+        ]
         for target_id in busy:
             tokens = prompt_queue.fleet_backlog(clock_s())[target_id]
             self.assertEqual(9000, tokens)
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -132,7 +132,7 @@
         assigned: Counter[str] = Counter()
         for node in network.others:
             grant = node.queue.acquire(request())
-            assigned[grant.home.target.target_id] += 1
+            assigned[grant.placement.target.target_id] += 1
         self.assertEqual(16, sum(assigned.values()))
         self.assertLessEqual(max(assigned.values()), 2 * 16 // 8)
 
@@ -151,7 +151,7 @@
         self.assertFalse(granted.ready())
         first.queue.release(grants[0], PrefillResult(READ_S))
         grant: PrefillGrant = granted.wait(timeout=1)
-        self.assertEqual('i-0', grant.home.target.target_id)
+        self.assertEqual('i-0', grant.placement.target.target_id)
 
     def test_a_call_that_would_be_late_is_refused_at_once(self) -> None:
         """Guards against calls that wait in vain until their deadline."""
@@ -172,10 +172,10 @@
         network.silent.add(network.source.name)
         node = network.others[0]
         started_s = clock_s()
-        self.assertIsNotNone(node.queue.acquire(request()).home)
+        self.assertIsNotNone(node.queue.acquire(request()).placement)
         self.assertLess(clock_s() - started_s, 2 * ANSWER_TIMEOUT_S)
         started_s = clock_s()
-        self.assertIsNotNone(node.queue.acquire(request()).home)
+        self.assertIsNotNone(node.queue.acquire(request()).placement)
         self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S / 2)
 
     def test_a_source_node_that_fails_while_a_call_waits(self) -> None:
@@ -189,7 +189,7 @@
         eventlet.spawn_n(lambda: granted.send(third.queue.acquire(request())))
         eventlet.sleep(0.02)
         network.silent.update(network.nodes)
-        self.assertIsNotNone(granted.wait(timeout=1).home)
+        self.assertIsNotNone(granted.wait(timeout=1).placement)
 
     def test_grants_of_a_disconnected_node_are_released(self) -> None:
         """Guards against grants that leak with each node that dies."""
@@ -223,7 +223,7 @@
         left = [engine('i-0', leaving=True), engine('i-9')]
         node.knowledge.registry.replace(left, clock_s())
         grant = node.queue.acquire(request())
-        self.assertEqual('i-9', grant.home.target.target_id)
+        self.assertEqual('i-9', grant.placement.target.target_id)
 
     def test_a_caller_that_disconnects_leaves_the_queue(self) -> None:
         """Guards against a queue that is blocked by callers that are gone."""
@@ -280,7 +280,7 @@
         first.knowledge.loads.unreachable('i-0', clock_s())
         eventlet.sleep(0.02)
         grant = second.queue.acquire(request())
-        self.assertEqual('i-1', grant.home.target.target_id)
+        self.assertEqual('i-1', grant.placement.target.target_id)
         self.assertTrue(second.knowledge.loads.is_in_cooldown('i-0', clock_s()))
 
     def test_failures_of_a_cut_off_node_do_not_exclude_all_engines(
@@ -293,11 +293,11 @@
             cut_off.knowledge.loads.unreachable(name, clock_s())
         eventlet.sleep(0.02)
         grant = healthy.queue.acquire(request())
-        self.assertIsNotNone(grant.home)
+        self.assertIsNotNone(grant.placement)
         healthy.queue.release(grant, PrefillResult(READ_S))
         eventlet.sleep(0.02)
         loads = network.source.knowledge.loads
-        target_id = grant.home.target.target_id
+        target_id = grant.placement.target.target_id
         cut_off.knowledge.loads.unreachable(target_id, clock_s())
         eventlet.sleep(0.02)
         loads.succeeded(target_id)
@@ -325,4 +325,4 @@
         source.links.handle_event(PeerMessageArrived(node.name, message))
         eventlet.sleep(0.02)
         node.queue.release(grant, PrefillResult(READ_S))
-        self.assertIsNotNone(node.queue.acquire(request()).home)
+        self.assertIsNotNone(node.queue.acquire(request()).placement)
