--- a/packages/dispatch/dandelionyoke_dispatch/_prompt_queue.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_prompt_queue.py
@@ -141,19 +141,19 @@
         self._placed_s[target_id] = now_s
 
     def leave(
-        self, ticket_id: str, read_s: float | None, now_s: float
+        self, ticket_id: str, prefill_s: float | None, now_s: float
     ) -> list[str]:
         """Remove a call; return the ids of queued calls that may start now.
 
-        `read_s` is the prefill time of its prompt; None if it was not
+        `prefill_s` is the prefill time of its prompt; None if it was not
         prefilled.
         """
         self._queued = [
             queued for queued in self._queued if queued.ticket_id != ticket_id
         ]
         in_flight = self._in_flight.pop(ticket_id, None)
-        if in_flight is not None and read_s is not None:
-            self._update_mean(read_s)
+        if in_flight is not None and prefill_s is not None:
+            self._update_mean(prefill_s)
         return self._admit_queued(now_s)
 
     def backlog_tokens(self, target_id: str) -> int:
@@ -229,11 +229,11 @@
     def _wait_s(self, position: int) -> float:
         return position * self.mean_prefill_s / self._max_in_flight
 
-    def _update_mean(self, read_s: float) -> None:
+    def _update_mean(self, prefill_s: float) -> None:
         if not self.mean_prefill_s:
-            self.mean_prefill_s = read_s
+            self.mean_prefill_s = prefill_s
         self.mean_prefill_s += PREFILL_MEAN_WEIGHT * (
-            read_s - self.mean_prefill_s
+            prefill_s - self.mean_prefill_s
         )
 
     def _admit_queued(self, now_s: float) -> list[str]:
--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -94,9 +94,11 @@
             self._local_queue.release(grant, result)
             return
         self._send_end(pending, result)
-        if result.read_s is not None:
+        if result.prefill_s is not None:
             state = self._knowledge.service_state(grant.request.service)
-            state.prefill_time.add_sample(grant.request.prompt, result.read_s)
+            state.prefill_time.add_sample(
+                grant.request.prompt, result.prefill_s
+            )
 
     def handle_response(self, response: PrefillTold) -> None:
         """Pass an answer on to the request that waits for it."""
@@ -195,7 +197,7 @@
     def _send_end(
         self, pending: _PendingRequest, result: PrefillResult
     ) -> None:
-        message = PrefillEnded(pending.number, result.read_s)
+        message = PrefillEnded(pending.number, result.prefill_s)
         self._source.send(pending.peer_id, message)
 
     def _handle_timeout(self, peer_id: InstanceId) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -66,7 +66,7 @@
 class PrefillResult:
     """The duration of a prefill; None if it did not run."""
 
-    read_s: float | None = None
+    prefill_s: float | None = None
 
 
 class PrefillQueue(Protocol):
@@ -156,10 +156,10 @@
 
     def release(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant, and record how long the prefill took."""
-        self._release(grant.request, grant.ticket_id, result.read_s)
-        if result.read_s is not None:
+        self._release(grant.request, grant.ticket_id, result.prefill_s)
+        if result.prefill_s is not None:
             prefill_time = self._service_state(grant.request).prefill_time
-            prefill_time.add_sample(grant.request.prompt, result.read_s)
+            prefill_time.add_sample(grant.request.prompt, result.prefill_s)
 
     def _await_turn(self, queued: QueuedPrefill) -> bool:
         """Wait; return False if the turn will not come before the deadline."""
@@ -199,9 +199,9 @@
     def _build_queued_prompt(self, request: PrefillRequest) -> QueuedPrompt:
         tokens = request.prompt.token_count
         prefill_time = self._service_state(request).prefill_time
-        read_s = prefill_time.with_cache.expected_s(tokens) or 0.0
+        prefill_s = prefill_time.with_cache.expected_s(tokens) or 0.0
         max_wait_s = max(
-            PREFILL_GOAL_SHARE * request.goal_s - read_s,
+            PREFILL_GOAL_SHARE * request.goal_s - prefill_s,
             LARGE_PROMPT_GOAL_SHARE * request.goal_s,
         )
         return QueuedPrompt(
@@ -214,11 +214,11 @@
         )
 
     def _release(
-        self, request: PrefillRequest, ticket_id: str, read_s: float | None
+        self, request: PrefillRequest, ticket_id: str, prefill_s: float | None
     ) -> None:
         queue = self._queue(request)
         queue.set_unreachable(self._unreachable_targets())
-        for admitted_id in queue.leave(ticket_id, read_s, clock_s()):
+        for admitted_id in queue.leave(ticket_id, prefill_s, clock_s()):
             self._knowledge.waiters.admit(admitted_id)
 
     def _unreachable_targets(self) -> frozenset[str]:
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -163,7 +163,11 @@
         grant = self._granted.pop(key, None)
         if grant is not None:
             self._queue.release(grant, result)
-        if grant is not None and grant.placement and result.read_s is not None:
+        if (
+            grant is not None
+            and grant.placement
+            and result.prefill_s is not None
+        ):
             self._loads.succeeded(grant.placement.target.target_id)
 
     def handle_failure(self, message: TargetFailed) -> None:
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -43,7 +43,7 @@
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
 
-READ_S = 0.05
+PREFILL_S = 0.05
 HOT = PromptPart('hot', 6000)
 
 
@@ -118,12 +118,14 @@
             self.addCleanup(node.log.close)
         return network
 
-    def teach_duration(self, network: Network, read_s: float = READ_S) -> None:
+    def teach_duration(
+        self, network: Network, prefill_s: float = PREFILL_S
+    ) -> None:
         """Let the source node learn how long a prefill takes."""
         local_queue = network.source.local_queue
         for number in range(40):
             grant = local_queue.acquire(request(number))
-            local_queue.release(grant, PrefillResult(read_s))
+            local_queue.release(grant, PrefillResult(prefill_s))
 
     def test_a_hot_prefix_is_spread_over_engines(self) -> None:
         """Guards against overload of the first engine of a hot prefix."""
@@ -149,14 +151,14 @@
         eventlet.spawn_n(lambda: granted.send(third.queue.acquire(request())))
         eventlet.sleep(0.02)
         self.assertFalse(granted.ready())
-        first.queue.release(grants[0], PrefillResult(READ_S))
+        first.queue.release(grants[0], PrefillResult(PREFILL_S))
         grant: PrefillGrant = granted.wait(timeout=1)
         self.assertEqual('i-0', grant.placement.target.target_id)
 
     def test_a_call_that_would_be_late_is_refused_at_once(self) -> None:
         """Guards against calls that wait in vain until their deadline."""
         network = self.network(nodes=4, engines=1)
-        self.teach_duration(network, read_s=0.5)
+        self.teach_duration(network, prefill_s=0.5)
         first, second, third = network.others
         for node in (first, second):
             node.queue.acquire(request())
@@ -243,7 +245,7 @@
     def test_no_grant_leaks_in_a_random_order_of_events(self) -> None:
         """Guards against grants that are released twice, or never."""
         network = self.network(nodes=5, engines=2)
-        self.teach_duration(network, read_s=0.01)
+        self.teach_duration(network, prefill_s=0.01)
         random = Random(11)
 
         def use_engine(node: Node) -> None:
@@ -294,7 +296,7 @@
         eventlet.sleep(0.02)
         grant = healthy.queue.acquire(request())
         self.assertIsNotNone(grant.placement)
-        healthy.queue.release(grant, PrefillResult(READ_S))
+        healthy.queue.release(grant, PrefillResult(PREFILL_S))
         eventlet.sleep(0.02)
         loads = network.source.knowledge.loads
         target_id = grant.placement.target.target_id
@@ -324,5 +326,5 @@
         message = PrefillAsked(77, 'lm', 'hot', 6000, 9000, 1, 0.0, 1.0, 5.0)
         source.links.handle_event(PeerMessageArrived(node.name, message))
         eventlet.sleep(0.02)
-        node.queue.release(grant, PrefillResult(READ_S))
+        node.queue.release(grant, PrefillResult(PREFILL_S))
         self.assertIsNotNone(node.queue.acquire(request()).placement)
