--- a/packages/gateway/dandelionyoke_gateway/_call_dispatcher.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_dispatcher.py
@@ -235,7 +235,7 @@
             organisation.rate_limit.amount_of(context.call.prompt),
         )
         try:
-            self._deps.rate_limits.take(charge)
+            self._deps.rate_limits.charge(charge)
         except OverLimitError as error:
             refusal = Refusal(Cause.OVER_LIMIT, error.retry_after_s)
             raise RefusedError(refusal) from error
--- a/packages/gateway/dandelionyoke_gateway/_rate_limits.py
+++ b/packages/gateway/dandelionyoke_gateway/_rate_limits.py
@@ -66,7 +66,7 @@
 class RateLimits(Protocol):
     """Charges calls against the limits of their organisations."""
 
-    def take(self, charge: Charge) -> None:
+    def charge(self, charge: Charge) -> None:
         """Charge a call.
 
         Raises:
@@ -97,7 +97,7 @@
         """Set the function that sends messages, once the links are open."""
         self._source.attach(send)
 
-    def take(self, charge: Charge) -> None:
+    def charge(self, charge: Charge) -> None:
         """Charge a call.
 
         Raises:
--- a/tests/gateway/test_rate_limits.py
+++ b/tests/gateway/test_rate_limits.py
@@ -72,7 +72,7 @@
     def call(self, amount: float = LARGE) -> bool:
         """Charge a call; return whether it is within the limit."""
         try:
-            self.limits.take(Charge('call-1', 'acme', amount))
+            self.limits.charge(Charge('call-1', 'acme', amount))
         except OverLimitError as error:
             self.retry_after_s = error.retry_after_s
             return False
@@ -137,7 +137,7 @@
     def test_a_call_that_no_target_ran_is_refunded(self) -> None:
         eventlet.spawn_n(self.first.limits.run)
         charge = Charge('call-1', 'acme', 900.0)
-        self.first.limits.take(charge)
+        self.first.limits.charge(charge)
         self.first.limits.refund(charge)
         eventlet.sleep(2 * REPORT_INTERVAL_S)
         self.assertAlmostEqual(1000, self.source.level, delta=1)
