--- a/packages/gateway/dandelionyoke_gateway/_news_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_links.py
@@ -23,7 +23,7 @@
 from dandelionyoke_gateway._news_task import NewsTask
 from dandelionyoke_gateway._ports import Store
 from dandelionyoke_gateway._prefill_links import PrefillLinks
-from dandelionyoke_gateway._source_parts import SourceParts
+from dandelionyoke_gateway._source_parts import SourceServices
 from dandelionyoke_links import PeerHub, PeerSettings
 
 # Shared secret that authenticates peers, so access to the store grants access
@@ -37,7 +37,7 @@
     listener: socket.socket,
     news_task: NewsTask,
     prefill_links: PrefillLinks,
-    source_parts: SourceParts,
+    source_services: SourceServices,
     knowledge: Knowledge,
     store: Store,
     log: DecisionLog,
@@ -50,13 +50,13 @@
     def emit(event: Event) -> None:
         if not prefill_links.handle_event(
             event
-        ) and not source_parts.handle_event(event):
+        ) and not source_services.handle_event(event):
             news_task.handle_event(server, event)
 
     hub = PeerHub(PeerSettings(own_id, secret.encode()), emit)
     server = NewsServer(knowledge, hub.send)
     prefill_links.attach(hub.send)
-    source_parts.start(hub.send, hub.connect)
+    source_services.start(hub.send, hub.connect)
     eventlet.spawn_n(hub.serve, listener)
     log.decide('links.opened', settings.instance_id)
     news_task.run(hub)
--- a/packages/gateway/dandelionyoke_gateway/_source_parts.py
+++ b/packages/gateway/dandelionyoke_gateway/_source_parts.py
@@ -12,7 +12,7 @@
 from dandelionyoke_gateway._source_links import Connect, SourceLinks
 
 
-class SourceParts:
+class SourceServices:
     """Runs rate limits and the exchange of prefill backlogs."""
 
     def __init__(
