--- a/packages/gateway/dandelionyoke_gateway/_news_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_links.py
@@ -23,7 +23,7 @@
 from dandelionyoke_gateway._news_task import NewsTask
 from dandelionyoke_gateway._ports import Store
 from dandelionyoke_gateway._prefill_links import PrefillLinks
-from dandelionyoke_gateway._source_parts import SourceServices
+from dandelionyoke_gateway._source_services import SourceServices
 from dandelionyoke_links import PeerHub, PeerSettings
 
 # Shared secret that authenticates peers, so access to the store grants access
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -46,7 +46,7 @@
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._registry_updater import RegistryUpdater
 from dandelionyoke_gateway._settings import Endpoint, GatewaySettings
-from dandelionyoke_gateway._source_parts import SourceServices
+from dandelionyoke_gateway._source_services import SourceServices
 from dandelionyoke_gateway._status import ExitStatus
 from dandelionyoke_gateway._store_poll_policy import (
     StorePollPolicy,
