--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -18,7 +18,7 @@
 from dandelionyoke_gateway._duty_task import DutyTask
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._phase_task import FleetChanges
+from dandelionyoke_gateway._phase_task import PendingFleetChanges
 from dandelionyoke_gateway._ports import (
     DutyClient,
     DutyOutcome,
@@ -68,7 +68,7 @@
         knowledge: Knowledge,
         duty: DutyTask,
         client: DutyClient,
-        changes: FleetChanges,
+        changes: PendingFleetChanges,
         log: DecisionLog,
     ) -> None:
         self._knowledge = knowledge
--- a/packages/gateway/dandelionyoke_gateway/_phase_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_phase_task.py
@@ -41,7 +41,7 @@
     expires_s: float
 
 
-class FleetChanges:
+class PendingFleetChanges:
     """Tracks until when engines start or stop because of this fleet's orders.
 
     Phases chosen meanwhile may go to engines that the platform is about to
@@ -70,7 +70,7 @@
         duty: DutyTask,
         client: DutyClient,
         engines: EngineClient,
-        changes: FleetChanges,
+        changes: PendingFleetChanges,
         log: DecisionLog,
     ) -> None:
         self._knowledge = knowledge
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -33,7 +33,7 @@
 from dandelionyoke_gateway._messages import ResponseHead
 from dandelionyoke_gateway._news_links import serve_news
 from dandelionyoke_gateway._news_task import NewsTask
-from dandelionyoke_gateway._phase_task import FleetChanges, PhaseTask
+from dandelionyoke_gateway._phase_task import PendingFleetChanges, PhaseTask
 from dandelionyoke_gateway._plain_call import forward_plain_call
 from dandelionyoke_gateway._ports import (
     Dialect,
@@ -175,7 +175,7 @@
             log,
         )
         spawn(usage.run)
-        changes = FleetChanges()
+        changes = PendingFleetChanges()
         phases = PhaseTask(
             knowledge,
             self._duty_task,
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -16,7 +16,7 @@
 from dandelionyoke_gateway._engine_count_task import EngineCountTask
 from dandelionyoke_gateway._knowledge import new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._phase_task import FleetChanges
+from dandelionyoke_gateway._phase_task import PendingFleetChanges
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
 
@@ -50,7 +50,7 @@
             new_knowledge(new_settings(), Random(3)),
             HeldDuty(),
             FakePlatform(outcome),
-            FleetChanges(),
+            PendingFleetChanges(),
             log,
         )
         task._send_order(Service('lm', 9), WantedCount('a', True, 5), 0)
--- a/tests/gateway/test_phase_task.py
+++ b/tests/gateway/test_phase_task.py
@@ -15,7 +15,7 @@
 from dandelionyoke_gateway._duty_task import DutyTask
 from dandelionyoke_gateway._knowledge import new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._phase_task import FleetChanges, PhaseTask
+from dandelionyoke_gateway._phase_task import PendingFleetChanges, PhaseTask
 from dandelionyoke_platform._duties import PlatformDuties
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
@@ -39,7 +39,7 @@
             DutyTask(self.knowledge, None, log),
             duties,
             duties,
-            FleetChanges(),
+            PendingFleetChanges(),
             log,
         )
         self.engines = [engine('i-1'), engine('i-2')]
