--- a/packages/gateway/dandelionyoke_gateway/_call_dispatcher.py
+++ b/packages/gateway/dandelionyoke_gateway/_call_dispatcher.py
@@ -50,7 +50,7 @@
     log: DecisionLog
     # Reports that a target broke a call off. Takes the fingerprint of the
     # call, and the id and the address of the target.
-    suspect: Callable[[str, str, str], None]
+    probe: Callable[[str, str, str], None]
 
 
 @attrs.define
--- a/packages/gateway/dandelionyoke_gateway/_crash_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_crash_task.py
@@ -54,7 +54,7 @@
             else:
                 self._watcher.back_off()
 
-    def suspect(self, fingerprint: str, target_id: str, address: str) -> None:
+    def probe(self, fingerprint: str, target_id: str, address: str) -> None:
         """Probe a target that aborted a call; publish a crash if it is dead."""
         eventlet.spawn_n(self._probe_target, fingerprint, target_id, address)
 
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -227,5 +227,5 @@
     if isinstance(error, ExchangeTimeoutError):
         return Cause.OUT_OF_TIME
     if error.sent:
-        deps.suspect(context.fingerprint, target.target_id, target.address)
+        deps.probe(context.fingerprint, target.target_id, target.address)
     return Cause.BROKEN
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -125,7 +125,7 @@
                 self._prefill_queue,
                 self._rate_limits,
                 self._log,
-                self._crash_task.suspect,
+                self._crash_task.probe,
             ),
             forward_plain_call,
             forward_stream_call,
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -198,7 +198,7 @@
                 LocalPrefillQueue(self.knowledge),
                 DomainRateLimits(self.knowledge, self._log),
                 self._log,
-                self._record_suspect,
+                self._record_probe,
             ),
             forward_plain_call,
             forward_stream_call,
@@ -249,7 +249,7 @@
         for target in self.targets:
             target.close()
 
-    def _record_suspect(self, name: str, target_id: str, address: str) -> None:
+    def _record_probe(self, name: str, target_id: str, address: str) -> None:
         self.suspected_targets.append(target_id)
         self.knowledge.crashes.record_crash(name, target_id, clock_s())
 
