--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -209,12 +209,12 @@
             seen_s = clock_s() - note.age_s
             knowledge.crashes.record_crash(note.call, note.target_id, seen_s)
         if answer.targets is not None:
-            is_taken = self._registry.apply_peer_changes(
+            is_applied = self._registry.apply_peer_changes(
                 answer.targets.changes,
                 sent_s + answer.targets.proven_after_s,
                 member.instance_id,
             )
-            if is_taken:
+            if is_applied:
                 self._mark = answer.targets.changes.mark
         self._apply_configuration(answer, member, sent_s)
 
--- a/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
@@ -117,7 +117,7 @@
     def _prefill_with_grant(
         self, prompt: Prompt, grant: PrefillGrant, queued_s: float
     ) -> PrefilledPrompt | None:
-        """Run the prefill, then leave the prefill queue."""
+        """Run the prefill, then release the grant."""
         started_s, placement = clock_s(), grant.placement
         prefill_s: float | None = None
         try:
--- a/packages/gateway/dandelionyoke_gateway/_target_pool.py
+++ b/packages/gateway/dandelionyoke_gateway/_target_pool.py
@@ -14,14 +14,14 @@
 
 
 class TargetPool:
-    """Lends connections and closes those with an incomplete exchange."""
+    """Hands out connections and closes those with an incomplete exchange."""
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[TargetConnection]] = {}
 
     @contextmanager
     def acquire(self, address: str) -> Iterator[TargetConnection]:
-        """Lend an idle or new connection for one exchange."""
+        """Acquire an idle or new connection for one exchange."""
         connection = self._take_idle(address)
         if connection is None:
             connection = connect(address, CONNECT_TIMEOUT_S)
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -230,7 +230,7 @@
         self.assertIsNone(self.task._stale_since_s)
 
 
-class RelianceTest(testtools.TestCase):
+class StorePollPolicyTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(3))
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -181,7 +181,7 @@
 
     def __init__(self) -> None:
         self.log_lines = Lines()
-        self.suspected_targets: list[str] = []
+        self.probed_targets: list[str] = []
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(7))
         self.knowledge.configuration = configuration()
         self.knowledge.freshness.confirm(clock_s())
@@ -250,7 +250,7 @@
             target.close()
 
     def _record_probe(self, name: str, target_id: str, address: str) -> None:
-        self.suspected_targets.append(target_id)
+        self.probed_targets.append(target_id)
         self.knowledge.crashes.record_crash(name, target_id, clock_s())
 
     def _accept(self) -> None:
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -262,7 +262,7 @@
             self.node.call('/look/1')
         # A target is in cooldown after two failures, so two were tried twice.
         self.assertEqual(6, self.count_sends())
-        self.assertEqual(4, len(set(self.node.suspected_targets)))
+        self.assertEqual(4, len(set(self.node.probed_targets)))
         content = self.node.call('/look/1')
         self.assertEqual(503, status(content))
         self.assertIn(b'retry-after: 30', content.lower())
