--- a/packages/dispatch/dandelionyoke_dispatch/_prompt_queue.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_prompt_queue.py
@@ -81,7 +81,7 @@
         self._unreachable: frozenset[str] = frozenset()
         self._peer_backlogs: dict[str, tuple[Mapping[str, int], float]] = {}
 
-    def set_unreachable(self, target_ids: frozenset[str]) -> None:
+    def update_unreachable(self, target_ids: frozenset[str]) -> None:
         """Set the engines that accept no connection.
 
         Prompts in flight there are most likely lost. If they counted against
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -120,7 +120,7 @@
             self._build_queued_prompt(request),
             self._queue(request),
         )
-        queue.set_unreachable(self._unreachable_targets())
+        queue.update_unreachable(self._unreachable_targets())
         decision = queue.enter(queued_prompt, engines, clock_s())
         if decision is QueueDecision.TOO_LATE:
             raise self._too_late(request)
@@ -217,7 +217,7 @@
         self, request: PrefillRequest, ticket_id: str, prefill_s: float | None
     ) -> None:
         queue = self._queue(request)
-        queue.set_unreachable(self._unreachable_targets())
+        queue.update_unreachable(self._unreachable_targets())
         for admitted_id in queue.leave(ticket_id, prefill_s, clock_s()):
             self._knowledge.waiters.admit(admitted_id)
 
--- a/tests/dispatch/test_prompt_queue.py
+++ b/tests/dispatch/test_prompt_queue.py
@@ -87,7 +87,7 @@
         self.assertEqual(
             QueueDecision.WAIT, self.queue.enter(queued_prompt('c'), 1, 0)
         )
-        self.queue.set_unreachable(frozenset({'lost'}))
+        self.queue.update_unreachable(frozenset({'lost'}))
         self.assertEqual(
             QueueDecision.START, self.queue.enter(queued_prompt('d'), 1, 0.1)
         )
