--- a/packages/dispatch/dandelionyoke_dispatch/__init__.py
+++ b/packages/dispatch/dandelionyoke_dispatch/__init__.py
@@ -32,10 +32,6 @@
     CrashSettings as CrashSettings,
     fingerprint as fingerprint,
 )
-from dandelionyoke_dispatch._departure import (
-    Departure as Departure,
-    DepartureSettings as DepartureSettings,
-)
 from dandelionyoke_dispatch._engine_plan import (
     EnginePlan as EnginePlan,
     EnginePlanSettings as EnginePlanSettings,
@@ -57,6 +53,10 @@
     Freshness as Freshness,
     FreshnessSettings as FreshnessSettings,
 )
+from dandelionyoke_dispatch._overload import (
+    OverloadDetector as OverloadDetector,
+    OverloadSettings as OverloadSettings,
+)
 from dandelionyoke_dispatch._phase_plan import (
     PhaseChange as PhaseChange,
     PhasePlan as PhasePlan,
@@ -70,7 +70,18 @@
 )
 from dandelionyoke_dispatch._placement import (
     Placement as Placement,
-    PrefillHome as PrefillHome,
+    PrefillPlacement as PrefillPlacement,
+)
+from dandelionyoke_dispatch._prefill_time import (
+    PrefillTimeEstimate as PrefillTimeEstimate,
+    PrefillTimeSettings as PrefillTimeSettings,
+    TokenTimeEstimate as TokenTimeEstimate,
+)
+from dandelionyoke_dispatch._prompt_queue import (
+    PromptQueue as PromptQueue,
+    PromptQueueSettings as PromptQueueSettings,
+    QueueDecision as QueueDecision,
+    QueuedPrompt as QueuedPrompt,
 )
 from dandelionyoke_dispatch._rate_limit import (
     LimitUnit as LimitUnit,
@@ -78,20 +89,9 @@
     RateLimit as RateLimit,
     RateLimiter as RateLimiter,
 )
-from dandelionyoke_dispatch._reading_line import (
-    Entry as Entry,
-    LineSettings as LineSettings,
-    LineTicket as LineTicket,
-    ReadingLine as ReadingLine,
-)
-from dandelionyoke_dispatch._reading_pace import (
-    PromptPace as PromptPace,
-    ReadingPace as ReadingPace,
-    ReadingPaceSettings as ReadingPaceSettings,
-)
 from dandelionyoke_dispatch._refusals import (
-    ELSEWHERE_S as ELSEWHERE_S,
-    SOON_S as SOON_S,
+    DEFAULT_RETRY_AFTER_S as DEFAULT_RETRY_AFTER_S,
+    OTHER_INSTANCE_RETRY_AFTER_S as OTHER_INSTANCE_RETRY_AFTER_S,
     Cause as Cause,
     Refusal as Refusal,
 )
@@ -101,15 +101,15 @@
     RegistrySettings as RegistrySettings,
     TargetRegistry as TargetRegistry,
 )
+from dandelionyoke_dispatch._shutdown import (
+    Shutdown as Shutdown,
+    ShutdownSettings as ShutdownSettings,
+)
 from dandelionyoke_dispatch._sources import (
     Member as Member,
     SourceChoice as SourceChoice,
     SourceSettings as SourceSettings,
 )
-from dandelionyoke_dispatch._strain import (
-    Strain as Strain,
-    StrainSettings as StrainSettings,
-)
 from dandelionyoke_dispatch._target_listing import (
     ListingChanges as ListingChanges,
     ListingMark as ListingMark,
@@ -126,5 +126,5 @@
     UsageCounter as UsageCounter,
     WindowCounts as WindowCounts,
     WindowRecord as WindowRecord,
-    add_up as add_up,
+    sum_counts as sum_counts,
 )
--- a/packages/dispatch/dandelionyoke_dispatch/_strain.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_overload.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class StrainSettings:
+class OverloadSettings:
     """When a service counts as overloaded, and for how long.
 
     A first token is slow if it takes more than `slow_goal_share` of its goal.
@@ -23,24 +23,26 @@
     hold_s: float = 30.0
 
 
-class Strain:
+class OverloadDetector:
     """Tracks the time to first token of the calls to a service at this node."""
 
-    def __init__(self, settings: StrainSettings) -> None:
+    def __init__(self, settings: OverloadSettings) -> None:
         self._settings = settings
         self._calls: deque[tuple[float, bool]] = deque()
         self._overloaded_s: float | None = None
         self._is_known = False
 
-    def began(self, took_s: float, goal_s: float, now_s: float) -> None:
+    def record_first_token(
+        self, took_s: float, goal_s: float, now_s: float
+    ) -> None:
         """Add the time to first token of a call."""
         self._take(took_s > self._settings.slow_goal_share * goal_s, now_s)
 
-    def turned_away(self, now_s: float) -> None:
+    def record_refusal(self, now_s: float) -> None:
         """Record a call that was refused since it could not start in time."""
         self._take(is_slow=True, now_s=now_s)
 
-    def holds(self, now_s: float) -> bool:
+    def is_overloaded(self, now_s: float) -> bool:
         """Whether the service is overloaded, or nothing is known yet."""
         if not self._is_known:
             return True
@@ -55,7 +57,7 @@
             self._calls.popleft()
         return len(self._calls), sum(is_slow for _, is_slow in self._calls)
 
-    def judge(self, calls: int, slow: int, now_s: float) -> None:
+    def update(self, calls: int, slow: int, now_s: float) -> None:
         """Update the state from the calls in a window, also of other nodes."""
         if calls < self._settings.min_calls:
             return
@@ -65,4 +67,4 @@
 
     def _take(self, is_slow: bool, now_s: float) -> None:
         self._calls.append((now_s, is_slow))
-        self.judge(*self.recent(now_s), now_s)
+        self.update(*self.recent(now_s), now_s)
--- a/packages/dispatch/dandelionyoke_dispatch/_placement.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_placement.py
@@ -6,8 +6,11 @@
 
 from dandelionyoke_core import rendezvous
 from dandelionyoke_dispatch._calls import Prompt
-from dandelionyoke_dispatch._reading_line import ReadingLine
-from dandelionyoke_dispatch._reading_pace import PromptPace, ReadingPace
+from dandelionyoke_dispatch._prefill_time import (
+    PrefillTimeEstimate,
+    TokenTimeEstimate,
+)
+from dandelionyoke_dispatch._prompt_queue import PromptQueue
 from dandelionyoke_dispatch._registry import (
     Phase,
     RegisteredTarget,
@@ -28,7 +31,7 @@
 
 
 @attrs.frozen
-class PrefillHome:
+class PrefillPlacement:
     """The prefill engine of a prompt, and one that may hold its prefix."""
 
     target: RegisteredTarget
@@ -53,15 +56,15 @@
         self._domain = domain
         self._instance_id = instance_id
 
-    def prefill_home(
+    def choose_prefill_engine(
         self,
         service: str,
         prompt: Prompt,
-        pace: PromptPace,
-        line: ReadingLine,
+        prefill_time: PrefillTimeEstimate,
+        queue: PromptQueue,
         avoid: Collection[str],
         now_s: float,
-    ) -> PrefillHome | None:
+    ) -> PrefillPlacement | None:
         """Choose the prefill engine of a prompt.
 
         All nodes rank the engines for a shared prefix in the same order,
@@ -81,25 +84,27 @@
             or preferred
         )
         move_cost_s = MOVE_COST_SHARE * _prefill_time_s(
-            pace.unkept, prompt.shared_tokens
+            prefill_time.without_cache, prompt.shared_tokens
         )
-        backlog = line.fleet_backlog(now_s)
+        backlog = queue.fleet_backlog(now_s)
         chosen = min(
             engines,
             key=lambda engine: (
-                _prefill_time_s(pace.found, backlog[engine.target_id])
+                _prefill_time_s(
+                    prefill_time.with_cache, backlog[engine.target_id]
+                )
                 + move_cost_s * (engine is not preferred),
-                line.placed_s(engine.target_id),
+                queue.placed_s(engine.target_id),
                 engine.target_id,
             ),
         )
         source = None if holder.target_id == chosen.target_id else holder
         if source is not None:
-            if self._fetches.rests(source.target_id, now_s):
+            if self._fetches.is_in_cooldown(source.target_id, now_s):
                 source = None
-        return PrefillHome(chosen, source)
+        return PrefillPlacement(chosen, source)
 
-    def readers(
+    def count_prefill_engines(
         self, service: str, avoid: Collection[str], now_s: float
     ) -> int:
         """Return the number of usable prefill engines."""
@@ -119,11 +124,11 @@
             engine
             for engine in self._registry.all_of_service(service)
             if engine.phase is Phase.PREFILL
-            and not self._fetches.rests(engine.target_id, now_s)
+            and not self._fetches.is_in_cooldown(engine.target_id, now_s)
         ]
         return _first_ranked(engines, shared_key) if engines else None
 
-    def decode_target(
+    def choose_decode_target(
         self,
         service: str,
         near_domain: str | None,
@@ -161,7 +166,7 @@
             ),
         )
 
-    def plain_target(
+    def choose_plain_target(
         self, service: str, avoid: Collection[str], now_s: float
     ) -> RegisteredTarget | None:
         """Choose the least busy target of a plain service."""
@@ -192,15 +197,15 @@
         healthy = [
             target
             for target in candidates
-            if not self._loads.rests(target.target_id, now_s)
+            if not self._loads.is_in_cooldown(target.target_id, now_s)
         ]
         # If all targets are suspect, one of them is still better than none.
         return healthy or candidates
 
 
-def _prefill_time_s(pace: ReadingPace, tokens: int) -> float:
+def _prefill_time_s(estimate: TokenTimeEstimate, tokens: int) -> float:
     """Return the prefill time; the token count while the time is unknown."""
-    expected_s = pace.expected_s(tokens)
+    expected_s = estimate.expected_s(tokens)
     return tokens if expected_s is None else expected_s
 
 
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_pace.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_prefill_time.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class ReadingPaceSettings:
+class PrefillTimeSettings:
     """Parameters of the estimate.
 
     The estimate follows `quantile` of the times per token. It is low because
@@ -22,17 +22,17 @@
     min_tokens: int = 1000
 
 
-class ReadingPace:
+class TokenTimeEstimate:
     """The prefill time per token of an otherwise idle engine.
 
     It is unknown until the first prompt was prefilled.
     """
 
-    def __init__(self, settings: ReadingPaceSettings) -> None:
+    def __init__(self, settings: PrefillTimeSettings) -> None:
         self._settings = settings
         self._token_s: float | None = None
 
-    def took(self, tokens: int, took_s: float) -> None:
+    def add_sample(self, tokens: int, took_s: float) -> None:
         """Add the time between sending a prompt and receiving the response."""
         if tokens < self._settings.min_tokens or took_s <= 0:
             return
@@ -50,18 +50,20 @@
         return None if self._token_s is None else tokens * self._token_s
 
 
-class PromptPace:
+class PrefillTimeEstimate:
     """The prefill time per token, with and without cached tokens.
 
-    `found` counts cached shared prefixes as prefilled tokens. `unkept` excludes
+    `with_cache` counts cached shared prefixes as prefilled tokens. `without_cache` excludes
     the shared prefixes, as if all of them were cached.
     """
 
-    def __init__(self, settings: ReadingPaceSettings) -> None:
-        self.found = ReadingPace(settings)
-        self.unkept = ReadingPace(settings)
+    def __init__(self, settings: PrefillTimeSettings) -> None:
+        self.with_cache = TokenTimeEstimate(settings)
+        self.without_cache = TokenTimeEstimate(settings)
 
-    def took(self, prompt: Prompt, took_s: float) -> None:
+    def add_sample(self, prompt: Prompt, took_s: float) -> None:
         """Add the time between sending a prompt and receiving the response."""
-        self.found.took(prompt.token_count, took_s)
-        self.unkept.took(prompt.token_count - prompt.shared_tokens, took_s)
+        self.with_cache.add_sample(prompt.token_count, took_s)
+        self.without_cache.add_sample(
+            prompt.token_count - prompt.shared_tokens, took_s
+        )
--- a/packages/dispatch/dandelionyoke_dispatch/_reading_line.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_prompt_queue.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class LineSettings:
+class PromptQueueSettings:
     """Limits on the prompts that one node prefills concurrently.
 
     `max_prompts_per_engine` in flight keep an engine busy during the round trip
@@ -37,51 +37,51 @@
 
 
 @attrs.frozen
-class LineTicket:
+class QueuedPrompt:
     """A call that requests an engine; a lower rank has precedence.
 
     If it starts after `in_time_until_s`, its first token misses its goal. After
-    `useful_until_s`, the first token is too late to be of use.
+    `deadline_s`, the first token is too late to be of use.
     """
 
-    turn_id: str
+    ticket_id: str
     rank: int
     arrived_s: float
     in_time_until_s: float
-    useful_until_s: float
+    deadline_s: float
     tokens: int
 
 
 @enum.unique
-class Entry(enum.Enum):
+class QueueDecision(enum.Enum):
     """The decision of the queue on an arriving call."""
 
-    GO = 'go'
+    START = 'go'
     WAIT = 'wait'
     TOO_LATE = 'too late'
 
 
 @attrs.define
 class _InFlight:
-    ticket: LineTicket
+    queued_prompt: QueuedPrompt
     target_id: str = ''
 
 
-class ReadingLine:
+class PromptQueue:
     """The prompts of one node and service, in flight and queued."""
 
-    def __init__(self, settings: LineSettings) -> None:
+    def __init__(self, settings: PromptQueueSettings) -> None:
         self._settings = settings
         self._max_in_flight = 1
         # The moving average of recent prefill times.
-        self.mean_s = 0.0
+        self.mean_prefill_s = 0.0
         self._in_flight: dict[str, _InFlight] = {}
-        self._queued: list[LineTicket] = []
+        self._queued: list[QueuedPrompt] = []
         self._placed_s: dict[str, float] = {}
         self._unreachable: frozenset[str] = frozenset()
         self._peer_backlogs: dict[str, tuple[Mapping[str, int], float]] = {}
 
-    def lost(self, target_ids: frozenset[str]) -> None:
+    def update_unreachable(self, target_ids: frozenset[str]) -> None:
         """Set the engines that accept no connection.
 
         Prompts in flight there are most likely lost. If they counted against
@@ -90,67 +90,70 @@
         """
         self._unreachable = target_ids
 
-    def enter(self, ticket: LineTicket, engines: int, now_s: float) -> Entry:
+    def enter(
+        self, queued_prompt: QueuedPrompt, engines: int, now_s: float
+    ) -> QueueDecision:
         """Decide on an arriving call, with `engines` available for prefill."""
         self._max_in_flight = max(
             1, self._settings.max_prompts_per_engine * engines
         )
         if self._has_capacity():
-            self._in_flight[ticket.turn_id] = _InFlight(ticket)
-            return Entry.GO
+            self._in_flight[queued_prompt.ticket_id] = _InFlight(queued_prompt)
+            return QueueDecision.START
         ahead = sum(
-            _priority(other, now_s) <= _priority(ticket, now_s)
+            _priority(other, now_s) <= _priority(queued_prompt, now_s)
             for other in self._queued
         )
         start_s = now_s + self._wait_s(ahead + 1)
-        if start_s > ticket.in_time_until_s and not self._is_worth_queueing(
-            ticket, now_s
+        if (
+            start_s > queued_prompt.in_time_until_s
+            and not self._is_worth_queueing(queued_prompt, now_s)
         ):
-            return Entry.TOO_LATE
-        self._queued.append(ticket)
-        return Entry.WAIT
+            return QueueDecision.TOO_LATE
+        self._queued.append(queued_prompt)
+        return QueueDecision.WAIT
 
     @property
     def prompt_count(self) -> int:
         """The number of prompts in flight or queued."""
         return len(self._in_flight) + len(self._queued)
 
-    def is_reading(self, turn_id: str) -> bool:
+    def is_in_flight(self, ticket_id: str) -> bool:
         """Whether the prompt of a call is in flight."""
-        return turn_id in self._in_flight
+        return ticket_id in self._in_flight
 
-    def stays(self, turn_id: str, now_s: float) -> bool:
+    def keep_waiting(self, ticket_id: str, now_s: float) -> bool:
         """Whether a call that is now late stays queued; if not, remove it."""
         matching = [
-            queued for queued in self._queued if queued.turn_id == turn_id
+            queued for queued in self._queued if queued.ticket_id == ticket_id
         ]
         self._queued = [
-            queued for queued in self._queued if queued.turn_id != turn_id
+            queued for queued in self._queued if queued.ticket_id != ticket_id
         ]
         if not matching or not self._is_worth_queueing(matching[0], now_s):
             return False
         self._queued.extend(matching)
         return True
 
-    def placed(self, turn_id: str, target_id: str, now_s: float) -> None:
+    def assign(self, ticket_id: str, target_id: str, now_s: float) -> None:
         """Record the engine that prefills the prompt of a call."""
-        self._in_flight[turn_id].target_id = target_id
+        self._in_flight[ticket_id].target_id = target_id
         self._placed_s[target_id] = now_s
 
     def leave(
-        self, turn_id: str, read_s: float | None, now_s: float
+        self, ticket_id: str, prefill_s: float | None, now_s: float
     ) -> list[str]:
         """Remove a call; return the ids of queued calls that may start now.
 
-        `read_s` is the prefill time of its prompt; None if it was not
+        `prefill_s` is the prefill time of its prompt; None if it was not
         prefilled.
         """
         self._queued = [
-            queued for queued in self._queued if queued.turn_id != turn_id
+            queued for queued in self._queued if queued.ticket_id != ticket_id
         ]
-        in_flight = self._in_flight.pop(turn_id, None)
-        if in_flight is not None and read_s is not None:
-            self._update_mean(read_s)
+        in_flight = self._in_flight.pop(ticket_id, None)
+        if in_flight is not None and prefill_s is not None:
+            self._update_mean(prefill_s)
         return self._admit_queued(now_s)
 
     def backlog_tokens(self, target_id: str) -> int:
@@ -162,10 +165,10 @@
         tokens: Counter[str] = Counter()
         for prompt in self._in_flight.values():
             if prompt.target_id:
-                tokens[prompt.target_id] += prompt.ticket.tokens
+                tokens[prompt.target_id] += prompt.queued_prompt.tokens
         return tokens
 
-    def told(
+    def set_peer_backlog(
         self, sender: str, backlog: Mapping[str, int], now_s: float
     ) -> None:
         """Record the tokens that another node has in flight, by engine."""
@@ -212,36 +215,45 @@
         )
         return in_flight < self._max_in_flight
 
-    def _is_worth_queueing(self, ticket: LineTicket, now_s: float) -> bool:
+    def _is_worth_queueing(
+        self, queued_prompt: QueuedPrompt, now_s: float
+    ) -> bool:
         """Whether a late call would be served before it is of no use.
 
         It waits for all other queued calls, and for some that arrive in the
         meantime.
         """
         wait_s = LATE_WAIT_FACTOR * self._wait_s(len(self._queued) + 1)
-        return now_s + wait_s < ticket.useful_until_s
+        return now_s + wait_s < queued_prompt.deadline_s
 
     def _wait_s(self, position: int) -> float:
-        return position * self.mean_s / self._max_in_flight
+        return position * self.mean_prefill_s / self._max_in_flight
 
-    def _update_mean(self, read_s: float) -> None:
-        if not self.mean_s:
-            self.mean_s = read_s
-        self.mean_s += PREFILL_MEAN_WEIGHT * (read_s - self.mean_s)
+    def _update_mean(self, prefill_s: float) -> None:
+        if not self.mean_prefill_s:
+            self.mean_prefill_s = prefill_s
+        self.mean_prefill_s += PREFILL_MEAN_WEIGHT * (
+            prefill_s - self.mean_prefill_s
+        )
 
     def _admit_queued(self, now_s: float) -> list[str]:
         admitted = []
         while self._queued and self._has_capacity():
-            ticket = self._next_queued(now_s)
-            self._queued.remove(ticket)
-            self._in_flight[ticket.turn_id] = _InFlight(ticket)
-            admitted.append(ticket.turn_id)
+            queued_prompt = self._next_queued(now_s)
+            self._queued.remove(queued_prompt)
+            self._in_flight[queued_prompt.ticket_id] = _InFlight(queued_prompt)
+            admitted.append(queued_prompt.ticket_id)
         return admitted
 
-    def _next_queued(self, now_s: float) -> LineTicket:
-        return min(self._queued, key=lambda ticket: _priority(ticket, now_s))
+    def _next_queued(self, now_s: float) -> QueuedPrompt:
+        return min(
+            self._queued,
+            key=lambda queued_prompt: _priority(queued_prompt, now_s),
+        )
 
 
-def _priority(ticket: LineTicket, now_s: float) -> tuple[bool, int, float]:
-    is_late = now_s > ticket.in_time_until_s
-    return is_late, ticket.rank, ticket.arrived_s
+def _priority(
+    queued_prompt: QueuedPrompt, now_s: float
+) -> tuple[bool, int, float]:
+    is_late = now_s > queued_prompt.in_time_until_s
+    return is_late, queued_prompt.rank, queued_prompt.arrived_s
--- a/packages/dispatch/dandelionyoke_dispatch/_departure.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_shutdown.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class DepartureSettings:
+class ShutdownSettings:
     """Times after the shutdown request.
 
     The balancer checks once a second and reacts to two failures in a row, so
@@ -19,31 +19,34 @@
     answer_margin_s: float = 1.2
 
 
-class Departure:
+class Shutdown:
     """Whether this instance is shutting down, and how calls are handled."""
 
-    def __init__(self, settings: DepartureSettings) -> None:
+    def __init__(self, settings: ShutdownSettings) -> None:
         self._settings = settings
-        self._asked_s: float | None = None
+        self._requested_s: float | None = None
 
     @property
     def is_leaving(self) -> bool:
         """Whether a shutdown was requested."""
-        return self._asked_s is not None
+        return self._requested_s is not None
 
     def begin(self, now_s: float) -> None:
         """Start the shutdown; further requests have no effect."""
-        if self._asked_s is None:
-            self._asked_s = now_s
+        if self._requested_s is None:
+            self._requested_s = now_s
 
     def refuses(self, now_s: float) -> bool:
         """Whether a new call has to be refused."""
-        asked_s = self._asked_s
-        return asked_s is not None and now_s > asked_s + self._settings.notice_s
+        requested_s = self._requested_s
+        return (
+            requested_s is not None
+            and now_s > requested_s + self._settings.notice_s
+        )
 
-    def answer_by_s(self) -> float | None:
+    def response_deadline_s(self) -> float | None:
         """Return the deadline of all calls; None without a shutdown."""
-        if self._asked_s is None:
+        if self._requested_s is None:
             return None
         settings = self._settings
-        return self._asked_s + settings.grace_s - settings.answer_margin_s
+        return self._requested_s + settings.grace_s - settings.answer_margin_s
--- a/packages/dispatch/dandelionyoke_dispatch/_sources.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_sources.py
@@ -112,21 +112,23 @@
             return None
         return source
 
-    def first_elsewhere(self) -> Sequence[Member]:
+    def first_of_other_domains(self) -> Sequence[Member]:
         """Return the first node of each other domain, as ranked there.
 
         The nodes of that domain may currently suspect it and use another one.
         """
         return self._domain_leaders
 
-    def whom_to_ask(self, now_s: float, *, is_blind: bool) -> Member | None:
+    def node_to_poll(
+        self, now_s: float, *, has_lost_store: bool
+    ) -> Member | None:
         """Return the node to poll; None: this node polls the store.
 
-        `is_blind` tells that the store does not respond to this node. The store
+        `has_lost_store` tells that the store does not respond to this node. The store
         may reject some nodes and serve others, also those of other domains.
         """
         source = self.domain_source(now_s)
-        if source is not None or not is_blind:
+        if source is not None or not has_lost_store:
             return source
         return self._first_trusted(
             (*self._own_domain_members, *self._other_members),
--- a/packages/dispatch/dandelionyoke_dispatch/_target_load.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_target_load.py
@@ -27,14 +27,14 @@
 
     A target that fails calls while its health check passes would otherwise keep
     receiving a share of the traffic. After `failures_in_a_row` it gets no calls
-    for a cooldown of `first_rest_s`, which doubles with each further failure. A
+    for a cooldown of `min_cooldown_s`, which doubles with each further failure. A
     target that another node suspects gets no calls for `peer_suspicion_s`.
     Failures expire after `failure_lifetime_s` without a further one.
     """
 
     failures_in_a_row: int = 2
-    first_rest_s: float = 0.5
-    longest_rest_s: float = 4.0
+    min_cooldown_s: float = 0.5
+    max_cooldown_s: float = 4.0
     peer_suspicion_s: float = 0.4
     failure_lifetime_s: float = 8.0
 
@@ -62,11 +62,11 @@
         """Set the listener for failures of calls from this node."""
         self._listener = listener
 
-    def began(self, target_id: str) -> None:
+    def call_started(self, target_id: str) -> None:
         """Count the start of a call."""
         self._load_of(target_id).in_flight += 1
 
-    def ended(self, target_id: str) -> None:
+    def call_ended(self, target_id: str) -> None:
         """Count the end of a call, whether it succeeded or not."""
         load = self._load_of(target_id)
         load.in_flight = max(0, load.in_flight - 1)
@@ -102,7 +102,7 @@
         self._count_failure(target_id, TargetFailure.UNREACHABLE, now_s)
         self._notify(target_id, TargetFailure.UNREACHABLE)
 
-    def told(
+    def record_peer_failure(
         self, target_id: str, failure: TargetFailure, now_s: float
     ) -> None:
         """Count a failure of a call from another node.
@@ -110,7 +110,7 @@
         Failures that many nodes report at the same moment carry no more
         information than one, so they are ignored during a cooldown.
         """
-        if not self.rests(target_id, now_s):
+        if not self.is_in_cooldown(target_id, now_s):
             self._count_failure(target_id, failure, now_s)
 
     def suspected(self, target_id: str, now_s: float) -> None:
@@ -119,7 +119,7 @@
         until_s = now_s + self._settings.peer_suspicion_s
         load.cooldown_until_s = max(load.cooldown_until_s, until_s)
 
-    def resting(self, now_s: float) -> list[str]:
+    def in_cooldown(self, now_s: float) -> list[str]:
         """Return the targets in cooldown."""
         return sorted(
             target_id
@@ -127,11 +127,11 @@
             if now_s < load.cooldown_until_s
         )
 
-    def lost(self, now_s: float) -> list[str]:
+    def unreachable_ids(self, now_s: float) -> list[str]:
         """Return the targets that accept no connection."""
         return [
             target_id
-            for target_id in self.resting(now_s)
+            for target_id in self.in_cooldown(now_s)
             if self._load_of(target_id).is_unreachable
         ]
 
@@ -153,18 +153,18 @@
         load.failures += 1
         excess = load.failures - self._settings.failures_in_a_row
         if excess >= 0:
-            cooldown_s = self._settings.first_rest_s * 2**excess
+            cooldown_s = self._settings.min_cooldown_s * 2**excess
             load.cooldown_until_s = now_s + min(
-                cooldown_s, self._settings.longest_rest_s
+                cooldown_s, self._settings.max_cooldown_s
             )
 
-    def is_lost(self, target_id: str, now_s: float) -> bool:
+    def is_unreachable(self, target_id: str, now_s: float) -> bool:
         """Whether a target accepted no connection and is still in cooldown.
 
         The registry lists a crashed target for some heartbeats more.
         """
         return (
-            self.rests(target_id, now_s)
+            self.is_in_cooldown(target_id, now_s)
             and self._load_of(target_id).is_unreachable
         )
 
@@ -175,16 +175,16 @@
     def busy(self, target_id: str, now_s: float) -> int:
         """Estimate the calls at a target, including those of other nodes."""
         load = self._load_of(target_id)
-        if not self.is_told(target_id, now_s):
+        if not self.has_recent_report(target_id, now_s):
             return load.in_flight
         return max(load.in_flight, load.reported)
 
-    def is_told(self, target_id: str, now_s: float) -> bool:
+    def has_recent_report(self, target_id: str, now_s: float) -> bool:
         """Whether a target reported its load recently."""
         reported_s = self._load_of(target_id).reported_s
         return now_s - reported_s <= REPORT_LIFETIME_S
 
-    def rests(self, target_id: str, now_s: float) -> bool:
+    def is_in_cooldown(self, target_id: str, now_s: float) -> bool:
         """Whether a target is in cooldown."""
         return now_s < self._load_of(target_id).cooldown_until_s
 
--- a/packages/dispatch/dandelionyoke_dispatch/_usage.py
+++ b/packages/dispatch/dandelionyoke_dispatch/_usage.py
@@ -72,7 +72,7 @@
         end_s = (window_id + 1) * self._window_s
         return self._clock.wall_s(now_s) - end_s
 
-    def began(self, organisation: str, now_s: float) -> None:
+    def count_call(self, organisation: str, now_s: float) -> None:
         """Count a call that produced its first token at `now_s`."""
         window_id = self.window_at(now_s)
         if window_id not in self._counts:
@@ -98,12 +98,12 @@
         """Return the counts of a window so far."""
         return tuple(sorted(self._counts.get(window_id, {}).items()))
 
-    def not_saved(self, window_id: int) -> None:
+    def requeue(self, window_id: int) -> None:
         """Requeue a window that could not be saved."""
         self._changed.add(window_id)
 
 
-def add_up(records: Iterable[WindowRecord]) -> tuple[tuple[str, int], ...]:
+def sum_counts(records: Iterable[WindowRecord]) -> tuple[tuple[str, int], ...]:
     """Sum the counts of all processes for one window."""
     highest: dict[tuple[str, str], int] = {}
     for record in records:
--- a/packages/gateway/dandelionyoke_gateway/__init__.py
+++ b/packages/gateway/dandelionyoke_gateway/__init__.py
@@ -7,6 +7,15 @@
     AddressError as AddressError,
     ExchangeError as ExchangeError,
 )
+from dandelionyoke_gateway._json_fields import (
+    FieldError as FieldError,
+    Fields as Fields,
+    get_int as get_int,
+    get_number as get_number,
+    get_objects as get_objects,
+    get_text as get_text,
+    parse_object as parse_object,
+)
 from dandelionyoke_gateway._log import (
     DescriptorSink as DescriptorSink,
     LineSink as LineSink,
@@ -14,22 +23,22 @@
 from dandelionyoke_gateway._messages import (
     RequestHead as RequestHead,
     ResponseHead as ResponseHead,
-    without_connection_headers as without_connection_headers,
+    strip_hop_by_hop_headers as strip_hop_by_hop_headers,
 )
 from dandelionyoke_gateway._ports import (
-    AnswerFacts as AnswerFacts,
     CacheSource as CacheSource,
     Dialect as Dialect,
-    DutyAnswer as DutyAnswer,
+    DutyCallResult as DutyCallResult,
     DutyClient as DutyClient,
     DutyOutcome as DutyOutcome,
-    DutyStamp as DutyStamp,
     EngineClient as EngineClient,
     EngineReport as EngineReport,
+    FencingStamp as FencingStamp,
     Forwarding as Forwarding,
     PhaseOrder as PhaseOrder,
+    ResponseFacts as ResponseFacts,
     Store as Store,
-    TargetCount as TargetCount,
+    TargetCountOrder as TargetCountOrder,
 )
 from dandelionyoke_gateway._process import (
     Adapters as Adapters,
@@ -39,15 +48,6 @@
     GatewaySettings as GatewaySettings,
     read_settings as read_settings,
 )
-from dandelionyoke_gateway._shapes import (
-    Fields as Fields,
-    ShapeError as ShapeError,
-    mapping_of as mapping_of,
-    number_of as number_of,
-    objects_of as objects_of,
-    text_of as text_of,
-    whole_of as whole_of,
-)
 from dandelionyoke_gateway._status import (
     ExitStatus as ExitStatus,
 )
--- a/packages/gateway/dandelionyoke_gateway/_configuration_keeper.py
+++ b/packages/gateway/dandelionyoke_gateway/_configuration_updater.py
@@ -8,7 +8,7 @@
 from dandelionyoke_gateway._ports import Dialect
 
 
-class ConfigurationKeeper:
+class ConfigurationUpdater:
     """Applies the newest configuration and never an older one."""
 
     def __init__(
@@ -18,7 +18,7 @@
         self._dialect = dialect
         self._log = log
 
-    def adopt(self, text: str, revision: int, source: str) -> None:
+    def apply(self, text: str, revision: int, source: str) -> None:
         """Apply a configuration if it is newer than the current one."""
         knowledge = self._knowledge
         if revision <= knowledge.configuration_revision:
@@ -51,7 +51,9 @@
             source=source,
         )
 
-    def adopt_packed(self, packed: bytes, revision: int, source: str) -> None:
+    def apply_compressed(
+        self, packed: bytes, revision: int, source: str
+    ) -> None:
         """Apply a compressed configuration that another node sent."""
         try:
             text = zlib.decompress(packed).decode()
@@ -64,15 +66,15 @@
                 source=source,
             )
             return
-        self.adopt(text, revision, source)
+        self.apply(text, revision, source)
 
-    def prove(self, revision: int, proven_s: float) -> bool:
-        """Record that a revision was the newest at the time `proven_s`.
+    def confirm(self, revision: int, confirmed_s: float) -> bool:
+        """Record that a revision was the newest at the time `confirmed_s`.
 
         Return False and record nothing if this node has another revision:
         the proof says nothing about an older one.
         """
         if revision != self._knowledge.configuration_revision:
             return False
-        self._knowledge.freshness.prove(proven_s)
+        self._knowledge.freshness.confirm(confirmed_s)
         return True
--- a/packages/gateway/dandelionyoke_gateway/_crash_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_crash_task.py
@@ -13,7 +13,7 @@
 from dandelionyoke_gateway._leased_records import LeasedRecords
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Store
-from dandelionyoke_gateway._store_follower import StoreFollower
+from dandelionyoke_gateway._prefix_watcher import PrefixWatcher
 from dandelionyoke_gateway._target_connection import connect
 
 CRASHES_PREFIX = 'crashes/'
@@ -34,7 +34,7 @@
         self._knowledge = knowledge
         self._log = log
         self._records = LeasedRecords(store, RECORD_TTL_S)
-        self._follower = StoreFollower(
+        self._watcher = PrefixWatcher(
             store,
             CRASHES_PREFIX,
             BackOff(BackOffSettings(), knowledge.random),
@@ -48,13 +48,13 @@
                 # The node that answers news requests reports crashes too.
                 eventlet.sleep(NEWS_FRESH_S)
                 continue
-            answer = self._follower.ask(WATCH_DURATION_S)
+            answer = self._watcher.poll(WATCH_DURATION_S)
             if isinstance(answer, StoreListing):
                 self._record_crashes(answer)
             else:
-                self._follower.pause()
+                self._watcher.back_off()
 
-    def suspect(self, fingerprint: str, target_id: str, address: str) -> None:
+    def probe(self, fingerprint: str, target_id: str, address: str) -> None:
         """Probe a target that aborted a call; publish a crash if it is dead."""
         eventlet.spawn_n(self._probe_target, fingerprint, target_id, address)
 
@@ -67,7 +67,7 @@
             self._publish_crash(fingerprint, target_id)
 
     def _publish_crash(self, fingerprint: str, target_id: str) -> None:
-        self._knowledge.crashes.crashed(fingerprint, target_id, clock_s())
+        self._knowledge.crashes.record_crash(fingerprint, target_id, clock_s())
         self._log.decide(
             'target.died', target_id, outcome='call suspected', call=fingerprint
         )
@@ -78,6 +78,6 @@
             path = item.key.removeprefix(CRASHES_PREFIX)
             fingerprint, _, target_id = path.partition('/')
             if item.value is not None and target_id:
-                self._knowledge.crashes.crashed(
+                self._knowledge.crashes.record_crash(
                     fingerprint, target_id, clock_s()
                 )
--- a/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_domain_prefill_queue.py
@@ -6,7 +6,11 @@
 from eventlet.queue import Empty, LightQueue
 
 from dandelionyoke_core import InstanceId
-from dandelionyoke_dispatch import PrefillHome, RegisteredTarget, TargetFailure
+from dandelionyoke_dispatch import (
+    PrefillPlacement,
+    RegisteredTarget,
+    TargetFailure,
+)
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._domain_source import DomainSource
 from dandelionyoke_gateway._knowledge import Knowledge
@@ -70,7 +74,7 @@
         self._source.attach(send)
         self._knowledge.loads.listen(self._report_failure)
 
-    def enter(self, request: PrefillRequest) -> PrefillGrant:
+    def acquire(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine.
 
         Raises:
@@ -81,22 +85,24 @@
             grant = self._request_grant(peer_id, request)
             if grant is not None:
                 return grant
-        return self._local_queue.enter(request)
+        return self._local_queue.acquire(request)
 
-    def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
+    def release(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant at the node that issued it."""
-        pending = self._pending.pop(grant.turn_id, None)
+        pending = self._pending.pop(grant.ticket_id, None)
         if pending is None:
-            self._local_queue.leave(grant, result)
+            self._local_queue.release(grant, result)
             return
         self._send_end(pending, result)
-        if result.read_s is not None:
-            state = self._knowledge.watch_of(grant.request.service)
-            state.pace.took(grant.request.prompt, result.read_s)
+        if result.prefill_s is not None:
+            state = self._knowledge.service_state(grant.request.service)
+            state.prefill_time.add_sample(
+                grant.request.prompt, result.prefill_s
+            )
 
     def handle_response(self, response: PrefillTold) -> None:
         """Pass an answer on to the request that waits for it."""
-        pending = self._pending.get(_turn_id(response.number))
+        pending = self._pending.get(_ticket_id(response.number))
         if pending is not None:
             pending.responses.put(response)
 
@@ -115,21 +121,21 @@
             TooLateError: no engine could start before the deadline.
         """
         pending = _PendingRequest(next(self._request_numbers), peer_id)
-        turn_id = _turn_id(pending.number)
-        self._pending[turn_id] = pending
+        ticket_id = _ticket_id(pending.number)
+        self._pending[ticket_id] = pending
         try:
-            home = self._await_placement(pending, request)
+            placement = self._await_placement(pending, request)
         except BaseException:
-            self._cancel(turn_id)
+            self._cancel(ticket_id)
             raise
-        if home is None:
-            self._cancel(turn_id)
+        if placement is None:
+            self._cancel(ticket_id)
             return None
-        return PrefillGrant(request, turn_id, home, peer_id)
+        return PrefillGrant(request, ticket_id, placement, peer_id)
 
     def _await_placement(
         self, pending: _PendingRequest, request: PrefillRequest
-    ) -> PrefillHome | None:
+    ) -> PrefillPlacement | None:
         message = _build_request(pending.number, request)
         if not self._source.send(pending.peer_id, message):
             return None
@@ -149,7 +155,7 @@
 
     def _resolve_placement(
         self, response: PrefillTold, request: PrefillRequest
-    ) -> PrefillHome | None:
+    ) -> PrefillPlacement | None:
         """Look up the granted engines in this node's registry.
 
         This node may already know that an engine has left which the other
@@ -158,7 +164,7 @@
         target = self._find_usable_target(response.target_id, request)
         if target is None:
             return None
-        return PrefillHome(
+        return PrefillPlacement(
             target, self._knowledge.registry.find(response.source_id)
         )
 
@@ -183,15 +189,15 @@
         if peer_id is not None:
             self._source.send(peer_id, TargetFailed(target_id, failure))
 
-    def _cancel(self, turn_id: str) -> None:
-        pending = self._pending.pop(turn_id, None)
+    def _cancel(self, ticket_id: str) -> None:
+        pending = self._pending.pop(ticket_id, None)
         if pending is not None:
             self._send_end(pending, PrefillResult())
 
     def _send_end(
         self, pending: _PendingRequest, result: PrefillResult
     ) -> None:
-        message = PrefillEnded(pending.number, result.read_s)
+        message = PrefillEnded(pending.number, result.prefill_s)
         self._source.send(pending.peer_id, message)
 
     def _handle_timeout(self, peer_id: InstanceId) -> None:
@@ -211,7 +217,7 @@
         request.rank,
         now_s - request.arrived_s,
         request.goal_s,
-        request.useful_until_s - now_s,
+        request.deadline_s - now_s,
         tuple(sorted(request.avoid)),
     )
 
@@ -228,5 +234,5 @@
     return response
 
 
-def _turn_id(number: int) -> str:
+def _ticket_id(number: int) -> str:
     return f'asked.{number}'
--- a/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_engine_count_task.py
@@ -10,19 +10,19 @@
     EnginePlan,
     EnginePlanSettings,
     FleetNeed,
+    OverloadDetector,
     Service,
-    Strain,
     WantedCount,
 )
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._duty_task import DutyTask
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._phase_task import FleetChanges
+from dandelionyoke_gateway._phase_task import PendingFleetChanges
 from dandelionyoke_gateway._ports import (
     DutyClient,
     DutyOutcome,
-    TargetCount,
+    TargetCountOrder,
 )
 
 CHECK_INTERVAL_S = 0.5
@@ -68,7 +68,7 @@
         knowledge: Knowledge,
         duty: DutyTask,
         client: DutyClient,
-        changes: FleetChanges,
+        changes: PendingFleetChanges,
         log: DecisionLog,
     ) -> None:
         self._knowledge = knowledge
@@ -113,18 +113,18 @@
 
     def _fleet_need(self, service: str) -> FleetNeed:
         now_s = clock_s()
-        refusing = [
+        unavailable_domains = [
             domain
             for (name, domain), expires_s in self._refused_until_s.items()
             if name == service and now_s < expires_s
         ]
         demand = self._knowledge.demand.of_service(service, now_s)
-        strain = self._strain(service)
-        strain.judge(demand.begun, demand.slow, now_s)
-        return FleetNeed(strain.holds(now_s), refusing)
+        overload = self._overload(service)
+        overload.update(demand.begun, demand.slow, now_s)
+        return FleetNeed(overload.is_overloaded(now_s), unavailable_domains)
 
-    def _strain(self, service: str) -> Strain:
-        return self._knowledge.watch_of(service).strain
+    def _overload(self, service: str) -> OverloadDetector:
+        return self._knowledge.service_state(service).overload
 
     def _record_first_listing(self) -> None:
         if self._first_listed_s is None and self._knowledge.registry.is_known:
@@ -174,7 +174,7 @@
         stamp = self._duty.stamp
         if stamp is None:
             return
-        order = TargetCount(
+        order = TargetCountOrder(
             service.name, wanted.domain, wanted.count, wanted.is_reclaimable
         )
         answer = self._client.order_targets(order, stamp)
@@ -202,6 +202,6 @@
             count=wanted.count,
             present=present,
             reclaimable=str(wanted.is_reclaimable),
-            strained=str(self._strain(service.name).holds(clock_s())),
+            strained=str(self._overload(service.name).is_overloaded(clock_s())),
             fence=stamp.fence,
         )
--- a/packages/gateway/dandelionyoke_gateway/_shapes.py
+++ b/packages/gateway/dandelionyoke_gateway/_json_fields.py
@@ -7,50 +7,52 @@
 Fields = Mapping[str, Any]
 
 
-class ShapeError(ValueError):
+class FieldError(ValueError):
     """A field is missing or has the wrong type."""
 
 
-def mapping_of(text: str | bytes) -> Fields:
+def parse_object(text: str | bytes) -> Fields:
     """Parse a JSON object."""
     try:
         value = json.loads(text)
     except ValueError as error:
-        raise ShapeError('not valid JSON') from error
+        raise FieldError('not valid JSON') from error
     if not isinstance(value, dict):
-        raise ShapeError('not a JSON object')
+        raise FieldError('not a JSON object')
     return value
 
 
-def text_of(fields: Fields, name: str) -> str:
+def get_text(fields: Fields, name: str) -> str:
     """Return a required, non-empty string."""
     value = fields.get(name)
     if not isinstance(value, str) or not value:
-        raise ShapeError(f'{name} is not a non-empty string')
+        raise FieldError(f'{name} is not a non-empty string')
     return value
 
 
-def number_of(fields: Fields, name: str, default: float | None = None) -> float:
+def get_number(
+    fields: Fields, name: str, default: float | None = None
+) -> float:
     """Return a number, or the default if the field is missing."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ShapeError(f'{name} is not a number')
+        raise FieldError(f'{name} is not a number')
     return value
 
 
-def whole_of(fields: Fields, name: str, default: int | None = None) -> int:
+def get_int(fields: Fields, name: str, default: int | None = None) -> int:
     """Return an integer, or the default if the field is missing."""
     value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ShapeError(f'{name} is not an integer')
+        raise FieldError(f'{name} is not an integer')
     return value
 
 
-def objects_of(fields: Fields, name: str) -> list[Fields]:
+def get_objects(fields: Fields, name: str) -> list[Fields]:
     """Return a list of objects; a missing field is an empty list."""
     value = fields.get(name) or []
     if not isinstance(value, list):
-        raise ShapeError(f'{name} is not a list')
+        raise FieldError(f'{name} is not a list')
     if not all(isinstance(item, dict) for item in value):
-        raise ShapeError(f'{name} contains an item that is not an object')
+        raise FieldError(f'{name} contains an item that is not an object')
     return value
--- a/packages/gateway/dandelionyoke_gateway/_knowledge.py
+++ b/packages/gateway/dandelionyoke_gateway/_knowledge.py
@@ -15,8 +15,6 @@
     CrashGuard,
     CrashSettings,
     DemandSample,
-    Departure,
-    DepartureSettings,
     FleetConfiguration,
     FleetDemand,
     FleetDemandSettings,
@@ -24,18 +22,20 @@
     FleetLimiterSettings,
     Freshness,
     FreshnessSettings,
-    LineSettings,
+    OverloadDetector,
+    OverloadSettings,
     Phase,
     Placement,
-    PromptPace,
-    ReadingLine,
-    ReadingPaceSettings,
+    PrefillTimeEstimate,
+    PrefillTimeSettings,
+    PromptQueue,
+    PromptQueueSettings,
     RegistrySettings,
     ServiceDemand,
+    Shutdown,
+    ShutdownSettings,
     SourceChoice,
     SourceSettings,
-    Strain,
-    StrainSettings,
     SuspicionSettings,
     TargetListing,
     TargetLoads,
@@ -59,7 +59,7 @@
 # little, but each further slow one delays a caller. Engines that are gone
 # leave the registry within seconds.
 FETCH_SUSPICION = SuspicionSettings(
-    failures_in_a_row=1, first_rest_s=2.0, longest_rest_s=8.0
+    failures_in_a_row=1, min_cooldown_s=2.0, max_cooldown_s=8.0
 )
 
 NEVER_S = float('-inf')
@@ -70,11 +70,15 @@
 class ServiceState:
     """One service's prefill queue, prefill speed and overload signals."""
 
-    strain: Strain = attrs.field(factory=lambda: Strain(StrainSettings()))
-    pace: PromptPace = attrs.field(
-        factory=lambda: PromptPace(ReadingPaceSettings())
+    overload: OverloadDetector = attrs.field(
+        factory=lambda: OverloadDetector(OverloadSettings())
+    )
+    prefill_time: PrefillTimeEstimate = attrs.field(
+        factory=lambda: PrefillTimeEstimate(PrefillTimeSettings())
+    )
+    prompt_queue: PromptQueue = attrs.field(
+        factory=lambda: PromptQueue(PromptQueueSettings())
     )
-    line: ReadingLine = attrs.field(factory=lambda: ReadingLine(LineSettings()))
 
 
 @attrs.define
@@ -91,7 +95,7 @@
     placement: Placement
     budget: RetryBudget
     usage: UsageCounter
-    departure: Departure
+    shutdown: Shutdown
     crashes: CrashGuard
     # Unique among all processes that ever ran under this instance ID.
     process_name: str
@@ -118,7 +122,7 @@
     in_progress: int = 0
     _service_states: dict[str, ServiceState] = attrs.field(factory=dict)
 
-    def watch_of(self, service: str) -> ServiceState:
+    def service_state(self, service: str) -> ServiceState:
         """Return the state of a service, created on first use."""
         return self._service_states.setdefault(service, ServiceState())
 
@@ -143,10 +147,10 @@
             for target in self.registry.all_of_service(service)
             if target.phase is Phase.DECODE
         )
-        state = self.watch_of(service)
-        begun, slow = state.strain.recent(now_s)
+        state = self.service_state(service)
+        begun, slow = state.overload.recent(now_s)
         return ServiceDemand(
-            service, streams, begun, slow, state.line.prompt_count
+            service, streams, begun, slow, state.prompt_queue.prompt_count
         )
 
     def forget_targets(self, usable: frozenset[str]) -> None:
@@ -159,7 +163,7 @@
         listed = frozenset(target.target_id for target in self.listing.targets)
         self.fetches.forget(listed)
         for state in self._service_states.values():
-            state.line.forget(listed)
+            state.prompt_queue.forget(listed)
 
     def take_node_count(self, count: int) -> None:
         """Set the number of nodes, including this one."""
@@ -171,7 +175,7 @@
     def is_ready(self) -> bool:
         """Whether this node can accept new calls."""
         return (
-            not self.departure.is_leaving
+            not self.shutdown.is_leaving
             and self.configuration is not None
             and self.registry.is_known
             and self.freshness.is_current(clock_s())
@@ -218,5 +222,5 @@
                 slack=settings.limit_slack,
             )
         ),
-        departure=Departure(DepartureSettings(settings.grace_s)),
+        shutdown=Shutdown(ShutdownSettings(settings.grace_s)),
     )
--- a/packages/gateway/dandelionyoke_gateway/_news_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_task.py
@@ -18,7 +18,7 @@
 )
 from dandelionyoke_dispatch import ListingMark, Member
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
+from dandelionyoke_gateway._configuration_updater import ConfigurationUpdater
 from dandelionyoke_gateway._knowledge import NEVER_S, Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._news_messages import (
@@ -28,8 +28,8 @@
 )
 from dandelionyoke_gateway._news_server import NewsServer
 from dandelionyoke_gateway._ports import Dialect, Store
-from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance
+from dandelionyoke_gateway._registry_updater import RegistryUpdater
+from dandelionyoke_gateway._store_poll_policy import StorePollPolicy
 from dandelionyoke_links import PeerHub
 
 # A healthy node answers within the hold time and a few milliseconds, and
@@ -54,9 +54,9 @@
         knowledge: Knowledge,
         store: Store,
         dialect: Dialect,
-        configurations: ConfigurationKeeper,
-        registry: RegistryKeeper,
-        reliance: Reliance,
+        configurations: ConfigurationUpdater,
+        registry: RegistryUpdater,
+        store_polling: StorePollPolicy,
         log: DecisionLog,
     ) -> None:
         self._knowledge = knowledge
@@ -64,7 +64,7 @@
         self._dialect = dialect
         self._configurations = configurations
         self._registry = registry
-        self._reliance = reliance
+        self._store_polling = store_polling
         self._log = log
         self._inbox: LightQueue = LightQueue()
         self._linked: set[InstanceId] = set()
@@ -78,8 +78,9 @@
     def run(self, hub: PeerHub) -> None:
         """Poll until the process exits."""
         while True:
-            member = self._knowledge.sources.whom_to_ask(
-                clock_s(), is_blind=self._reliance.is_blind(clock_s())
+            member = self._knowledge.sources.node_to_poll(
+                clock_s(),
+                has_lost_store=self._store_polling.has_lost_store(clock_s()),
             )
             if member is None:
                 self._stop_polling()
@@ -105,7 +106,7 @@
         """Take back the counts handed over for saving, and drop old events."""
         self._source_id = ''
         self._stale_since_s = None
-        self._knowledge.counts_sender.take_all_back()
+        self._knowledge.counts_sender.requeue_all()
         while not self._inbox.empty():
             self._inbox.get_nowait()
 
@@ -115,7 +116,7 @@
         now_s = clock_s()
         if answer is None:
             self._knowledge.sources.suspect(member.instance_id, now_s)
-            self._knowledge.counts_sender.take_all_back()
+            self._knowledge.counts_sender.requeue_all()
             self._source_id = ''
             self._log.decide(
                 'peer.silent',
@@ -138,7 +139,7 @@
             self._stale_since_s = None
             self._log.decide('peer.asked', member.instance_id)
         self._request_number += 1
-        hold_s = self._reliance.hold_s
+        hold_s = self._store_polling.hold_s
         request = NewsAsked(
             self._request_number,
             self._knowledge.process_name,
@@ -206,14 +207,14 @@
             )
         for note in answer.crashes:
             seen_s = clock_s() - note.age_s
-            knowledge.crashes.crashed(note.call, note.target_id, seen_s)
+            knowledge.crashes.record_crash(note.call, note.target_id, seen_s)
         if answer.targets is not None:
-            is_taken = self._registry.take_news(
+            is_applied = self._registry.apply_peer_changes(
                 answer.targets.changes,
                 sent_s + answer.targets.proven_after_s,
                 member.instance_id,
             )
-            if is_taken:
+            if is_applied:
                 self._mark = answer.targets.changes.mark
         self._apply_configuration(answer, member, sent_s)
 
@@ -225,7 +226,9 @@
             return
         if news.revision > self._knowledge.configuration_revision:
             self._fetch_configuration(news, member.instance_id)
-        self._configurations.prove(news.revision, sent_s + news.proven_after_s)
+        self._configurations.confirm(
+            news.revision, sent_s + news.proven_after_s
+        )
 
     def _fetch_configuration(
         self, news: ConfigurationNews, source: str
@@ -236,7 +239,7 @@
         fails, the next request asks for the text.
         """
         if news.packed is not None:
-            self._configurations.adopt_packed(
+            self._configurations.apply_compressed(
                 news.packed, news.revision, source
             )
             self._wants_configuration = False
@@ -249,8 +252,8 @@
             )
         )
         if isinstance(item, StoreItem) and item.value:
-            self._configurations.adopt(item.value, item.revision, 'store')
-            self._configurations.prove(item.revision, read_s)
+            self._configurations.apply(item.value, item.revision, 'store')
+            self._configurations.confirm(item.revision, read_s)
             self._wants_configuration = False
         else:
             self._wants_configuration = True
@@ -261,7 +264,7 @@
         Limits store reads during a burst of changes: otherwise each node
         would read every revision, although only the latest one matters.
         """
-        due_s = self._last_fetch_s + self._reliance.fetch_interval_s
+        due_s = self._last_fetch_s + self._store_polling.fetch_interval_s
         eventlet.sleep(max(0, due_s - clock_s()))
         self._last_fetch_s = clock_s()
 
@@ -269,7 +272,7 @@
         self, answer: NewsTold, member: Member, elapsed_s: float
     ) -> None:
         """Suspect a node if its answers stay stale for too long."""
-        if self._reliance.is_fresh(answer, elapsed_s):
+        if self._store_polling.is_fresh(answer, elapsed_s):
             self._stale_since_s = None
             return
         now_s = clock_s()
@@ -277,7 +280,7 @@
             self._stale_since_s = now_s
         elif now_s - self._stale_since_s > STALE_TIMEOUT_S:
             self._knowledge.sources.suspect(member.instance_id, now_s)
-            self._knowledge.counts_sender.take_all_back()
+            self._knowledge.counts_sender.requeue_all()
             self._log.decide(
                 'peer.stale', member.instance_id, outcome='passed over'
             )
--- a/packages/gateway/dandelionyoke_gateway/_phase_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_phase_task.py
@@ -41,7 +41,7 @@
     expires_s: float
 
 
-class FleetChanges:
+class PendingFleetChanges:
     """Tracks until when engines start or stop because of this fleet's orders.
 
     Phases chosen meanwhile may go to engines that the platform is about to
@@ -70,7 +70,7 @@
         duty: DutyTask,
         client: DutyClient,
         engines: EngineClient,
-        changes: FleetChanges,
+        changes: PendingFleetChanges,
         log: DecisionLog,
     ) -> None:
         self._knowledge = knowledge
@@ -103,7 +103,7 @@
         registered = [
             target
             for target in self._knowledge.registry.of_service(service)
-            if not self._knowledge.loads.is_lost(target.target_id, now_s)
+            if not self._knowledge.loads.is_unreachable(target.target_id, now_s)
         ]
         engines = self._with_assumed_phases(registered, now_s)
         settled = frozenset(
@@ -218,7 +218,8 @@
             return 0
         loads = self._knowledge.loads
         reported = sum(
-            loads.is_told(target.target_id, now_s) for target in decode
+            loads.has_recent_report(target.target_id, now_s)
+            for target in decode
         )
         observed = sum(
             min(
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -4,12 +4,21 @@
 
 import attrs
 
-from dandelionyoke_dispatch import SOON_S, Cause, Refusal, RegisteredTarget
-from dandelionyoke_gateway._call_desk import CallContext, RefusedError, Tools
+from dandelionyoke_dispatch import (
+    DEFAULT_RETRY_AFTER_S,
+    Cause,
+    Refusal,
+    RegisteredTarget,
+)
+from dandelionyoke_gateway._call_dispatcher import (
+    CallContext,
+    CallDependencies,
+    RefusedError,
+)
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError, ExchangeTimeoutError
 from dandelionyoke_gateway._messages import ResponseHead
-from dandelionyoke_gateway._ports import AnswerFacts, Forwarding
+from dandelionyoke_gateway._ports import Forwarding, ResponseFacts
 
 MAX_RESPONSE_BYTES = 8388608
 # Each target refuses a call at most once. After this many the service as a
@@ -22,23 +31,23 @@
     """The complete response of a target."""
 
     head: ResponseHead
-    facts: AnswerFacts
+    facts: ResponseFacts
     body: bytes = attrs.field(repr=False)
 
 
-def carry_plain(tools: Tools, context: CallContext) -> None:
+def forward_plain_call(deps: CallDependencies, context: CallContext) -> None:
     """Send a call to one target after another until one responds."""
-    response = _PlainCall(tools, context).find_response()
-    head = tools.dialect.answer_head(response.head)
+    response = _PlainCall(deps, context).find_response()
+    head = deps.dialect.response_head(response.head)
     context.responder.respond(head, response.body)
 
 
 class _PlainCall:
     """The attempts to get the response to one call."""
 
-    def __init__(self, tools: Tools, context: CallContext) -> None:
-        self._tools = tools
-        self._knowledge = tools.knowledge
+    def __init__(self, deps: CallDependencies, context: CallContext) -> None:
+        self._deps = deps
+        self._knowledge = deps.knowledge
         self._context = context
         self._tried_ids: set[str] = set()
         self._cause = Cause.NO_TARGET
@@ -61,7 +70,7 @@
                 return response
         if self._error_response is not None:
             return self._error_response
-        raise RefusedError(Refusal(self._cause, SOON_S))
+        raise RefusedError(Refusal(self._cause, DEFAULT_RETRY_AFTER_S))
 
     def _next_target(self) -> RegisteredTarget | None:
         context = self._context
@@ -71,7 +80,7 @@
             return None
         if not context.attempts.may_run_again(context.route.is_repeatable):
             return None
-        target = self._knowledge.placement.plain_target(
+        target = self._knowledge.placement.choose_plain_target(
             context.service.name, self._tried_ids, now_s
         )
         # The first send is no retry, even if connections failed before it.
@@ -83,16 +92,16 @@
     def _send_to(self, target: RegisteredTarget) -> BufferedResponse | None:
         """Send the call to one target; None to go on with the next target."""
         self._tried_ids.add(target.target_id)
-        self._knowledge.loads.began(target.target_id)
+        self._knowledge.loads.call_started(target.target_id)
         try:
             response = self._exchange(target)
         except ExchangeError as error:
             self._cause = record_failure(
-                self._tools, self._context, target, error
+                self._deps, self._context, target, error
             )
             return None
         finally:
-            self._knowledge.loads.ended(target.target_id)
+            self._knowledge.loads.call_ended(target.target_id)
         return self._evaluate(target, response)
 
     def _exchange(self, target: RegisteredTarget) -> BufferedResponse:
@@ -103,17 +112,17 @@
             organisation=context.organisation_name,
             last_event_id=context.call.last_event_id,
         )
-        head = self._tools.dialect.call_head(context.request.head, forwarding)
-        with self._tools.pool.lend(target.address) as connection:
+        head = self._deps.dialect.call_head(context.request.head, forwarding)
+        with self._deps.pool.acquire(target.address) as connection:
             sent_s = clock_s()
             context.attempts.sent(target.target_id)
             connection.send(head, context.request.body)
             response_head = connection.read_head(context.deadline_s)
             body = connection.read_body(context.deadline_s, MAX_RESPONSE_BYTES)
-            facts = self._tools.dialect.read_answer(response_head)
+            facts = self._deps.dialect.read_response(response_head)
             validate_response(response_head, facts, context)
         if facts.is_signed and not facts.is_not_run:
-            count_usage_once(self._tools, context, sent_s)
+            count_usage_once(self._deps, context, sent_s)
         return BufferedResponse(response_head, facts, body)
 
     def _evaluate(
@@ -122,7 +131,7 @@
         """Return the response if it goes to the caller, else None."""
         loads, facts = self._knowledge.loads, response.facts
         self._log_response(target, facts)
-        apply_response_facts(self._tools, target, facts)
+        apply_response_facts(self._deps, target, facts)
         if facts.is_not_run:
             self._context.attempts.refused()
             loads.refused(target.target_id, clock_s())
@@ -139,12 +148,12 @@
         return None
 
     def _log_response(
-        self, target: RegisteredTarget, facts: AnswerFacts
+        self, target: RegisteredTarget, facts: ResponseFacts
     ) -> None:
         context = self._context
         since_arrival_s = clock_s() - context.request.arrived_s
-        self._tools.log.observe('plain.answer', since_arrival_s)
-        self._tools.log.decide(
+        self._deps.log.observe('plain.answer', since_arrival_s)
+        self._deps.log.decide(
             'call.answered',
             context.call.attempt_id,
             outcome=target.target_id,
@@ -156,7 +165,7 @@
 
 
 def validate_response(
-    head: ResponseHead, facts: AnswerFacts, context: CallContext
+    head: ResponseHead, facts: ResponseFacts, context: CallContext
 ) -> None:
     """Check that a response belongs to this call and comes from a target.
 
@@ -170,32 +179,32 @@
 
 
 def count_usage_once(
-    tools: Tools, context: CallContext, started_s: float
+    deps: CallDependencies, context: CallContext, started_s: float
 ) -> None:
     """Count the usage of a call once, however often it is retried."""
     if context.is_usage_counted:
         return
     context.is_usage_counted = True
     if context.organisation_name is not None:
-        tools.knowledge.usage.began(context.organisation_name, started_s)
+        deps.knowledge.usage.count_call(context.organisation_name, started_s)
 
 
 def apply_response_facts(
-    tools: Tools, target: RegisteredTarget, facts: AnswerFacts
+    deps: CallDependencies, target: RegisteredTarget, facts: ResponseFacts
 ) -> None:
     """Record the load and the identity that a target reported."""
-    knowledge = tools.knowledge
+    knowledge = deps.knowledge
     if facts.busy is not None:
         knowledge.loads.reported(target.target_id, facts.busy, clock_s())
     if facts.is_other_target:
-        tools.log.decide(
+        deps.log.decide(
             'target.replaced', target.target_id, outcome='left alone'
         )
         knowledge.registry.mark_leaving(target.target_id, target.started_ms)
 
 
 def record_failure(
-    tools: Tools,
+    deps: CallDependencies,
     context: CallContext,
     target: RegisteredTarget,
     error: ExchangeError,
@@ -203,12 +212,12 @@
     """Record a failed exchange and return its cause."""
     now_s = clock_s()
     if error.sent:
-        tools.knowledge.loads.failed(target.target_id, now_s)
+        deps.knowledge.loads.failed(target.target_id, now_s)
     else:
-        tools.knowledge.loads.unreachable(target.target_id, now_s)
+        deps.knowledge.loads.unreachable(target.target_id, now_s)
     # Other open connections to the target may have failed as well.
-    tools.pool.drop(target.address)
-    tools.log.decide(
+    deps.pool.close_idle(target.address)
+    deps.log.decide(
         'attempt.failed',
         context.call.attempt_id,
         outcome='may have run' if error.sent else 'not sent',
@@ -218,5 +227,5 @@
     if isinstance(error, ExchangeTimeoutError):
         return Cause.OUT_OF_TIME
     if error.sent:
-        tools.suspect(context.fingerprint, target.target_id, target.address)
+        deps.probe(context.fingerprint, target.target_id, target.address)
     return Cause.BROKEN
--- a/packages/gateway/dandelionyoke_gateway/_ports.py
+++ b/packages/gateway/dandelionyoke_gateway/_ports.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class AnswerFacts:
+class ResponseFacts:
     """The status and metadata in the head of a target's response.
 
     `is_not_run` means that the target states that it did not run the call.
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class DutyStamp:
+class FencingStamp:
     """The holder and the fencing token with which an order or report is sent.
 
     No byte of it may be sent after `send_until_s`, a time of `clock_s`.
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen
-class DutyAnswer:
+class DutyCallResult:
     """An outcome, the cause if it was not accepted, and the elapsed time."""
 
     outcome: DutyOutcome
@@ -135,7 +135,7 @@
 
 
 @attrs.frozen
-class TargetCount:
+class TargetCountOrder:
     """An order to the platform to run `count` targets of a service in a domain."""
 
     service: str
@@ -155,10 +155,10 @@
     ) -> RequestHead:
         """Return the request head to send to a target."""
 
-    def read_answer(self, head: ResponseHead) -> AnswerFacts:
+    def read_response(self, head: ResponseHead) -> ResponseFacts:
         """Read the metadata of a target's response."""
 
-    def answer_head(self, head: ResponseHead) -> ResponseHead:
+    def response_head(self, head: ResponseHead) -> ResponseHead:
         """Return the response head to send to the caller."""
 
     def refusal_head(
@@ -199,14 +199,18 @@
     """Calls that only the holder of the lease on a duty may make."""
 
     def report_usage(
-        self, counts: WindowCounts, stamp: DutyStamp
-    ) -> DutyAnswer:
+        self, counts: WindowCounts, stamp: FencingStamp
+    ) -> DutyCallResult:
         """Report the usage counts of a window."""
 
-    def order_targets(self, order: TargetCount, stamp: DutyStamp) -> DutyAnswer:
+    def order_targets(
+        self, order: TargetCountOrder, stamp: FencingStamp
+    ) -> DutyCallResult:
         """Order the platform to run a number of targets."""
 
-    def order_phase(self, order: PhaseOrder, stamp: DutyStamp) -> DutyAnswer:
+    def order_phase(
+        self, order: PhaseOrder, stamp: FencingStamp
+    ) -> DutyCallResult:
         """Order an engine to change its phase."""
 
 
--- a/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_queue.py
@@ -6,11 +6,11 @@
 import attrs
 
 from dandelionyoke_dispatch import (
-    Entry,
-    LineTicket,
-    PrefillHome,
+    PrefillPlacement,
     Prompt,
-    ReadingLine,
+    PromptQueue,
+    QueueDecision,
+    QueuedPrompt,
 )
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._knowledge import Knowledge, ServiceState
@@ -37,7 +37,7 @@
     """A prompt that needs an engine; a lower rank goes first.
 
     Its call arrived at `arrived_s`. The goal for its time to first token is
-    `goal_s`, and its deadline is `useful_until_s`.
+    `goal_s`, and its deadline is `deadline_s`.
     """
 
     service: str
@@ -45,20 +45,20 @@
     rank: int
     arrived_s: float
     goal_s: float
-    useful_until_s: float
+    deadline_s: float
     avoid: frozenset[str] = frozenset()
 
 
 @attrs.frozen
 class PrefillGrant:
-    """The engine chosen for a request; `home` is None if there is none.
+    """The engine chosen for a request; `placement` is None if there is none.
 
     `placed_by` is the other node that chose it; None if this one did.
     """
 
     request: PrefillRequest
-    turn_id: str
-    home: PrefillHome | None
+    ticket_id: str
+    placement: PrefillPlacement | None
     placed_by: str | None = None
 
 
@@ -66,30 +66,30 @@
 class PrefillResult:
     """The duration of a prefill; None if it did not run."""
 
-    read_s: float | None = None
+    prefill_s: float | None = None
 
 
 class PrefillQueue(Protocol):
     """Grants each queued prompt an engine when its turn comes."""
 
-    def enter(self, request: PrefillRequest) -> PrefillGrant:
+    def acquire(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine.
 
         Raises:
             TooLateError: no engine could start before the deadline.
         """
 
-    def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
+    def release(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant, whatever the prefill's result."""
 
 
 @attrs.frozen
 class QueuedPrefill:
-    """A request in the queue; `entry` is whether it has to wait."""
+    """A request in the queue; `decision` is whether it has to wait."""
 
     request: PrefillRequest
-    ticket: LineTicket
-    entry: Entry
+    queued_prompt: QueuedPrompt
+    decision: QueueDecision
 
 
 class LocalPrefillQueue:
@@ -99,7 +99,7 @@
         self._knowledge = knowledge
         self._ticket_numbers = itertools.count(1)
 
-    def enter(self, request: PrefillRequest) -> PrefillGrant:
+    def acquire(self, request: PrefillRequest) -> PrefillGrant:
         """Wait for an engine.
 
         Raises:
@@ -113,15 +113,18 @@
         Raises:
             TooLateError: no engine could start before the deadline.
         """
-        engines = self._knowledge.placement.readers(
+        engines = self._knowledge.placement.count_prefill_engines(
             request.service, request.avoid, clock_s()
         )
-        ticket, queue = self._build_ticket(request), self._queue(request)
-        queue.lost(self._lost_targets())
-        entry = queue.enter(ticket, engines, clock_s())
-        if entry is Entry.TOO_LATE:
+        queued_prompt, queue = (
+            self._build_queued_prompt(request),
+            self._queue(request),
+        )
+        queue.update_unreachable(self._unreachable_targets())
+        decision = queue.enter(queued_prompt, engines, clock_s())
+        if decision is QueueDecision.TOO_LATE:
             raise self._too_late(request)
-        return QueuedPrefill(request, ticket, entry)
+        return QueuedPrefill(request, queued_prompt, decision)
 
     def await_grant(self, queued: QueuedPrefill) -> PrefillGrant:
         """Wait for a request's turn, then choose its engine.
@@ -131,9 +134,12 @@
         Raises:
             TooLateError: its turn did not come before the deadline.
         """
-        ticket, request = queued.ticket, queued.request
+        queued_prompt, request = queued.queued_prompt, queued.request
         try:
-            is_admitted = queued.entry is Entry.GO or self._await_turn(queued)
+            is_admitted = (
+                queued.decision is QueueDecision.START
+                or self._await_turn(queued)
+            )
         except BaseException:
             self.cancel(queued)
             raise
@@ -141,84 +147,88 @@
             self.cancel(queued)
             raise self._too_late(request)
         return PrefillGrant(
-            request, ticket.turn_id, self._choose_engine(queued)
+            request, queued_prompt.ticket_id, self._choose_engine(queued)
         )
 
     def cancel(self, queued: QueuedPrefill) -> None:
         """Remove a request from the queue without a prefill."""
-        self._release(queued.request, queued.ticket.turn_id, None)
+        self._release(queued.request, queued.queued_prompt.ticket_id, None)
 
-    def leave(self, grant: PrefillGrant, result: PrefillResult) -> None:
+    def release(self, grant: PrefillGrant, result: PrefillResult) -> None:
         """Release a grant, and record how long the prefill took."""
-        self._release(grant.request, grant.turn_id, result.read_s)
-        if result.read_s is not None:
-            pace = self._service_state(grant.request).pace
-            pace.took(grant.request.prompt, result.read_s)
+        self._release(grant.request, grant.ticket_id, result.prefill_s)
+        if result.prefill_s is not None:
+            prefill_time = self._service_state(grant.request).prefill_time
+            prefill_time.add_sample(grant.request.prompt, result.prefill_s)
 
     def _await_turn(self, queued: QueuedPrefill) -> bool:
         """Wait; return False if the turn will not come before the deadline."""
-        ticket, waiters = queued.ticket, self._knowledge.waiters
+        queued_prompt, waiters = queued.queued_prompt, self._knowledge.waiters
         queue = self._queue(queued.request)
         if (
-            waiters.wait(ticket.turn_id, ticket.in_time_until_s)
+            waiters.wait(queued_prompt.ticket_id, queued_prompt.in_time_until_s)
             is WaitResult.ADMITTED
         ):
             return True
-        if queue.is_reading(ticket.turn_id):
+        if queue.is_in_flight(queued_prompt.ticket_id):
             return True
-        if not queue.stays(ticket.turn_id, clock_s()):
+        if not queue.keep_waiting(queued_prompt.ticket_id, clock_s()):
             return False
-        result = waiters.wait(ticket.turn_id, ticket.useful_until_s)
-        return result is WaitResult.ADMITTED or queue.is_reading(ticket.turn_id)
+        result = waiters.wait(queued_prompt.ticket_id, queued_prompt.deadline_s)
+        return result is WaitResult.ADMITTED or queue.is_in_flight(
+            queued_prompt.ticket_id
+        )
 
-    def _choose_engine(self, queued: QueuedPrefill) -> PrefillHome | None:
+    def _choose_engine(self, queued: QueuedPrefill) -> PrefillPlacement | None:
         request, state = queued.request, self._service_state(queued.request)
-        home = self._knowledge.placement.prefill_home(
+        placement = self._knowledge.placement.choose_prefill_engine(
             request.service,
             request.prompt,
-            state.pace,
-            state.line,
+            state.prefill_time,
+            state.prompt_queue,
             request.avoid,
             clock_s(),
         )
-        if home is not None:
-            target_id = home.target.target_id
-            state.line.placed(queued.ticket.turn_id, target_id, clock_s())
-        return home
-
-    def _build_ticket(self, request: PrefillRequest) -> LineTicket:
+        if placement is not None:
+            target_id = placement.target.target_id
+            state.prompt_queue.assign(
+                queued.queued_prompt.ticket_id, target_id, clock_s()
+            )
+        return placement
+
+    def _build_queued_prompt(self, request: PrefillRequest) -> QueuedPrompt:
         tokens = request.prompt.token_count
-        pace = self._service_state(request).pace
-        read_s = pace.found.expected_s(tokens) or 0.0
+        prefill_time = self._service_state(request).prefill_time
+        prefill_s = prefill_time.with_cache.expected_s(tokens) or 0.0
         max_wait_s = max(
-            PREFILL_GOAL_SHARE * request.goal_s - read_s,
+            PREFILL_GOAL_SHARE * request.goal_s - prefill_s,
             LARGE_PROMPT_GOAL_SHARE * request.goal_s,
         )
-        return LineTicket(
-            turn_id=str(next(self._ticket_numbers)),
+        return QueuedPrompt(
+            ticket_id=str(next(self._ticket_numbers)),
             rank=request.rank,
             arrived_s=request.arrived_s,
             in_time_until_s=request.arrived_s + max_wait_s,
-            useful_until_s=request.useful_until_s,
+            deadline_s=request.deadline_s,
             tokens=tokens,
         )
 
     def _release(
-        self, request: PrefillRequest, turn_id: str, read_s: float | None
+        self, request: PrefillRequest, ticket_id: str, prefill_s: float | None
     ) -> None:
         queue = self._queue(request)
-        queue.lost(self._lost_targets())
-        for admitted_id in queue.leave(turn_id, read_s, clock_s()):
+        queue.update_unreachable(self._unreachable_targets())
+        for admitted_id in queue.leave(ticket_id, prefill_s, clock_s()):
             self._knowledge.waiters.admit(admitted_id)
 
-    def _lost_targets(self) -> frozenset[str]:
-        return frozenset(self._knowledge.loads.lost(clock_s()))
+    def _unreachable_targets(self) -> frozenset[str]:
+        return frozenset(self._knowledge.loads.unreachable_ids(clock_s()))
 
     def _too_late(self, request: PrefillRequest) -> TooLateError:
         return TooLateError(self._queue(request).retry_after_s())
 
     def _service_state(self, request: PrefillRequest) -> ServiceState:
-        return self._knowledge.watch_of(request.service)
+        return self._knowledge.service_state(request.service)
 
-    def _queue(self, request: PrefillRequest) -> ReadingLine:
-        return self._service_state(request).line
+    def _queue(self, request: PrefillRequest) -> PromptQueue:
+        return self._service_state(request).prompt_queue
--- a/packages/gateway/dandelionyoke_gateway/_prefill_server.py
+++ b/packages/gateway/dandelionyoke_gateway/_prefill_server.py
@@ -10,7 +10,12 @@
 from eventlet.greenthread import GreenThread
 
 from dandelionyoke_core import InstanceId
-from dandelionyoke_dispatch import Entry, Prompt, PromptPart, TargetLoads
+from dandelionyoke_dispatch import (
+    Prompt,
+    PromptPart,
+    QueueDecision,
+    TargetLoads,
+)
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._news_server import Send
@@ -82,7 +87,7 @@
         except TooLateError as error:
             self._refuse(key, error)
             return
-        if queued.entry is Entry.GO:
+        if queued.decision is QueueDecision.START:
             self._grant(key, self._queue.await_grant(queued))
             return
         thread = eventlet.spawn(self._await_grant, key, queued)
@@ -126,42 +131,50 @@
 
     def _grant(self, key: RequestKey, grant: PrefillGrant) -> None:
         peer_id, number = key
-        home = grant.home
-        if home is None:
-            self._queue.leave(grant, PrefillResult())
+        placement = grant.placement
+        if placement is None:
+            self._queue.release(grant, PrefillResult())
             verdict = PrefillVerdict.NO_ENGINE
             self._send(peer_id, PrefillTold(number, verdict))
             return
         self._granted[key] = grant
-        source_id = '' if home.source is None else home.source.target_id
+        source_id = (
+            '' if placement.source is None else placement.source.target_id
+        )
         response = PrefillTold(
             number,
             PrefillVerdict.GRANTED,
-            home.target.target_id,
+            placement.target.target_id,
             source_id,
             suspects=self._suspected_targets(),
         )
         if not self._send(peer_id, response):
             self._release(key, PrefillResult())
             return
-        expires_s = grant.request.useful_until_s + RELEASE_MARGIN_S
+        expires_s = grant.request.deadline_s + RELEASE_MARGIN_S
         eventlet.spawn_after(
             max(0, expires_s - clock_s()), self._release, key, PrefillResult()
         )
 
     def _suspected_targets(self) -> tuple[str, ...]:
-        return tuple(self._loads.resting(clock_s())[:MAX_SUSPECTS])
+        return tuple(self._loads.in_cooldown(clock_s())[:MAX_SUSPECTS])
 
     def _release(self, key: RequestKey, result: PrefillResult) -> None:
         grant = self._granted.pop(key, None)
         if grant is not None:
-            self._queue.leave(grant, result)
-        if grant is not None and grant.home and result.read_s is not None:
-            self._loads.succeeded(grant.home.target.target_id)
+            self._queue.release(grant, result)
+        if (
+            grant is not None
+            and grant.placement
+            and result.prefill_s is not None
+        ):
+            self._loads.succeeded(grant.placement.target.target_id)
 
     def handle_failure(self, message: TargetFailed) -> None:
         """Record a target failure reported by another node."""
-        self._loads.told(message.target_id, message.failure, clock_s())
+        self._loads.record_peer_failure(
+            message.target_id, message.failure, clock_s()
+        )
 
     def _refuse(self, key: RequestKey, error: TooLateError) -> None:
         peer_id, number = key
@@ -184,6 +197,6 @@
         rank=request.rank,
         arrived_s=now_s - request.age_s,
         goal_s=request.goal_s,
-        useful_until_s=now_s + request.useful_s,
+        deadline_s=now_s + request.useful_s,
         avoid=frozenset(request.avoid),
     )
--- a/packages/gateway/dandelionyoke_gateway/_process.py
+++ b/packages/gateway/dandelionyoke_gateway/_process.py
@@ -10,7 +10,10 @@
 
 from dandelionyoke_core import Metrics
 from dandelionyoke_dispatch import CallerLimits
-from dandelionyoke_gateway._call_desk import CallDesk, Tools
+from dandelionyoke_gateway._call_dispatcher import (
+    CallDependencies,
+    CallDispatcher,
+)
 from dandelionyoke_gateway._caller_connection import (
     CallerConnection,
     CallerRequest,
@@ -18,25 +21,20 @@
     Responder,
 )
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
+from dandelionyoke_gateway._configuration_updater import ConfigurationUpdater
 from dandelionyoke_gateway._crash_task import CrashTask
 from dandelionyoke_gateway._domain_prefill_queue import DomainPrefillQueue
 from dandelionyoke_gateway._duty_task import DutyTask
 from dandelionyoke_gateway._engine_count_task import EngineCountTask
 from dandelionyoke_gateway._errors import AddressError
 from dandelionyoke_gateway._knowledge import new_knowledge
-from dandelionyoke_gateway._knowledge_tasks import (
-    ConfigurationTask,
-    PaceSettings,
-    RegistryTask,
-)
 from dandelionyoke_gateway._log import DecisionLog, LineSink
 from dandelionyoke_gateway._member_task import MemberTask
 from dandelionyoke_gateway._messages import ResponseHead
 from dandelionyoke_gateway._news_links import serve_news
 from dandelionyoke_gateway._news_task import NewsTask
-from dandelionyoke_gateway._phase_task import FleetChanges, PhaseTask
-from dandelionyoke_gateway._plain_call import carry_plain
+from dandelionyoke_gateway._phase_task import PendingFleetChanges, PhaseTask
+from dandelionyoke_gateway._plain_call import forward_plain_call
 from dandelionyoke_gateway._ports import (
     Dialect,
     DutyClient,
@@ -46,12 +44,20 @@
 from dandelionyoke_gateway._prefill_links import PrefillLinks
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
-from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance, RelianceSettings
+from dandelionyoke_gateway._registry_updater import RegistryUpdater
 from dandelionyoke_gateway._settings import Endpoint, GatewaySettings
-from dandelionyoke_gateway._source_parts import SourceParts
+from dandelionyoke_gateway._source_services import SourceServices
 from dandelionyoke_gateway._status import ExitStatus
-from dandelionyoke_gateway._stream_call import carry_stream
+from dandelionyoke_gateway._store_poll_policy import (
+    StorePollPolicy,
+    StorePollSettings,
+)
+from dandelionyoke_gateway._store_watch_tasks import (
+    ConfigurationTask,
+    RegistryTask,
+    StorePollIntervals,
+)
+from dandelionyoke_gateway._stream_call import forward_stream_call
 from dandelionyoke_gateway._target_pool import TargetPool
 from dandelionyoke_gateway._usage_tasks import CountsTask, UsageTask
 from dandelionyoke_links import listen, set_options
@@ -110,8 +116,8 @@
             self._local_prefill_queue, self._knowledge, self._log
         )
         self._rate_limits = DomainRateLimits(self._knowledge, self._log)
-        self._call_desk = CallDesk(
-            Tools(
+        self._call_dispatcher = CallDispatcher(
+            CallDependencies(
                 self._knowledge,
                 self._adapters.dialect,
                 pool,
@@ -119,10 +125,10 @@
                 self._prefill_queue,
                 self._rate_limits,
                 self._log,
-                self._crash_task.suspect,
+                self._crash_task.probe,
             ),
-            carry_plain,
-            carry_stream,
+            forward_plain_call,
+            forward_stream_call,
         )
         self._duty_task = DutyTask(
             self._knowledge, self._adapters.store, self._log
@@ -137,7 +143,9 @@
         peers = _listen(self._settings.peers)
         self._listen_and_serve(self._settings.health, self._answer_health)
         self._listen_and_serve(self._settings.metrics, self._answer_metrics)
-        self._listen_and_serve(self._settings.callers, self._call_desk.handle)
+        self._listen_and_serve(
+            self._settings.callers, self._call_dispatcher.handle
+        )
         self._start_tasks(peers)
         self._log.decide(
             'process.started', self._settings.instance_id, outcome='listening'
@@ -149,7 +157,7 @@
         adapters = self._adapters
         knowledge, log = self._knowledge, self._log
         spawn = eventlet.spawn_n
-        self._start_knowledge_tasks(peers)
+        self._start_store_watch_tasks(peers)
         members = MemberTask(
             knowledge, adapters.store, self._duty_task.take_members
         )
@@ -167,7 +175,7 @@
             log,
         )
         spawn(usage.run)
-        changes = FleetChanges()
+        changes = PendingFleetChanges()
         phases = PhaseTask(
             knowledge,
             self._duty_task,
@@ -182,22 +190,34 @@
         )
         spawn(engine_counts.run)
 
-    def _start_knowledge_tasks(self, peers: socket.socket) -> None:
+    def _start_store_watch_tasks(self, peers: socket.socket) -> None:
         """Start the tasks that read the store or ask a node that reads it."""
         adapters, knowledge, log = self._adapters, self._knowledge, self._log
         dialect, store = adapters.dialect, adapters.store
-        pace = PaceSettings()
-        reliance = Reliance(knowledge, RelianceSettings())
-        configurations = ConfigurationKeeper(knowledge, dialect, log)
-        registry = RegistryKeeper(knowledge, log)
+        intervals = StorePollIntervals()
+        store_polling = StorePollPolicy(knowledge, StorePollSettings())
+        configurations = ConfigurationUpdater(knowledge, dialect, log)
+        registry = RegistryUpdater(knowledge, log)
         configuration_task = ConfigurationTask(
-            configurations, knowledge, reliance, dialect, store, log, pace
+            configurations,
+            knowledge,
+            store_polling,
+            dialect,
+            store,
+            log,
+            intervals,
         )
         registry_task = RegistryTask(
-            registry, knowledge, reliance, dialect, store, pace
+            registry, knowledge, store_polling, dialect, store, intervals
         )
         news_task = NewsTask(
-            knowledge, store, dialect, configurations, registry, reliance, log
+            knowledge,
+            store,
+            dialect,
+            configurations,
+            registry,
+            store_polling,
+            log,
         )
         eventlet.spawn_n(configuration_task.run)
         eventlet.spawn_n(registry_task.run)
@@ -216,7 +236,7 @@
             peers,
             news_task,
             prefill_links,
-            SourceParts(self._rate_limits, self._knowledge, self._log),
+            SourceServices(self._rate_limits, self._knowledge, self._log),
             self._knowledge,
             self._adapters.store,
             self._log,
@@ -250,7 +270,7 @@
             sock.close()
             return
         connection = CallerConnection(
-            sock, limits, handler, lambda: self._knowledge.departure.is_leaving
+            sock, limits, handler, lambda: self._knowledge.shutdown.is_leaving
         )
         self._connections.add(connection)
         try:
@@ -275,10 +295,10 @@
     # Signals and shutdown.
 
     def _on_terminate(self, signal_number: int, frame: object) -> None:
-        if self._knowledge.departure.is_leaving:
+        if self._knowledge.shutdown.is_leaving:
             self._stop(ExitStatus.CUT)
             return
-        self._knowledge.departure.begin(clock_s())
+        self._knowledge.shutdown.begin(clock_s())
         eventlet.spawn_n(self._drain)
 
     def _on_reload(self, signal_number: int, frame: object) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_prompt_reader.py
+++ b/packages/gateway/dandelionyoke_gateway/_prompt_prefiller.py
@@ -6,12 +6,12 @@
 
 from dandelionyoke_dispatch import (
     Cause,
-    PrefillHome,
+    PrefillPlacement,
     Prompt,
     Refusal,
     RegisteredTarget,
 )
-from dandelionyoke_gateway._call_desk import RefusedError
+from dandelionyoke_gateway._call_dispatcher import RefusedError
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError
 from dandelionyoke_gateway._messages import RequestHead
@@ -23,7 +23,7 @@
     PrefillResult,
     TooLateError,
 )
-from dandelionyoke_gateway._stream_tries import (
+from dandelionyoke_gateway._stream_call_state import (
     RetryableError,
     StreamCallState,
 )
@@ -67,10 +67,10 @@
 
     def __init__(self, state: StreamCallState) -> None:
         self._state = state
-        self._tools = state.tools
-        self._knowledge = state.tools.knowledge
+        self._deps = state.deps
+        self._knowledge = state.deps.knowledge
         self._context = state.context
-        self._service_stats = self._knowledge.watch_of(
+        self._service_stats = self._knowledge.service_state(
             self._context.service.name
         )
         # Whether a prefill request was sent to an engine.
@@ -83,7 +83,7 @@
             return None
         if self._is_short(prompt):
             return None
-        engines = self._knowledge.placement.readers(
+        engines = self._knowledge.placement.count_prefill_engines(
             self._context.service.name, self._state.tried_ids, clock_s()
         )
         if not engines:
@@ -104,28 +104,28 @@
             rank=self._context.priority,
             arrived_s=self._context.request.arrived_s,
             goal_s=self._context.route.goal_s,
-            useful_until_s=self._deadline_s(),
+            deadline_s=self._deadline_s(),
             avoid=frozenset(self._state.tried_ids),
         )
         try:
-            return self._tools.prefills.enter(request)
+            return self._deps.prefill_queue.acquire(request)
         except TooLateError as error:
-            self._service_stats.strain.turned_away(clock_s())
+            self._service_stats.overload.record_refusal(clock_s())
             refusal = Refusal(Cause.TOO_LATE, error.retry_after_s)
             raise RefusedError(refusal) from error
 
     def _prefill_with_grant(
         self, prompt: Prompt, grant: PrefillGrant, queued_s: float
     ) -> PrefilledPrompt | None:
-        """Run the prefill, then leave the prefill queue."""
-        started_s, placement = clock_s(), grant.home
+        """Run the prefill, then release the grant."""
+        started_s, placement = clock_s(), grant.placement
         prefill_s: float | None = None
         try:
             cache = None if placement is None else self._prefill_on(placement)
             if cache is not None:
                 prefill_s = clock_s() - started_s
         finally:
-            self._tools.prefills.leave(grant, PrefillResult(prefill_s))
+            self._deps.prefill_queue.release(grant, PrefillResult(prefill_s))
         if placement is None or cache is None or prefill_s is None:
             return None
         self._record_fetch(prompt, placement, prefill_s)
@@ -141,7 +141,7 @@
         return PrefilledPrompt(placement.target, cache)
 
     def _record_fetch(
-        self, prompt: Prompt, placement: PrefillHome, prefill_s: float
+        self, prompt: Prompt, placement: PrefillPlacement, prefill_s: float
     ) -> None:
         if placement.source is not None:
             source_id = placement.source.target_id
@@ -152,10 +152,14 @@
 
     def _slow_fetch_s(self, prompt: Prompt) -> float:
         expected_s = (
-            self._service_stats.pace.found.expected_s(prompt.token_count) or 0.0
+            self._service_stats.prefill_time.with_cache.expected_s(
+                prompt.token_count
+            )
+            or 0.0
         )
         return max(
-            SLOW_FETCH_MEAN_FACTOR * self._service_stats.line.mean_s,
+            SLOW_FETCH_MEAN_FACTOR
+            * self._service_stats.prompt_queue.mean_prefill_s,
             SLOW_FETCH_GOAL_SHARE * self._context.route.goal_s,
             SLOW_FETCH_PREFILL_FACTOR * expected_s,
         )
@@ -169,7 +173,7 @@
         prefills all tokens at the speed for uncached tokens, however fast the
         prefill engines are with the prefixes that they cache.
         """
-        prefill_s = self._service_stats.pace.unkept.expected_s(
+        prefill_s = self._service_stats.prefill_time.without_cache.expected_s(
             prompt.token_count
         )
         if prefill_s is None:
@@ -179,7 +183,7 @@
             < SHORT_PROMPT_GOAL_SHARE * self._context.route.goal_s
         )
 
-    def _prefill_on(self, placement: PrefillHome) -> CacheSource:
+    def _prefill_on(self, placement: PrefillPlacement) -> CacheSource:
         """Send the prefill request to an engine; this does not run the call."""
         target, source = placement.target, placement.source
         forwarding = attrs.evolve(
@@ -189,13 +193,13 @@
         )
         head = self._state.new_request_head(forwarding)
         loads = self._knowledge.loads
-        loads.began(target.target_id)
+        loads.call_started(target.target_id)
         try:
             handle = self._exchange(target, head)
         except ExchangeError as error:
             raise self._state.record_failed_send(target, error) from error
         finally:
-            loads.ended(target.target_id)
+            loads.call_ended(target.target_id)
         if handle is None:
             self._state.tried_ids.add(target.target_id)
             loads.refused(target.target_id, clock_s())
@@ -208,16 +212,16 @@
         self, target: RegisteredTarget, head: RequestHead
     ) -> str | None:
         deadline_s = self._deadline_s()
-        with self._tools.pool.lend(target.address) as connection:
+        with self._deps.pool.acquire(target.address) as connection:
             self.has_sent_prefill = True
             connection.send(head, self._context.request.body)
             response = connection.read_head(deadline_s)
             body = connection.read_body(deadline_s, MAX_PREFILL_BYTES)
-            facts = self._tools.dialect.read_answer(response)
-            apply_response_facts(self._tools, target, facts)
+            facts = self._deps.dialect.read_response(response)
+            apply_response_facts(self._deps, target, facts)
             if facts.status != HTTPStatus.OK:
                 return None
-            return self._tools.dialect.read_prefill(body)
+            return self._deps.dialect.read_prefill(body)
 
     def _deadline_s(self) -> float:
         route = self._context.route
--- a/packages/gateway/dandelionyoke_gateway/_reliance.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_poll_policy.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class RelianceSettings:
+class StorePollSettings:
     """How stale the data from another node may become.
 
     A node that others poll ends its watches on the configuration after
@@ -34,11 +34,11 @@
     relied_within_s: float = 3.0
 
 
-class Reliance:
+class StorePollPolicy:
     """Compares the age of a node's data with the time limits."""
 
     def __init__(
-        self, knowledge: Knowledge, settings: RelianceSettings
+        self, knowledge: Knowledge, settings: StorePollSettings
     ) -> None:
         self._knowledge = knowledge
         self._settings = settings
@@ -63,24 +63,24 @@
 
     def configuration_wait_s(self, now_s: float) -> float:
         """Return the time until the configuration must be polled; 0: now."""
-        proven_s = self._knowledge.freshness.proven_s
-        return self._remaining_s(proven_s, self._configuration_s, now_s)
+        confirmed_s = self._knowledge.freshness.confirmed_s
+        return self._remaining_s(confirmed_s, self._configuration_s, now_s)
 
     def registry_wait_s(self, now_s: float) -> float:
         """Return the time until the registry must be polled; 0: now."""
-        proven_s = self._knowledge.listing.proven_s
-        return self._remaining_s(proven_s, self._registry_s, now_s)
+        confirmed_s = self._knowledge.listing.confirmed_s
+        return self._remaining_s(confirmed_s, self._registry_s, now_s)
 
-    def is_blind(self, now_s: float) -> bool:
+    def has_lost_store(self, now_s: float) -> bool:
         """Whether this node's polls of the store have failed for too long."""
         return not (
             _is_within(
-                self._knowledge.freshness.proven_s,
+                self._knowledge.freshness.confirmed_s,
                 self._settings.blind_after_s,
                 now_s,
             )
             and _is_within(
-                self._knowledge.listing.proven_s, self._registry_s, now_s
+                self._knowledge.listing.confirmed_s, self._registry_s, now_s
             )
         )
 
@@ -96,12 +96,12 @@
         )
 
     def _remaining_s(
-        self, proven_s: float | None, limit_s: float, now_s: float
+        self, confirmed_s: float | None, limit_s: float, now_s: float
     ) -> float:
-        if proven_s is None or self._knowledge.sources.is_source(now_s):
+        if confirmed_s is None or self._knowledge.sources.is_source(now_s):
             return 0
-        return max(0, proven_s + limit_s - now_s)
+        return max(0, confirmed_s + limit_s - now_s)
 
 
-def _is_within(proven_s: float | None, limit_s: float, now_s: float) -> bool:
-    return proven_s is not None and now_s - proven_s < limit_s
+def _is_within(confirmed_s: float | None, limit_s: float, now_s: float) -> bool:
+    return confirmed_s is not None and now_s - confirmed_s < limit_s
--- a/packages/gateway/dandelionyoke_gateway/_knowledge_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -11,17 +11,17 @@
 )
 from dandelionyoke_dispatch import RegisteredTarget
 from dandelionyoke_gateway._clock import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
+from dandelionyoke_gateway._configuration_updater import ConfigurationUpdater
 from dandelionyoke_gateway._knowledge import Knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._ports import Dialect, Store
-from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance
-from dandelionyoke_gateway._store_follower import StoreFollower
+from dandelionyoke_gateway._prefix_watcher import PrefixWatcher
+from dandelionyoke_gateway._registry_updater import RegistryUpdater
+from dandelionyoke_gateway._store_poll_policy import StorePollPolicy
 
 
 @attrs.frozen
-class PaceSettings:
+class StorePollIntervals:
     """How often the store is polled; each call has a cost.
 
     The registry changes with each heartbeat of each target, so a watch on it
@@ -43,28 +43,28 @@
 
     def __init__(
         self,
-        keeper: ConfigurationKeeper,
+        updater: ConfigurationUpdater,
         knowledge: Knowledge,
-        reliance: Reliance,
+        store_polling: StorePollPolicy,
         dialect: Dialect,
         store: Store,
         log: DecisionLog,
-        pace: PaceSettings,
+        intervals: StorePollIntervals,
     ) -> None:
-        self._keeper = keeper
+        self._updater = updater
         self._knowledge = knowledge
-        self._reliance = reliance
+        self._store_polling = store_polling
         self._key = dialect.configuration_key
         self._log = log
         self._failing_since_s: float | None = None
-        self._follower = StoreFollower(
-            store, self._key, BackOff(pace.back_off, knowledge.random)
+        self._watcher = PrefixWatcher(
+            store, self._key, BackOff(intervals.back_off, knowledge.random)
         )
 
     def run(self) -> None:
         """Follow the configuration until the process exits."""
         while True:
-            wait_s = self._reliance.configuration_wait_s(clock_s())
+            wait_s = self._store_polling.configuration_wait_s(clock_s())
             if wait_s > 0:
                 sleep(wait_s)
                 continue
@@ -72,12 +72,12 @@
 
     def _poll_store(self) -> None:
         polled_s = clock_s()
-        answer = self._follower.ask(self._reliance.watch_duration_s)
+        answer = self._watcher.poll(self._store_polling.watch_duration_s)
         if isinstance(answer, StoreListing):
             self._apply(answer, polled_s)
         else:
             self._record_failure(answer)
-            self._follower.pause()
+            self._watcher.back_off()
 
     def _apply(self, listing: StoreListing, polled_s: float) -> None:
         if self._failing_since_s is not None:
@@ -86,8 +86,8 @@
             self._failing_since_s = None
         for item in listing.items:
             if item.key == self._key and item.value:
-                self._keeper.adopt(item.value, item.revision, 'store')
-        self._knowledge.freshness.prove(polled_s)
+                self._updater.apply(item.value, item.revision, 'store')
+        self._knowledge.freshness.confirm(polled_s)
 
     def _record_failure(self, answer: object) -> None:
         if self._failing_since_s is None:
@@ -101,31 +101,31 @@
 
     def __init__(
         self,
-        keeper: RegistryKeeper,
+        updater: RegistryUpdater,
         knowledge: Knowledge,
-        reliance: Reliance,
+        store_polling: StorePollPolicy,
         dialect: Dialect,
         store: Store,
-        pace: PaceSettings,
+        intervals: StorePollIntervals,
     ) -> None:
-        self._keeper = keeper
+        self._updater = updater
         self._knowledge = knowledge
-        self._reliance = reliance
+        self._store_polling = store_polling
         self._dialect = dialect
-        self._pace = pace
+        self._intervals = intervals
         self._watch_duration_s = (
-            pace.registry_watch_share * knowledge.settings.drain_s
+            intervals.registry_watch_share * knowledge.settings.drain_s
         )
-        self._follower = StoreFollower(
+        self._watcher = PrefixWatcher(
             store,
             dialect.registry_prefix,
-            BackOff(pace.back_off, knowledge.random),
+            BackOff(intervals.back_off, knowledge.random),
         )
 
     def run(self) -> None:
         """Follow the registry until the process exits."""
         while True:
-            wait_s = self._reliance.registry_wait_s(clock_s())
+            wait_s = self._store_polling.registry_wait_s(clock_s())
             if wait_s > 0:
                 sleep(wait_s)
                 continue
@@ -133,20 +133,20 @@
 
     def _poll_store(self) -> None:
         polled_s = clock_s()
-        answer = self._follower.ask(self._watch_duration_s)
+        answer = self._watcher.poll(self._watch_duration_s)
         if isinstance(answer, StoreListing):
             self._apply_unless_stale(answer, polled_s)
         else:
-            self._keeper.failed()
-            self._follower.pause()
+            self._updater.record_store_failure()
+            self._watcher.back_off()
 
     def _apply_unless_stale(
         self, listing: StoreListing, polled_s: float
     ) -> None:
         """Apply a listing unless another node has sent a newer one."""
-        proven_s = self._knowledge.listing.proven_s
-        if proven_s is not None and proven_s > polled_s:
-            self._follower.restart()
+        confirmed_s = self._knowledge.listing.confirmed_s
+        if confirmed_s is not None and confirmed_s > polled_s:
+            self._watcher.restart()
             return
         self._apply(listing, polled_s)
         self._wait_for_batch(polled_s)
@@ -161,16 +161,16 @@
             for item in listing.items
         }
         changed = [target for target in newest.values() if target is not None]
-        if self._follower.was_whole:
-            self._keeper.replace(changed, polled_s)
+        if self._watcher.was_full_listing:
+            self._updater.replace(changed, polled_s)
         else:
             gone = [name for name, target in newest.items() if target is None]
-            self._keeper.change(changed, gone, polled_s)
+            self._updater.change(changed, gone, polled_s)
 
     def _wait_for_batch(self, polled_s: float) -> None:
         """Sleep so that the next poll returns several changes at once."""
         drain_s = self._knowledge.settings.drain_s
-        interval_s = self._pace.registry_share * drain_s
+        interval_s = self._intervals.registry_share * drain_s
         remaining_s = polled_s + interval_s - clock_s()
         if remaining_s > 0:
             sleep(remaining_s * self._knowledge.random.uniform(0.9, 1))
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -6,12 +6,16 @@
 import eventlet
 
 from dandelionyoke_dispatch import (
-    SOON_S,
+    DEFAULT_RETRY_AFTER_S,
     Cause,
     Refusal,
     RegisteredTarget,
 )
-from dandelionyoke_gateway._call_desk import CallContext, RefusedError, Tools
+from dandelionyoke_gateway._call_dispatcher import (
+    CallContext,
+    CallDependencies,
+    RefusedError,
+)
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._errors import ExchangeError
 from dandelionyoke_gateway._event_stream import EventSplitter, StreamEvent
@@ -22,13 +26,13 @@
     validate_response,
 )
 from dandelionyoke_gateway._ports import (
-    AnswerFacts,
+    ResponseFacts,
 )
-from dandelionyoke_gateway._prompt_reader import (
+from dandelionyoke_gateway._prompt_prefiller import (
     PrefilledPrompt,
     PromptPrefiller,
 )
-from dandelionyoke_gateway._stream_tries import (
+from dandelionyoke_gateway._stream_call_state import (
     RetryableError,
     StreamCallState,
 )
@@ -42,19 +46,19 @@
 STALL_TIMEOUT_S = 1.0
 
 
-def carry_stream(tools: Tools, context: CallContext) -> None:
+def forward_stream_call(deps: CallDependencies, context: CallContext) -> None:
     """Run the prefill, then forward the stream to the caller."""
-    _StreamCall(tools, context).run()
+    _StreamCall(deps, context).run()
 
 
 class _StreamCall:
     """One streamed call from its prefill to its last event."""
 
-    def __init__(self, tools: Tools, context: CallContext) -> None:
-        self._tools = tools
-        self._knowledge = tools.knowledge
+    def __init__(self, deps: CallDependencies, context: CallContext) -> None:
+        self._deps = deps
+        self._knowledge = deps.knowledge
         self._context = context
-        self._state = StreamCallState(tools, context)
+        self._state = StreamCallState(deps, context)
         self._prefiller = PromptPrefiller(self._state)
         # Kept for a retry as long as no decode engine has imported its KV cache.
         self._prompt: PrefilledPrompt | None = None
@@ -78,7 +82,7 @@
                 cause = error.cause
                 continue
             return
-        raise RefusedError(Refusal(cause, SOON_S))
+        raise RefusedError(Refusal(cause, DEFAULT_RETRY_AFTER_S))
 
     def _may_retry(self) -> bool:
         context = self._context
@@ -115,7 +119,7 @@
         self, prompt: PrefilledPrompt | None
     ) -> RegisteredTarget:
         preferred_domain = None if prompt is None else prompt.target.domain
-        target = self._knowledge.placement.decode_target(
+        target = self._knowledge.placement.choose_decode_target(
             self._context.service.name,
             preferred_domain,
             self._state.tried_ids,
@@ -123,18 +127,18 @@
         )
         if target is not None:
             return target
-        target = self._knowledge.placement.plain_target(
+        target = self._knowledge.placement.choose_plain_target(
             self._context.service.name, self._state.tried_ids, clock_s()
         )
         if target is None:
-            raise RefusedError(Refusal(Cause.NO_TARGET, SOON_S))
+            raise RefusedError(Refusal(Cause.NO_TARGET, DEFAULT_RETRY_AFTER_S))
         return target
 
     def _release_cache(self, prompt: PrefilledPrompt | None) -> None:
         """Free the memory of a KV cache that no engine has imported."""
         if prompt is None:
             return
-        eventlet.spawn_n(self._tools.engines.release_cache, prompt.cache)
+        eventlet.spawn_n(self._deps.engines.release_cache, prompt.cache)
 
     # Streaming.
 
@@ -142,7 +146,7 @@
         self, target: RegisteredTarget, prompt: PrefilledPrompt | None
     ) -> None:
         loads = self._knowledge.loads
-        loads.began(target.target_id)
+        loads.call_started(target.target_id)
         try:
             self._exchange(target, prompt)
         except ExchangeError as error:
@@ -151,7 +155,7 @@
                 self._prompt = None
             raise self._state.record_failed_send(target, error) from error
         finally:
-            loads.ended(target.target_id)
+            loads.call_ended(target.target_id)
 
     def _exchange(
         self, target: RegisteredTarget, prompt: PrefilledPrompt | None
@@ -161,7 +165,7 @@
             self._state.new_forwarding(target), cache=cache
         )
         head = self._state.new_request_head(forwarding)
-        with self._tools.pool.lend(target.address) as connection:
+        with self._deps.pool.acquire(target.address) as connection:
             self._context.attempts.sent(target.target_id)
             connection.send(head, self._context.request.body)
             is_stream = self._read_head(target, connection)
@@ -178,12 +182,14 @@
         """Read the head of a response; return whether a stream follows."""
         sent_s = clock_s()
         response = connection.read_head(self._read_deadline_s())
-        facts = self._tools.dialect.read_answer(response)
+        facts = self._deps.dialect.read_response(response)
         self._check_response(target, response, facts, connection)
         self._prompt = None
         since_arrival_s = clock_s() - self._context.request.arrived_s
-        self._tools.log.observe('stream.begin', since_arrival_s)
-        self._knowledge.watch_of(self._context.service.name).strain.began(
+        self._deps.log.observe('stream.begin', since_arrival_s)
+        self._knowledge.service_state(
+            self._context.service.name
+        ).overload.record_first_token(
             since_arrival_s, self._context.route.goal_s, clock_s()
         )
         self._state.log_decision(
@@ -203,7 +209,7 @@
         self,
         target: RegisteredTarget,
         response: ResponseHead,
-        facts: AnswerFacts,
+        facts: ResponseFacts,
         connection: TargetConnection,
     ) -> None:
         """Check that the target ran this call and the response belongs to it.
@@ -212,7 +218,7 @@
             RetryableError: the target refused the call.
             ExchangeError: the response must not reach the caller.
         """
-        apply_response_facts(self._tools, target, facts)
+        apply_response_facts(self._deps, target, facts)
         if facts.is_not_run:
             self._context.attempts.refused()
             self._state.tried_ids.add(target.target_id)
@@ -233,12 +239,12 @@
         )
         self._context.attempts.ran()
         if not self._context.responder.has_started:
-            head = self._tools.dialect.answer_head(response)
+            head = self._deps.dialect.response_head(response)
             self._context.responder.respond(head, body)
 
     def _start_response(self, response: ResponseHead) -> None:
         if not self._context.responder.has_started:
-            head = self._tools.dialect.answer_head(response)
+            head = self._deps.dialect.response_head(response)
             self._context.responder.start(head)
 
     def _relay(self, connection: TargetConnection) -> None:
@@ -256,7 +262,7 @@
             )
 
     def _forward_events(self, events: list[StreamEvent]) -> None:
-        count_usage_once(self._tools, self._context, clock_s())
+        count_usage_once(self._deps, self._context, clock_s())
         self._context.responder.send_chunk(
             b''.join(event.content for event in events)
         )
--- a/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
@@ -22,7 +22,7 @@
     ProcessCounts,
     WindowCounts,
     WindowRecord,
-    add_up,
+    sum_counts,
 )
 from dandelionyoke_gateway._clock import clock_s
 from dandelionyoke_gateway._duty_task import DutyTask
@@ -82,12 +82,12 @@
 
     def finish(self) -> None:
         """Save all counts on shutdown, including those handed over."""
-        self._knowledge.counts_sender.take_all_back()
+        self._knowledge.counts_sender.requeue_all()
         self.save()
 
     def _is_due(self) -> bool:
         knowledge, now_s = self._knowledge, clock_s()
-        if knowledge.counts_sender.take_back(now_s):
+        if knowledge.counts_sender.requeue_overdue(now_s):
             return True
         since_save_s = now_s - self._saved_s
         if knowledge.counts_receiver.has_unsaved:
@@ -111,8 +111,8 @@
             if not self._save_window(window_id)
         ]
         for window_id in failed:
-            usage.not_saved(window_id)
-        receiver.not_saved(failed)
+            usage.requeue(window_id)
+        receiver.requeue(failed)
         if not failed:
             receiver.confirm(received)
         newest = usage.window_at(clock_s())
@@ -216,7 +216,7 @@
         if not isinstance(listing, StoreListing):
             self._log_open(window_id, 'the counts cannot be read')
             return None
-        totals = add_up(
+        totals = sum_counts(
             record
             for item in listing.items
             if (record := _read_record(item)) is not None
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -5,16 +5,16 @@
 import testtools
 
 from dandelionyoke_dispatch import (
-    LineSettings,
-    LineTicket,
     Phase,
     Placement,
-    PrefillHome,
+    PrefillPlacement,
+    PrefillTimeEstimate,
+    PrefillTimeSettings,
     Prompt,
-    PromptPace,
     PromptPart,
-    ReadingLine,
-    ReadingPaceSettings,
+    PromptQueue,
+    PromptQueueSettings,
+    QueuedPrompt,
     RegisteredTarget,
     RegistrySettings,
     SuspicionSettings,
@@ -47,36 +47,36 @@
         loads = TargetLoads(SuspicionSettings())
         self.fetches = TargetLoads(SuspicionSettings(failures_in_a_row=1))
         self.placement = Placement(registry, loads, self.fetches, 'a', 'n-1')
-        self.line = ReadingLine(LineSettings(max_prompts_per_engine=99))
-        self.pace = PromptPace(ReadingPaceSettings())
-        self.pace.took(prompt('y'), 9000 * TOKEN_S)
+        self.queue = PromptQueue(PromptQueueSettings(max_prompts_per_engine=99))
+        self.prefill_time = PrefillTimeEstimate(PrefillTimeSettings())
+        self.prefill_time.add_sample(prompt('y'), 9000 * TOKEN_S)
         self.count = 0
 
-    def home(self, request: Prompt, now_s: float = 0) -> PrefillHome:
-        home = self.placement.prefill_home(
-            'lm', request, self.pace, self.line, (), now_s
+    def choose(self, request: Prompt, now_s: float = 0) -> PrefillPlacement:
+        placement = self.placement.choose_prefill_engine(
+            'lm', request, self.prefill_time, self.queue, (), now_s
         )
-        assert home is not None
-        return home
+        assert placement is not None
+        return placement
 
     def place(self, request: Prompt, now_s: float = 0) -> str:
-        return self.home(request, now_s).target.target_id
+        return self.choose(request, now_s).target.target_id
 
     def place_and_start(self, request: Prompt, now_s: float = 0) -> str:
         chosen = self.place(request, now_s)
         self.count += 1
         name = str(self.count)
-        ticket = LineTicket(name, 0, 0, 1, 1, request.token_count)
-        self.line.enter(ticket, len(ENGINES), now_s)
-        self.line.placed(name, chosen, now_s)
+        queued_prompt = QueuedPrompt(name, 0, 0, 1, 1, request.token_count)
+        self.queue.enter(queued_prompt, len(ENGINES), now_s)
+        self.queue.assign(name, chosen, now_s)
         return chosen
 
     def test_a_shared_prefix_goes_to_the_engine_that_cached_it(self) -> None:
-        homes = set()
+        engine_ids = set()
         for number in range(5):
-            homes.add(self.place_and_start(prompt('x'), number))
-            self.line.leave(str(self.count), 0.1, number)
-        self.assertEqual(1, len(homes))
+            engine_ids.add(self.place_and_start(prompt('x'), number))
+            self.queue.leave(str(self.count), 0.1, number)
+        self.assertEqual(1, len(engine_ids))
 
     def test_a_burst_on_one_prefix_spreads_over_the_engines(self) -> None:
         """Many callers use the same shared prefix at once.
@@ -93,10 +93,10 @@
     def test_another_engine_fetches_the_prefix_from_the_first(self) -> None:
         first = self.place_and_start(prompt('x'))
         self.place_and_start(prompt('x'))
-        home = self.home(prompt('x'))
-        assert home.source is not None
-        self.assertNotEqual(first, home.target.target_id)
-        self.assertEqual(first, home.source.target_id)
+        placement = self.choose(prompt('x'))
+        assert placement.source is not None
+        self.assertNotEqual(first, placement.target.target_id)
+        self.assertEqual(first, placement.source.target_id)
 
     def test_nothing_is_fetched_from_a_suspect_engine(self) -> None:
         """A domain is partitioned, but its engines are still registered.
@@ -108,8 +108,8 @@
         first = self.place_and_start(prompt('x'))
         self.place_and_start(prompt('x'))
         self.fetches.failed(first, 0)
-        home = self.home(prompt('x'))
-        source_id = home.source.target_id if home.source else None
+        placement = self.choose(prompt('x'))
+        source_id = placement.source.target_id if placement.source else None
         self.assertNotEqual(first, source_id)
 
     def test_a_short_backlog_does_not_outweigh_a_long_shared_prefix(
@@ -117,8 +117,8 @@
     ) -> None:
         long_prompt = prompt('x', shared=20000, own=100)
         first = self.place(long_prompt)
-        self.line.enter(LineTicket('short', 0, 0, 1, 1, 500), 4, 0)
-        self.line.placed('short', first, 0)
+        self.queue.enter(QueuedPrompt('short', 0, 0, 1, 1, 500), 4, 0)
+        self.queue.assign('short', first, 0)
         self.assertEqual(first, self.place(long_prompt))
 
     def test_equal_engines_take_turns(self) -> None:
@@ -131,14 +131,14 @@
         for number in range(8):
             alone = Prompt('m', 3000, 10, (PromptPart(f'p{number}', 3000),))
             chosen.append(self.place_and_start(alone, 1 + number))
-            self.line.leave(str(self.count), 0.03, number)
+            self.queue.leave(str(self.count), 0.03, number)
         self.assertEqual(
             {name: 2 for name in ENGINES},
             {name: chosen.count(name) for name in ENGINES},
         )
 
     def test_tokens_in_flight_decide_before_the_first_response(self) -> None:
-        self.pace = PromptPace(ReadingPaceSettings())
+        self.prefill_time = PrefillTimeEstimate(PrefillTimeSettings())
         chosen = {
             self.place_and_start(prompt('x'), number) for number in range(12)
         }
@@ -166,7 +166,7 @@
         )
 
     def choose_engine(self, at_s: float) -> str:
-        target = self.placement.decode_target('lm', None, (), at_s)
+        target = self.placement.choose_decode_target('lm', None, (), at_s)
         assert target is not None
         return target.target_id
 
@@ -180,7 +180,7 @@
         """
         self.list_engines('old', at_s=0)
         for _ in range(20):
-            self.loads.began('old')
+            self.loads.call_started('old')
         self.list_engines('old', 'new', at_s=10)
         self.assertEqual('old', self.choose_engine(at_s=11))
         self.assertEqual('new', self.choose_engine(at_s=16))
@@ -213,7 +213,7 @@
         chosen = []
         for node in range(nodes):
             placement = Placement(registry, loads, loads, 'a', f'n-{node}')
-            target = placement.decode_target('lm', 'a', (), 0)
+            target = placement.choose_decode_target('lm', 'a', (), 0)
             assert target is not None
             chosen.append(target.target_id)
         return chosen
--- a/tests/dispatch/test_reading_line.py
+++ b/tests/dispatch/test_prompt_queue.py
@@ -5,57 +5,66 @@
 import testtools
 
 from dandelionyoke_dispatch import (
-    Entry,
-    LineSettings,
-    LineTicket,
-    ReadingLine,
+    PromptQueue,
+    PromptQueueSettings,
+    QueueDecision,
+    QueuedPrompt,
 )
 
 PREFILL_S = 0.03
 GOAL_S = 0.15
 
 
-def ticket(
-    turn_id: str,
+def queued_prompt(
+    ticket_id: str,
     *,
     rank: int = 1,
     arrived_s: float = 0,
     goal_s: float = GOAL_S,
     patience_s: float = 2,
-) -> LineTicket:
-    return LineTicket(
-        turn_id=turn_id,
+) -> QueuedPrompt:
+    return QueuedPrompt(
+        ticket_id=ticket_id,
         rank=rank,
         arrived_s=arrived_s,
         in_time_until_s=arrived_s + 0.8 * goal_s - PREFILL_S,
-        useful_until_s=arrived_s + patience_s,
+        deadline_s=arrived_s + patience_s,
         tokens=1000,
     )
 
 
-class ReadingLineTest(testtools.TestCase):
+class PromptQueueTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.line = ReadingLine(LineSettings(max_prompts_per_engine=2))
+        self.queue = PromptQueue(PromptQueueSettings(max_prompts_per_engine=2))
 
     def fill(self, names: str = 'ab') -> None:
         for name in names:
-            self.line.enter(ticket(name), 1, 0)
+            self.queue.enter(queued_prompt(name), 1, 0)
 
     def test_prompts_beyond_the_limit_are_queued(self) -> None:
-        entries = [self.line.enter(ticket(name), 1, 0) for name in 'abc']
-        self.assertEqual([Entry.GO, Entry.GO, Entry.WAIT], entries)
+        decisions = [
+            self.queue.enter(queued_prompt(name), 1, 0) for name in 'abc'
+        ]
+        self.assertEqual(
+            [QueueDecision.START, QueueDecision.START, QueueDecision.WAIT],
+            decisions,
+        )
 
     def test_the_limit_grows_with_the_engines(self) -> None:
-        entries = [self.line.enter(ticket(name), 3, 0) for name in 'abcdef']
-        self.assertEqual([Entry.GO] * 6, entries)
+        decisions = [
+            self.queue.enter(queued_prompt(name), 3, 0) for name in 'abcdef'
+        ]
+        self.assertEqual([QueueDecision.START] * 6, decisions)
 
     def test_a_lower_rank_goes_first(self) -> None:
         self.fill()
-        self.line.enter(ticket('later', rank=2), 1, 0)
-        self.line.enter(ticket('urgent', rank=0, arrived_s=0.01), 1, 0.01)
-        self.assertEqual(['urgent'], self.line.leave('a', PREFILL_S, 0.02))
-        self.assertEqual(['later'], self.line.leave('b', PREFILL_S, 0.02))
+        self.queue.enter(queued_prompt('later', rank=2), 1, 0)
+        self.queue.enter(
+            queued_prompt('urgent', rank=0, arrived_s=0.01), 1, 0.01
+        )
+        self.assertEqual(['urgent'], self.queue.leave('a', PREFILL_S, 0.02))
+        self.assertEqual(['later'], self.queue.leave('b', PREFILL_S, 0.02))
 
     def test_a_call_in_time_goes_before_a_late_one(self) -> None:
         """A burst has made a call late, and new ones arrive.
@@ -65,20 +74,24 @@
         instead of one.
         """
         self.fill()
-        self.line.enter(ticket('late'), 1, 0)
-        self.line.enter(ticket('fresh', arrived_s=0.2), 1, 0.2)
-        self.assertEqual(['fresh'], self.line.leave('a', PREFILL_S, 0.25))
-        self.assertEqual(['late'], self.line.leave('b', PREFILL_S, 0.25))
+        self.queue.enter(queued_prompt('late'), 1, 0)
+        self.queue.enter(queued_prompt('fresh', arrived_s=0.2), 1, 0.2)
+        self.assertEqual(['fresh'], self.queue.leave('a', PREFILL_S, 0.25))
+        self.assertEqual(['late'], self.queue.leave('b', PREFILL_S, 0.25))
 
     def test_prompts_at_unreachable_engines_do_not_count(self) -> None:
         """Guards against a partition that blocks the prompts of a domain."""
         self.fill()
         for name in 'ab':
-            self.line.placed(name, 'lost', 0)
-        self.assertEqual(Entry.WAIT, self.line.enter(ticket('c'), 1, 0))
-        self.line.lost(frozenset({'lost'}))
-        self.assertEqual(Entry.GO, self.line.enter(ticket('d'), 1, 0.1))
-        self.assertEqual(['c'], self.line.leave('x', None, 0.1))
+            self.queue.assign(name, 'lost', 0)
+        self.assertEqual(
+            QueueDecision.WAIT, self.queue.enter(queued_prompt('c'), 1, 0)
+        )
+        self.queue.update_unreachable(frozenset({'lost'}))
+        self.assertEqual(
+            QueueDecision.START, self.queue.enter(queued_prompt('d'), 1, 0.1)
+        )
+        self.assertEqual(['c'], self.queue.leave('x', None, 0.1))
 
     def test_a_call_that_left_the_queue_is_not_started(self) -> None:
         """A caller disconnects while its call is queued.
@@ -87,8 +100,8 @@
         after a few such callers no prompt would be prefilled at all.
         """
         self.fill('abcd')
-        self.assertEqual([], self.line.leave('c', None, 0))
-        self.assertEqual(['d'], self.line.leave('a', PREFILL_S, 0))
+        self.assertEqual([], self.queue.leave('c', None, 0))
+        self.assertEqual(['d'], self.queue.leave('a', PREFILL_S, 0))
 
     def test_a_burst_makes_few_calls_late(self) -> None:
         """Prompts arrive at one and a third times the prefill rate.
@@ -115,15 +128,15 @@
 
     def test_engines_that_are_gone_are_removed(self) -> None:
         self.fill('a')
-        self.line.placed('a', 'i-1', 5)
-        self.line.forget(frozenset(('i-2',)))
-        self.assertEqual(0, self.line.placed_s('i-1'))
+        self.queue.assign('a', 'i-1', 5)
+        self.queue.forget(frozenset(('i-2',)))
+        self.assertEqual(0, self.queue.placed_s('i-1'))
 
     def test_the_retry_delay_is_the_time_to_empty_the_queue(self) -> None:
         self.fill('abcdef')
         for name in 'ab':
-            self.line.leave(name, 0.3, 0)
-        self.assertLess(0.25, self.line.retry_after_s())
+            self.queue.leave(name, 0.3, 0)
+        self.assertLess(0.25, self.queue.retry_after_s())
 
     def simulate(self, every_s: float) -> tuple[float, float, float]:
         """Simulate arrivals and two concurrent prefills; count the outcomes.
@@ -134,40 +147,40 @@
         self.max_held_s = 0.0
         arrivals = [number * every_s for number in range(600)]
         events: list[tuple[float, int, str]] = []
-        tickets: dict[str, LineTicket] = {}
+        queued_prompts: dict[str, QueuedPrompt] = {}
         for number, at_s in enumerate(arrivals):
             name = f'call {number}'
-            tickets[name] = ticket(name, arrived_s=at_s)
+            queued_prompts[name] = queued_prompt(name, arrived_s=at_s)
             heapq.heappush(events, (at_s, 0, name))
 
         def start(name: str, now_s: float) -> None:
-            is_late = now_s > tickets[name].in_time_until_s
+            is_late = now_s > queued_prompts[name].in_time_until_s
             counts['late' if is_late else 'in time'] += 1
             heapq.heappush(events, (now_s + PREFILL_S, 1, name))
 
         def refuse(name: str, now_s: float) -> None:
             counts['refused'] += 1
-            held_s = now_s - tickets[name].arrived_s
+            held_s = now_s - queued_prompts[name].arrived_s
             self.max_held_s = max(self.max_held_s, held_s)
 
         waiting: set[str] = set()
         while events:
             now_s, kind, name = heapq.heappop(events)
             if kind == 0:
-                entry = self.line.enter(tickets[name], 1, now_s)
-                if entry is Entry.GO:
+                decision = self.queue.enter(queued_prompts[name], 1, now_s)
+                if decision is QueueDecision.START:
                     start(name, now_s)
-                elif entry is Entry.TOO_LATE:
+                elif decision is QueueDecision.TOO_LATE:
                     refuse(name, now_s)
                 else:
                     waiting.add(name)
-                    until_s = tickets[name].in_time_until_s
+                    until_s = queued_prompts[name].in_time_until_s
                     heapq.heappush(events, (until_s, 2, name))
             elif kind == 1:
-                for next_name in self.line.leave(name, PREFILL_S, now_s):
+                for next_name in self.queue.leave(name, PREFILL_S, now_s):
                     waiting.discard(next_name)
                     start(next_name, now_s)
-            elif name in waiting and not self.line.stays(name, now_s):
+            elif name in waiting and not self.queue.keep_waiting(name, now_s):
                 waiting.discard(name)
                 refuse(name, now_s)
         return (
--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -73,15 +73,15 @@
         """Assign a prefill without a shared prefix."""
         now_s = clock_s()
         prompt = Prompt('m', 9000, 10, (PromptPart('own', 9000),))
-        return self.queue.enter(
+        return self.queue.acquire(
             PrefillRequest('lm', prompt, 1, now_s, 1.0, now_s + 5)
         )
 
     def assign_engine(self) -> str:
         """Assign a prefill; return its engine."""
-        home = self.assign().home
-        assert home is not None
-        return home.target.target_id
+        placement = self.assign().placement
+        assert placement is not None
+        return placement.target.target_id
 
 
 class BacklogTaskTest(testtools.TestCase):
@@ -96,7 +96,7 @@
         self.first, self.second, self.third = self.nodes.values()
         # A node tracks a service from its first call on.
         for node in self.nodes.values():
-            node.queue.leave(node.assign(), PrefillResult(0.2))
+            node.queue.release(node.assign(), PrefillResult(0.2))
 
     def wait_for_messages(self) -> None:
         eventlet.sleep(2 * CHECK_INTERVAL_S)
@@ -113,23 +113,27 @@
         """Guards against idle engines that still count as busy."""
         grants = [self.first.assign() for _ in range(4)]
         self.wait_for_messages()
-        line = self.second.knowledge.watch_of('lm').line
-        busy = [grant.home.target.target_id for grant in grants if grant.home]
+        prompt_queue = self.second.knowledge.service_state('lm').prompt_queue
+        busy = [
+            grant.placement.target.target_id
+            for grant in grants
+            if grant.placement
+        ]
         for target_id in busy:
-            tokens = line.fleet_backlog(clock_s())[target_id]
+            tokens = prompt_queue.fleet_backlog(clock_s())[target_id]
             self.assertEqual(9000, tokens)
         for grant in grants:
-            self.first.queue.leave(grant, PrefillResult(0.2))
+            self.first.queue.release(grant, PrefillResult(0.2))
         self.wait_for_messages()
         for target_id in busy:
-            tokens = line.fleet_backlog(clock_s())[target_id]
+            tokens = prompt_queue.fleet_backlog(clock_s())[target_id]
             self.assertEqual(0, tokens)
 
     def test_an_old_backlog_expires(self) -> None:
         """Guards against engines left idle because of a node that is cut off."""
-        line = self.second.knowledge.watch_of('lm').line
-        line.told('n-9', {'i-0': 9000}, clock_s() - 0.6)
-        self.assertEqual(0, line.fleet_backlog(clock_s())['i-0'])
+        prompt_queue = self.second.knowledge.service_state('lm').prompt_queue
+        prompt_queue.set_peer_backlog('n-9', {'i-0': 9000}, clock_s() - 0.6)
+        self.assertEqual(0, prompt_queue.fleet_backlog(clock_s())['i-0'])
 
     def test_an_invalid_backlog_is_ignored(self) -> None:
         """Guards against a peer that attracts all prefills to one engine."""
@@ -137,6 +141,6 @@
         self.second.task.handle_event(
             PeerMessageArrived(self.first.name, message)
         )
-        line = self.second.knowledge.watch_of('lm').line
-        self.assertEqual(0, line.fleet_backlog(clock_s())['i-0'])
+        prompt_queue = self.second.knowledge.service_state('lm').prompt_queue
+        self.assertEqual(0, prompt_queue.fleet_backlog(clock_s())['i-0'])
         self.assertIn('placing.dropped', self.second.lines.text)
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -7,16 +7,16 @@
 from dandelionyoke_core import Metrics
 from dandelionyoke_dispatch import Service, WantedCount
 from dandelionyoke_gateway import (
-    DutyAnswer,
+    DutyCallResult,
     DutyOutcome,
-    DutyStamp,
-    TargetCount,
+    FencingStamp,
+    TargetCountOrder,
     clock_s,
 )
 from dandelionyoke_gateway._engine_count_task import EngineCountTask
 from dandelionyoke_gateway._knowledge import new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._phase_task import FleetChanges
+from dandelionyoke_gateway._phase_task import PendingFleetChanges
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
 
@@ -25,8 +25,8 @@
     """A duty that this node holds."""
 
     @property
-    def stamp(self) -> DutyStamp:
-        return DutyStamp('n-1', 9, clock_s() + 5)
+    def stamp(self) -> FencingStamp:
+        return FencingStamp('n-1', 9, clock_s() + 5)
 
 
 class FakePlatform:
@@ -35,24 +35,26 @@
     def __init__(self, outcome: DutyOutcome) -> None:
         self._outcome = outcome
 
-    def order_targets(self, order: TargetCount, stamp: DutyStamp) -> DutyAnswer:
-        return DutyAnswer(self._outcome, 'as the test says', 0.001)
+    def order_targets(
+        self, order: TargetCountOrder, stamp: FencingStamp
+    ) -> DutyCallResult:
+        return DutyCallResult(self._outcome, 'as the test says', 0.001)
 
 
 class UnacceptedOrderTest(testtools.TestCase):
     def refusing_domains(self, outcome: DutyOutcome) -> list[str]:
-        """Order reclaimable engines; list the domains that count as refusing."""
+        """Order reclaimable engines; list the domains that count as unavailable."""
         log = DecisionLog(Lines(), 'n-1', Metrics())
         self.addCleanup(log.close)
         task = EngineCountTask(
             new_knowledge(new_settings(), Random(3)),
             HeldDuty(),
             FakePlatform(outcome),
-            FleetChanges(),
+            PendingFleetChanges(),
             log,
         )
         task._send_order(Service('lm', 9), WantedCount('a', True, 5), 0)
-        return list(task._fleet_need('lm').refusing)
+        return list(task._fleet_need('lm').unavailable_domains)
 
     def test_a_domain_that_refuses_has_no_reclaimable_engines(self) -> None:
         self.assertEqual(['a'], self.refusing_domains(DutyOutcome.REFUSED))
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -24,7 +24,7 @@
     WindowCounts,
 )
 from dandelionyoke_gateway import clock_s
-from dandelionyoke_gateway._configuration_keeper import ConfigurationKeeper
+from dandelionyoke_gateway._configuration_updater import ConfigurationUpdater
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._news_messages import (
@@ -35,8 +35,11 @@
 )
 from dandelionyoke_gateway._news_server import MAX_PACKED_BYTES, NewsServer
 from dandelionyoke_gateway._news_task import NewsTask
-from dandelionyoke_gateway._registry_keeper import RegistryKeeper
-from dandelionyoke_gateway._reliance import Reliance, RelianceSettings
+from dandelionyoke_gateway._registry_updater import RegistryUpdater
+from dandelionyoke_gateway._store_poll_policy import (
+    StorePollPolicy,
+    StorePollSettings,
+)
 from dandelionyoke_platform._dialect import PlatformDialect
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
@@ -53,10 +56,10 @@
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(3))
         log = DecisionLog(Lines(), 'n-1', Metrics())
         self.addCleanup(log.close)
-        self.configurations = ConfigurationKeeper(
+        self.configurations = ConfigurationUpdater(
             self.knowledge, PlatformDialect(), log
         )
-        self.registry = RegistryKeeper(self.knowledge, log)
+        self.registry = RegistryUpdater(self.knowledge, log)
         self.sent: list[PeerMessage] = []
         self.server = NewsServer(self.knowledge, self.send)
 
@@ -81,16 +84,16 @@
         The answering node lost the store four seconds ago. Its answer must
         not count as fresh.
         """
-        self.configurations.adopt(configuration(), 7, 'store')
-        self.configurations.prove(7, clock_s() - 4.0)
+        self.configurations.apply(configuration(), 7, 'store')
+        self.configurations.confirm(7, clock_s() - 4.0)
         news = self.ask().configuration
         self.assertLess(news.proven_after_s, -3.9)
         self.assertEqual(7, news.revision)
 
     def test_a_proof_of_another_revision_is_ignored(self) -> None:
-        self.configurations.adopt(configuration(), 7, 'store')
-        self.assertFalse(self.configurations.prove(8, clock_s()))
-        self.assertIsNone(self.knowledge.freshness.proven_s)
+        self.configurations.apply(configuration(), 7, 'store')
+        self.assertFalse(self.configurations.confirm(8, clock_s()))
+        self.assertIsNone(self.knowledge.freshness.confirmed_s)
 
     def test_a_request_waits_for_a_change(self) -> None:
         self.registry.replace([target('i-1')], clock_s())
@@ -119,16 +122,20 @@
         changes = ListingChanges(
             ListingMark('n-2', 3), True, (target('i-1'),), ()
         )
-        self.assertFalse(self.registry.take_news(changes, now_s - 1, 'n-2'))
+        self.assertFalse(
+            self.registry.apply_peer_changes(changes, now_s - 1, 'n-2')
+        )
         self.assertEqual([], self.knowledge.registry.of_service('lm'))
-        self.assertTrue(self.registry.take_news(changes, now_s + 1, 'n-2'))
+        self.assertTrue(
+            self.registry.apply_peer_changes(changes, now_s + 1, 'n-2')
+        )
 
     def test_a_grace_period_ends_without_another_listing(self) -> None:
         """Guards against calls to a target that left during an outage."""
         settings = RegistrySettings(return_grace_s=0.1, outage_s=0)
         self.knowledge.registry = TargetRegistry(settings)
         self.registry.replace([target('i-1')], clock_s())
-        self.registry.failed()
+        self.registry.record_store_failure()
         eventlet.sleep(0.01)
         self.registry.replace([], clock_s())
         self.assertEqual(1, len(self.knowledge.registry.of_service('lm')))
@@ -137,16 +144,16 @@
 
     def test_a_configuration_is_sent_unless_it_is_large(self) -> None:
         """Guards against large configurations that saturate a slow link."""
-        self.configurations.adopt(configuration(), 7, 'store')
-        self.configurations.prove(7, clock_s())
+        self.configurations.apply(configuration(), 7, 'store')
+        self.configurations.confirm(7, clock_s())
         packed = self.ask().configuration.packed
         self.assertEqual(configuration(), zlib.decompress(packed).decode())
         self.assertIsNone(
             self.ask(configuration_revision=7).configuration.packed
         )
         noise = Random(5).randbytes(MAX_PACKED_BYTES).hex()
-        self.configurations.adopt(noise, 8, 'store')
-        self.configurations.prove(8, clock_s())
+        self.configurations.apply(noise, 8, 'store')
+        self.configurations.confirm(8, clock_s())
         self.assertIsNone(self.ask().configuration.packed)
         wanted = self.ask(wants_configuration=True).configuration.packed
         self.assertIsNotNone(wanted)
@@ -182,7 +189,7 @@
             PlatformDialect(),
             self.configurations,
             self.registry,
-            Reliance(self.knowledge, RelianceSettings()),
+            StorePollPolicy(self.knowledge, StorePollSettings()),
             DecisionLog(Lines(), 'n-1', Metrics()),
         )
 
@@ -205,7 +212,7 @@
         self.assertEqual(
             self.store.revision, self.knowledge.configuration_revision
         )
-        self.assertIsNotNone(self.knowledge.freshness.proven_s)
+        self.assertIsNotNone(self.knowledge.freshness.confirmed_s)
 
     def test_reading_a_configuration_makes_no_answer_stale(self) -> None:
         """Guards against a healthy node suspected in a burst of changes."""
@@ -223,16 +230,18 @@
         self.assertIsNone(self.task._stale_since_s)
 
 
-class RelianceTest(testtools.TestCase):
+class StorePollPolicyTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(3))
-        self.reliance = Reliance(self.knowledge, RelianceSettings())
+        self.store_polling = StorePollPolicy(
+            self.knowledge, StorePollSettings()
+        )
 
     def test_a_new_node_polls_the_store(self) -> None:
-        self.assertEqual(0, self.reliance.configuration_wait_s(clock_s()))
-        self.assertEqual(0, self.reliance.registry_wait_s(clock_s()))
-        self.assertTrue(self.reliance.is_blind(clock_s()))
+        self.assertEqual(0, self.store_polling.configuration_wait_s(clock_s()))
+        self.assertEqual(0, self.store_polling.registry_wait_s(clock_s()))
+        self.assertTrue(self.store_polling.has_lost_store(clock_s()))
 
     def test_news_are_relied_on_for_three_quarters_of_the_limit(self) -> None:
         """Guards against calls to leaving targets or by outdated routes.
@@ -247,12 +256,14 @@
             if self.is_ranked_first(name)
         )
         now_s = clock_s()
-        self.knowledge.freshness.prove(now_s)
+        self.knowledge.freshness.confirm(now_s)
         self.knowledge.listing.replace((), now_s)
-        self.assertAlmostEqual(1.5, self.reliance.registry_wait_s(now_s))
-        self.assertAlmostEqual(1.5, self.reliance.configuration_wait_s(now_s))
+        self.assertAlmostEqual(1.5, self.store_polling.registry_wait_s(now_s))
+        self.assertAlmostEqual(
+            1.5, self.store_polling.configuration_wait_s(now_s)
+        )
         sources.suspect(other, now_s)
-        self.assertEqual(0, self.reliance.registry_wait_s(now_s))
+        self.assertEqual(0, self.store_polling.registry_wait_s(now_s))
 
     def is_ranked_first(self, name: str) -> bool:
         sources = self.knowledge.sources
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -43,7 +43,7 @@
 from tests.gateway.settings import new_settings
 from tests.platform.path import Lines
 
-READ_S = 0.05
+PREFILL_S = 0.05
 HOT = PromptPart('hot', 6000)
 
 
@@ -106,7 +106,7 @@
         rank=1,
         arrived_s=now_s,
         goal_s=goal_s,
-        useful_until_s=now_s + patience_s,
+        deadline_s=now_s + patience_s,
     )
 
 
@@ -118,12 +118,14 @@
             self.addCleanup(node.log.close)
         return network
 
-    def teach_duration(self, network: Network, read_s: float = READ_S) -> None:
+    def teach_duration(
+        self, network: Network, prefill_s: float = PREFILL_S
+    ) -> None:
         """Let the source node learn how long a prefill takes."""
         local_queue = network.source.local_queue
         for number in range(40):
-            grant = local_queue.enter(request(number))
-            local_queue.leave(grant, PrefillResult(read_s))
+            grant = local_queue.acquire(request(number))
+            local_queue.release(grant, PrefillResult(prefill_s))
 
     def test_a_hot_prefix_is_spread_over_engines(self) -> None:
         """Guards against overload of the first engine of a hot prefix."""
@@ -131,8 +133,8 @@
         self.teach_duration(network)
         assigned: Counter[str] = Counter()
         for node in network.others:
-            grant = node.queue.enter(request())
-            assigned[grant.home.target.target_id] += 1
+            grant = node.queue.acquire(request())
+            assigned[grant.placement.target.target_id] += 1
         self.assertEqual(16, sum(assigned.values()))
         self.assertLessEqual(max(assigned.values()), 2 * 16 // 8)
 
@@ -141,25 +143,28 @@
         network = self.network(nodes=4, engines=1)
         self.teach_duration(network)
         first, second, third = network.others
-        grants = [first.queue.enter(request()), second.queue.enter(request())]
+        grants = [
+            first.queue.acquire(request()),
+            second.queue.acquire(request()),
+        ]
         granted = GreenEvent()
-        eventlet.spawn_n(lambda: granted.send(third.queue.enter(request())))
+        eventlet.spawn_n(lambda: granted.send(third.queue.acquire(request())))
         eventlet.sleep(0.02)
         self.assertFalse(granted.ready())
-        first.queue.leave(grants[0], PrefillResult(READ_S))
+        first.queue.release(grants[0], PrefillResult(PREFILL_S))
         grant: PrefillGrant = granted.wait(timeout=1)
-        self.assertEqual('i-0', grant.home.target.target_id)
+        self.assertEqual('i-0', grant.placement.target.target_id)
 
     def test_a_call_that_would_be_late_is_refused_at_once(self) -> None:
         """Guards against calls that wait in vain until their deadline."""
         network = self.network(nodes=4, engines=1)
-        self.teach_duration(network, read_s=0.5)
+        self.teach_duration(network, prefill_s=0.5)
         first, second, third = network.others
         for node in (first, second):
-            node.queue.enter(request())
+            node.queue.acquire(request())
         started_s = clock_s()
         late = request(goal_s=0.2, patience_s=0.3)
-        refused = self.assertRaises(TooLateError, third.queue.enter, late)
+        refused = self.assertRaises(TooLateError, third.queue.acquire, late)
         self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S)
         self.assertGreaterEqual(refused.retry_after_s, 0.2)
 
@@ -169,10 +174,10 @@
         network.silent.add(network.source.name)
         node = network.others[0]
         started_s = clock_s()
-        self.assertIsNotNone(node.queue.enter(request()).home)
+        self.assertIsNotNone(node.queue.acquire(request()).placement)
         self.assertLess(clock_s() - started_s, 2 * ANSWER_TIMEOUT_S)
         started_s = clock_s()
-        self.assertIsNotNone(node.queue.enter(request()).home)
+        self.assertIsNotNone(node.queue.acquire(request()).placement)
         self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S / 2)
 
     def test_a_source_node_that_fails_while_a_call_waits(self) -> None:
@@ -181,12 +186,12 @@
         self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
-            node.queue.enter(request())
+            node.queue.acquire(request())
         granted = GreenEvent()
-        eventlet.spawn_n(lambda: granted.send(third.queue.enter(request())))
+        eventlet.spawn_n(lambda: granted.send(third.queue.acquire(request())))
         eventlet.sleep(0.02)
         network.silent.update(network.nodes)
-        self.assertIsNotNone(granted.wait(timeout=1).home)
+        self.assertIsNotNone(granted.wait(timeout=1).placement)
 
     def test_grants_of_a_disconnected_node_are_released(self) -> None:
         """Guards against grants that leak with each node that dies."""
@@ -194,19 +199,21 @@
         self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
-            node.queue.enter(request())
+            node.queue.acquire(request())
         network.silent.update({first.name, second.name})
         network.disconnect(first.name)
         started_s = clock_s()
-        third.queue.enter(request())
+        third.queue.acquire(request())
         self.assertLess(clock_s() - started_s, ANSWER_TIMEOUT_S / 2)
 
     def test_grants_that_are_not_released_expire(self) -> None:
         """Guards against grants that leak with a link that fails silently."""
         network = self.network(nodes=2, engines=1)
         node, source = network.others[0], network.source
-        node.queue.enter(request(patience_s=-0.95))
-        tokens = source.knowledge.watch_of('lm').line.backlog_tokens
+        node.queue.acquire(request(patience_s=-0.95))
+        tokens = source.knowledge.service_state(
+            'lm'
+        ).prompt_queue.backlog_tokens
         self.assertEqual(9000, tokens('i-0'))
         eventlet.sleep(0.1)
         self.assertEqual(0, tokens('i-0'))
@@ -217,8 +224,8 @@
         node = network.others[0]
         left = [engine('i-0', leaving=True), engine('i-9')]
         node.knowledge.registry.replace(left, clock_s())
-        grant = node.queue.enter(request())
-        self.assertEqual('i-9', grant.home.target.target_id)
+        grant = node.queue.acquire(request())
+        self.assertEqual('i-9', grant.placement.target.target_id)
 
     def test_a_caller_that_disconnects_leaves_the_queue(self) -> None:
         """Guards against a queue that is blocked by callers that are gone."""
@@ -226,30 +233,30 @@
         self.teach_duration(network)
         first, second, third = network.others
         for node in (first, second):
-            node.queue.enter(request())
-        waiting = eventlet.spawn(third.queue.enter, request())
+            node.queue.acquire(request())
+        waiting = eventlet.spawn(third.queue.acquire, request())
         eventlet.sleep(0.02)
-        line = network.source.knowledge.watch_of('lm').line
-        before_s = line.expected_wait_s()
+        prompt_queue = network.source.knowledge.service_state('lm').prompt_queue
+        before_s = prompt_queue.expected_wait_s()
         waiting.kill()
         eventlet.sleep(0.02)
-        self.assertLess(line.expected_wait_s(), before_s)
+        self.assertLess(prompt_queue.expected_wait_s(), before_s)
 
     def test_no_grant_leaks_in_a_random_order_of_events(self) -> None:
         """Guards against grants that are released twice, or never."""
         network = self.network(nodes=5, engines=2)
-        self.teach_duration(network, read_s=0.01)
+        self.teach_duration(network, prefill_s=0.01)
         random = Random(11)
 
         def use_engine(node: Node) -> None:
             try:
-                grant = node.queue.enter(request(patience_s=0.2))
+                grant = node.queue.acquire(request(patience_s=0.2))
             except TooLateError:
                 return
             try:
                 eventlet.sleep(0.01 * random.random())
             finally:
-                node.queue.leave(grant, PrefillResult(0.01))
+                node.queue.release(grant, PrefillResult(0.01))
 
         users = [
             eventlet.spawn(use_engine, random.choice(network.others))
@@ -262,9 +269,11 @@
             if not user.dead:
                 user.wait()
         eventlet.sleep(0.05)
-        line = network.source.knowledge.watch_of('lm').line
-        self.assertEqual(0, line.expected_wait_s())
-        self.assertEqual(0, sum(map(line.backlog_tokens, ('i-0', 'i-1'))))
+        prompt_queue = network.source.knowledge.service_state('lm').prompt_queue
+        self.assertEqual(0, prompt_queue.expected_wait_s())
+        self.assertEqual(
+            0, sum(map(prompt_queue.backlog_tokens, ('i-0', 'i-1')))
+        )
 
     def test_a_failure_is_shared_with_the_domain(self) -> None:
         """Guards against nodes that must each detect a dead engine."""
@@ -272,9 +281,9 @@
         first, second, _ = network.others
         first.knowledge.loads.unreachable('i-0', clock_s())
         eventlet.sleep(0.02)
-        grant = second.queue.enter(request())
-        self.assertEqual('i-1', grant.home.target.target_id)
-        self.assertTrue(second.knowledge.loads.rests('i-0', clock_s()))
+        grant = second.queue.acquire(request())
+        self.assertEqual('i-1', grant.placement.target.target_id)
+        self.assertTrue(second.knowledge.loads.is_in_cooldown('i-0', clock_s()))
 
     def test_failures_of_a_cut_off_node_do_not_exclude_all_engines(
         self,
@@ -285,16 +294,16 @@
         for name in ('i-0', 'i-1'):
             cut_off.knowledge.loads.unreachable(name, clock_s())
         eventlet.sleep(0.02)
-        grant = healthy.queue.enter(request())
-        self.assertIsNotNone(grant.home)
-        healthy.queue.leave(grant, PrefillResult(READ_S))
+        grant = healthy.queue.acquire(request())
+        self.assertIsNotNone(grant.placement)
+        healthy.queue.release(grant, PrefillResult(PREFILL_S))
         eventlet.sleep(0.02)
         loads = network.source.knowledge.loads
-        target_id = grant.home.target.target_id
+        target_id = grant.placement.target.target_id
         cut_off.knowledge.loads.unreachable(target_id, clock_s())
         eventlet.sleep(0.02)
         loads.succeeded(target_id)
-        self.assertFalse(loads.rests(target_id, clock_s() + 1.1))
+        self.assertFalse(loads.is_in_cooldown(target_id, clock_s() + 1.1))
 
     def test_invalid_and_repeated_requests_are_dropped(self) -> None:
         """Guards against grants for invalid figures of another version."""
@@ -306,16 +315,16 @@
         for message in (invalid, infinite, valid, valid):
             source.links.handle_event(PeerMessageArrived(node.name, message))
         self.assertEqual(1, network.sent['PrefillTold'])
-        line = source.knowledge.watch_of('lm').line
-        self.assertEqual(9000, line.backlog_tokens('i-0'))
+        prompt_queue = source.knowledge.service_state('lm').prompt_queue
+        self.assertEqual(9000, prompt_queue.backlog_tokens('i-0'))
 
     def test_an_unexpected_answer_is_dropped(self) -> None:
         """Guards against late or repeated answers that affect a call."""
         network = self.network(nodes=2, engines=1)
         node, source = network.others[0], network.source
-        grant = node.queue.enter(request())
+        grant = node.queue.acquire(request())
         message = PrefillAsked(77, 'lm', 'hot', 6000, 9000, 1, 0.0, 1.0, 5.0)
         source.links.handle_event(PeerMessageArrived(node.name, message))
         eventlet.sleep(0.02)
-        node.queue.leave(grant, PrefillResult(READ_S))
-        self.assertIsNotNone(node.queue.enter(request()).home)
+        node.queue.release(grant, PrefillResult(PREFILL_S))
+        self.assertIsNotNone(node.queue.acquire(request()).placement)
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -24,14 +24,17 @@
     ServiceShare,
 )
 from dandelionyoke_gateway import TargetPool, clock_s
-from dandelionyoke_gateway._call_desk import CallDesk, Tools
+from dandelionyoke_gateway._call_dispatcher import (
+    CallDependencies,
+    CallDispatcher,
+)
 from dandelionyoke_gateway._caller_connection import CallerConnection
 from dandelionyoke_gateway._knowledge import Knowledge, new_knowledge
 from dandelionyoke_gateway._log import DecisionLog
-from dandelionyoke_gateway._plain_call import carry_plain
+from dandelionyoke_gateway._plain_call import forward_plain_call
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
-from dandelionyoke_gateway._stream_call import carry_stream
+from dandelionyoke_gateway._stream_call import forward_stream_call
 from dandelionyoke_links import reset_at_end, set_options
 from dandelionyoke_platform._dialect import PlatformDialect
 from dandelionyoke_platform._duties import PlatformDuties
@@ -178,16 +181,16 @@
 
     def __init__(self) -> None:
         self.log_lines = Lines()
-        self.suspected_targets: list[str] = []
+        self.probed_targets: list[str] = []
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(7))
         self.knowledge.configuration = configuration()
-        self.knowledge.freshness.prove(clock_s())
+        self.knowledge.freshness.confirm(clock_s())
         self.pool = TargetPool()
         self.targets: list[ScriptedTarget] = []
         self._registered: list[RegisteredTarget] = []
         self._log = DecisionLog(self.log_lines, 'n-1', Metrics())
-        self._desk = CallDesk(
-            Tools(
+        self._dispatcher = CallDispatcher(
+            CallDependencies(
                 self.knowledge,
                 PlatformDialect(),
                 self.pool,
@@ -195,10 +198,10 @@
                 LocalPrefillQueue(self.knowledge),
                 DomainRateLimits(self.knowledge, self._log),
                 self._log,
-                self._record_suspect,
+                self._record_probe,
             ),
-            carry_plain,
-            carry_stream,
+            forward_plain_call,
+            forward_stream_call,
         )
         self._listener = eventlet.listen(('127.0.0.1', 0))
         self._accept_thread = eventlet.spawn(self._accept)
@@ -246,9 +249,9 @@
         for target in self.targets:
             target.close()
 
-    def _record_suspect(self, name: str, target_id: str, address: str) -> None:
-        self.suspected_targets.append(target_id)
-        self.knowledge.crashes.crashed(name, target_id, clock_s())
+    def _record_probe(self, name: str, target_id: str, address: str) -> None:
+        self.probed_targets.append(target_id)
+        self.knowledge.crashes.record_crash(name, target_id, clock_s())
 
     def _accept(self) -> None:
         while True:
@@ -256,7 +259,7 @@
             connection = CallerConnection(
                 sock,
                 configuration().limits,
-                self._desk.handle,
+                self._dispatcher.handle,
                 lambda: True,
             )
             eventlet.spawn_n(connection.serve)
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -219,7 +219,7 @@
     def test_a_stale_configuration_authenticates_no_key(self) -> None:
         """A node has no contact with the store for longer than the bound."""
         self.node.add_target(answers_ok)
-        self.node.knowledge.freshness._proven_s = clock_s() - 4.6
+        self.node.knowledge.freshness._confirmed_s = clock_s() - 4.6
         content = self.node.call()
         self.assertEqual(503, status(content))
         self.assertIn(b'retry-after', content.lower())
@@ -236,9 +236,9 @@
         Calls accepted this late would be cut off when the process ends.
         """
         self.node.add_target(answers_ok)
-        self.node.knowledge.departure.begin(clock_s())
+        self.node.knowledge.shutdown.begin(clock_s())
         self.assertEqual(200, status(self.node.call()))
-        self.node.knowledge.departure._asked_s = clock_s() - 4
+        self.node.knowledge.shutdown._requested_s = clock_s() - 4
         content = self.node.call()
         self.assertEqual(503, status(content))
         self.assertIn(b'connection: close', content.lower())
@@ -262,7 +262,7 @@
             self.node.call('/look/1')
         # A target is in cooldown after two failures, so two were tried twice.
         self.assertEqual(6, self.count_sends())
-        self.assertEqual(4, len(set(self.node.suspected_targets)))
+        self.assertEqual(4, len(set(self.node.probed_targets)))
         content = self.node.call('/look/1')
         self.assertEqual(503, status(content))
         self.assertIn(b'retry-after: 30', content.lower())
@@ -414,8 +414,8 @@
         decode_engine = self.node.add_target(
             self.streams_tokens, 'lm', Phase.DECODE
         )
-        pace = self.node.knowledge.watch_of('lm').pace
-        pace.took(Prompt('m', 10000, 1), 0.1)
+        prefill_time = self.node.knowledge.service_state('lm').prefill_time
+        prefill_time.add_sample(Prompt('m', 10000, 1), 0.1)
         short_prompt_headers = (
             'Model: m\r\nToken-Count: 90,20\r\nPrompt-Prefix: cc:90\r\n'
         )
@@ -431,8 +431,8 @@
             self.answers_prefill, 'lm', Phase.PREFILL
         )
         self.node.add_target(self.streams_tokens, 'lm', Phase.DECODE)
-        pace = self.node.knowledge.watch_of('lm').pace
-        pace.took(Prompt('m', 1000, 1), 0.1)
+        prefill_time = self.node.knowledge.service_state('lm').prefill_time
+        prefill_time.add_sample(Prompt('m', 1000, 1), 0.1)
         self.node.call('/ask/1', extra=PROMPT_HEADERS)
         self.assertEqual(1, len(prefill_engine.seen))
 
@@ -447,10 +447,10 @@
             self.answers_prefill, 'lm', Phase.PREFILL
         )
         self.node.add_target(self.streams_tokens, 'lm', Phase.DECODE)
-        pace = self.node.knowledge.watch_of('lm').pace
+        prefill_time = self.node.knowledge.service_state('lm').prefill_time
         parts = (PromptPart('aa', 49000), PromptPart('bb', 1000))
         for _ in range(50):
-            pace.took(Prompt('m', 50000, 1, parts), 0.05)
+            prefill_time.add_sample(Prompt('m', 50000, 1, parts), 0.05)
         self.node.call('/ask/1', extra=PROMPT_HEADERS)
         self.assertEqual(1, len(prefill_engine.seen))
 
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -8,11 +8,11 @@
 
 from dandelionyoke_dispatch import Phase, RegisteredTarget
 from dandelionyoke_gateway import (
-    DutyAnswer,
+    DutyCallResult,
     DutyOutcome,
-    DutyStamp,
+    FencingStamp,
     PhaseOrder,
-    TargetCount,
+    TargetCountOrder,
     TargetPool,
     clock_s,
 )
@@ -24,7 +24,7 @@
 from dandelionyoke_platform._duties import CALL_TIMEOUT_S, PlatformDuties
 from tests.platform.path import Script, ScriptedTarget, answer
 
-ORDER = TargetCount('lm', 'a', 3, True)
+ORDER = TargetCountOrder('lm', 'a', 3, True)
 
 
 class PausedPool(TargetPool):
@@ -35,14 +35,14 @@
         self._pause_s = pause_s
 
     @contextmanager
-    def lend(self, address: str) -> Iterator:
-        with super().lend(address) as connection:
+    def acquire(self, address: str) -> Iterator:
+        with super().acquire(address) as connection:
             eventlet.sleep(self._pause_s)
             yield connection
 
     @contextmanager
-    def lend_new(self, address: str) -> Iterator:
-        with super().lend_new(address) as connection:
+    def acquire_new(self, address: str) -> Iterator:
+        with super().acquire_new(address) as connection:
             eventlet.sleep(self._pause_s)
             yield connection
 
@@ -53,7 +53,7 @@
         target = ScriptedTarget(lambda _: [answer('200 OK', b'{}', '')])
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, PausedPool(pause_s))
-        duties.order_targets(ORDER, DutyStamp('n-1', 9, clock_s() + 0.05))
+        duties.order_targets(ORDER, FencingStamp('n-1', 9, clock_s() + 0.05))
         eventlet.sleep(0.05)
         return [seen.line for seen in target.seen]
 
@@ -76,7 +76,7 @@
         target = ScriptedTarget(lambda _: [answer('200 OK', b'{}', '')])
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, TargetPool())
-        stamp = DutyStamp('n-1', 9, clock_s() + 5)
+        stamp = FencingStamp('n-1', 9, clock_s() + 5)
         self.assertTrue(duties.order_targets(ORDER, stamp).is_accepted)
         target.refuse_connections()
         answer_behind = duties.order_targets(ORDER, stamp)
@@ -97,7 +97,7 @@
         engine = RegisteredTarget('i-1', 'lm', target.address, 'a', 4, False)
         self.assertIsNotNone(duties.read_report(engine))
         target.refuse_connections()
-        stamp = DutyStamp('n-1', 9, clock_s() + 5)
+        stamp = FencingStamp('n-1', 9, clock_s() + 5)
         order = PhaseOrder(engine, Phase.DECODE, 0)
         answer_behind = duties.order_phase(order, stamp)
         self.assertIs(DutyOutcome.NOT_SENT, answer_behind.outcome)
@@ -107,11 +107,11 @@
 class DutyAnswerTest(testtools.TestCase):
     """Outcome and cause that are logged for an order that is not accepted."""
 
-    def order(self, script: Script) -> DutyAnswer:
+    def order(self, script: Script) -> DutyCallResult:
         target = ScriptedTarget(script)
         self.addCleanup(target.close)
         duties = PlatformDuties(target.address, TargetPool())
-        stamp = DutyStamp('n-1', 9, clock_s() + 5)
+        stamp = FencingStamp('n-1', 9, clock_s() + 5)
         return duties.order_targets(ORDER, stamp)
 
     def test_the_cause_of_a_refusal_contains_the_status(self) -> None:
