--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -191,7 +191,7 @@
             return overloaded(
                 self._settings,
                 RefusalKind.DEADLINE,
-                'the call would miss its deadline',
+                'the deadline would pass',
                 wait_s,
             )
         if len(queue) >= settings.max_queued:
@@ -206,7 +206,7 @@
             return overloaded(
                 self._settings,
                 RefusalKind.OVERLOADED,
-                'the organisation has too many queued calls',
+                'too many calls wait already',
                 wait_s,
             )
         return None
@@ -286,7 +286,7 @@
             refusal = overloaded(
                 self._settings,
                 RefusalKind.DEADLINE,
-                'the call was queued for too long',
+                'the call waited too long',
                 service.wait_s(service.queue.cost, now_s, 0),
             )
             outputs.append(CallRejected(ticket.request_id, refusal))
--- a/packages/core/dandelionyoke_core/_admission_refusals.py
+++ b/packages/core/dandelionyoke_core/_admission_refusals.py
@@ -4,14 +4,14 @@
 from dandelionyoke_core._names import ServiceName
 from dandelionyoke_core._refusals import Refusal, RefusalKind
 
-RETRY_REMEDY = 'Send the request again after retry_after_s'
+RETRY_REMEDY = 'Send the call again after the time given'
 
 
 def no_target(settings: AdmissionSettings, service: ServiceName) -> Refusal:
     """Refuse a call because its service has no usable target."""
     return Refusal(
         RefusalKind.NO_TARGET,
-        f'no target of {service} accepts work at the moment',
+        f'no target of {service} can take work now',
         RETRY_REMEDY,
         retry_after_s=settings.no_target_retry_s,
     )
--- a/packages/core/dandelionyoke_core/_call_refusals.py
+++ b/packages/core/dandelionyoke_core/_call_refusals.py
@@ -13,8 +13,8 @@
     """Refuse a call of a model that is not in the configuration."""
     return Refusal(
         RefusalKind.UNKNOWN_MODEL,
-        f'Unknown model {model_name!r}',
-        'Use a model that GET /v1/models lists',
+        f'There is no model {model_name!r}',
+        'Choose a model that GET /v1/models lists',
     )
 
 
@@ -22,7 +22,7 @@
     """Refuse a call of a plain service that is not in the configuration."""
     return Refusal(
         RefusalKind.UNKNOWN_SERVICE,
-        f'Unknown plain service {service_name!r}',
+        f'There is no plain service {service_name!r}',
         'Ask the operator for the name of the service',
     )
 
@@ -34,8 +34,7 @@
     return Refusal(
         RefusalKind.TOO_LARGE,
         f'{prompt_tokens} prompt tokens and {max_output_tokens} output '
-        f'tokens exceed the context length of {model.context_tokens} tokens '
-        f'of {model.model_name}',
+        f'tokens exceed the {model.context_tokens} of {model.model_name}',
         'Shorten the prompt or lower max_tokens',
     )
 
@@ -44,10 +43,10 @@
     """Refuse an unrepeatable call that has no idempotency key."""
     return Refusal(
         RefusalKind.KEY_REQUIRED,
-        f'{event.method} {event.path} may run at most once and has no '
-        'idempotency key',
-        'Send the header Idempotency-Key with a unique value, and the same '
-        'value with each repeat of this call',
+        f'{event.method} {event.path} may run at most once and came '
+        'without a key',
+        'Send the header Idempotency-Key with a value of your own, the same '
+        'one whenever you repeat this call',
     )
 
 
@@ -55,7 +54,7 @@
     """Refuse a call because the call table of this entry is full."""
     return Refusal(
         RefusalKind.OVERLOADED,
-        'This entry has reached its maximum number of calls',
+        'This entry holds as many calls as it can',
         RETRY_REMEDY,
         retry_after_s=FULL_ENTRY_RETRY_S,
     )
@@ -65,8 +64,8 @@
     """End a call after its caller has disconnected."""
     return Refusal(
         RefusalKind.DEADLINE,
-        'The connection was closed before the answer was complete',
-        'Keep the connection open until the answer is complete',
+        'The connection ended before the answer did',
+        'Keep the connection open until the answer ends',
     )
 
 
@@ -74,7 +73,7 @@
     """End a call after its API key was revoked."""
     return Refusal(
         RefusalKind.WITHDRAWN,
-        'The key of this request was revoked while the request was running',
+        'The key of this request was withdrawn while it ran',
         'Ask the operator for a new key',
     )
 
@@ -83,8 +82,8 @@
     """End a call because the process must shut down at once."""
     return Refusal(
         RefusalKind.LEAVING,
-        'This entry is shutting down',
-        'Send the request again; another entry will handle it',
+        'This entry was told to stop at once',
+        'Send the request again; another entry takes it',
         retry_after_s=FULL_ENTRY_RETRY_S,
     )
 
@@ -94,7 +93,7 @@
     return Refusal(
         RefusalKind.DEADLINE,
         'The deadline of this request has passed',
-        'Set a later deadline or request less output',
+        'Allow more time or ask for less output',
     )
 
 
@@ -102,7 +101,7 @@
     """Refuse a call because no target can be chosen."""
     return Refusal(
         RefusalKind.NO_TARGET,
-        f'No target accepts this request at the moment ({no_route.cause})',
+        f'No target can take this request now ({no_route.cause})',
         RETRY_REMEDY,
         retry_after_s=no_route.retry_after_s,
     )
@@ -112,7 +111,7 @@
     """End a call because the retry budget of this entry is exhausted."""
     return Refusal(
         RefusalKind.TARGET_FAILED,
-        'The target failed and too many other requests are being retried',
+        'The target failed and too many requests are being tried again already',
         RETRY_REMEDY,
         retry_after_s=retry_after_s,
     )
@@ -133,14 +132,14 @@
     if unrepeatable:
         return Refusal(
             RefusalKind.END_UNKNOWN,
-            f'The call was sent and its outcome is unknown ({cause})',
-            'Check at the service whether the call ran; a repeat with the '
-            'same Idempotency-Key is not sent to the service again',
+            f'The call was sent and its end is not known ({cause})',
+            'Find out at the service whether it ran; a repeat with the same '
+            'Idempotency-Key is not sent again',
             RunState.UNKNOWN,
         )
     return Refusal(
         RefusalKind.TARGET_FAILED,
-        f'The call was sent and not answered ({cause})',
-        'Check at the service whether the call ran before you send it again',
+        f'The call was sent and no answer came ({cause})',
+        'Find out at the service whether it ran before you send it again',
         RunState.UNKNOWN,
     )
--- a/packages/core/dandelionyoke_core/_claims.py
+++ b/packages/core/dandelionyoke_core/_claims.py
@@ -17,7 +17,7 @@
 CLAIM_PREFIX = 'once'
 _SEND_AGAIN = 'Send the request again after retry_after_s'
 _CHECK_OUTCOME = (
-    'Check at the service whether it ran; a repeat with the same '
+    'Find out at the service whether it ran; a repeat with the same '
     'Idempotency-Key is not sent again'
 )
 
@@ -161,7 +161,7 @@
     """Refuse a call that was not sent because it could not be claimed."""
     return Refusal(
         RefusalKind.STORE_DOWN,
-        'The store that prevents a second run does not answer',
+        'The store that guards against a second run gives no answer',
         _SEND_AGAIN,
         retry_after_s=retry_after_s,
     )
@@ -171,7 +171,7 @@
     """Refuse a call because the outcome of its first run is unknown."""
     return Refusal(
         RefusalKind.END_UNKNOWN,
-        'A request with this Idempotency-Key was sent; its outcome is unknown',
+        'A request with this Idempotency-Key was sent and its end is not known',
         _CHECK_OUTCOME,
         RunState.UNKNOWN,
     )
@@ -190,7 +190,7 @@
 def _key_reused_refusal() -> Refusal:
     return Refusal(
         RefusalKind.KEY_REUSED,
-        'This Idempotency-Key was already used for another request',
+        'This Idempotency-Key came with another request before',
         'Use a new Idempotency-Key for each new request',
     )
 
@@ -210,7 +210,7 @@
         RefusalKind.END_UNKNOWN,
         f'The request ran once and was answered with status {status}; the '
         'answer was too large to keep',
-        'Check the outcome at the service; a repeat with the same '
+        'Read the outcome at the service; a repeat with the same '
         'Idempotency-Key is not sent again',
         RunState.UNKNOWN,
     )
--- a/packages/core/dandelionyoke_core/_keys.py
+++ b/packages/core/dandelionyoke_core/_keys.py
@@ -55,8 +55,8 @@
             return _unknown_key(age_s)
         if _is_too_old(organisation, age_s):
             return self._no_knowledge(
-                'The configuration of this entry is older than the limit of '
-                f'{organisation.organisation_id}'
+                'This entry is cut off, and its configuration is older than '
+                f'the limit of {organisation.organisation_id}'
             )
         return _identity(organisation, key)
 
@@ -64,7 +64,7 @@
         return Refusal(
             kind=RefusalKind.NO_KNOWLEDGE,
             detail=detail,
-            remedy='Send the request again; another entry may be up to date',
+            remedy='Call again; another entry may know more',
             retry_after_s=self._settings.retry_after_s,
         )
 
@@ -81,10 +81,10 @@
 
 
 def _unknown_key(age_s: float | None) -> Refusal:
-    detail = 'Unknown key'
+    detail = 'The key is not known'
     if age_s is None or age_s > STALE_KNOWLEDGE_AGE_S:
         age = 'an unknown time' if age_s is None else f'{age_s:.0f} s'
-        detail = f'{detail}; the configuration was last confirmed {age} ago'
+        detail = f'{detail} here; this entry last heard news {age} ago'
     return Refusal(
         kind=RefusalKind.UNAUTHENTICATED,
         detail=detail,
--- a/packages/core/dandelionyoke_core/_limits.py
+++ b/packages/core/dandelionyoke_core/_limits.py
@@ -75,13 +75,13 @@
         shares = self.shares(ticket, now_s)
         state = self._refilled_state(ticket, shares, now_s)
         if state.running >= max(1, shares.running):
-            return _over_limit('concurrent calls', self._settings.min_retry_s)
+            return _over_limit('calls at once', self._settings.min_retry_s)
         wait_s = state.calls.wait_s(shares.calls_per_s)
         if wait_s > 0:
-            return _over_limit('calls per second', self._clamp_wait(wait_s))
+            return _over_limit('calls a second', self._clamp_wait(wait_s))
         wait_s = state.tokens.wait_s(shares.tokens_per_s)
         if wait_s > 0:
-            return _over_limit('tokens per second', self._clamp_wait(wait_s))
+            return _over_limit('tokens a second', self._clamp_wait(wait_s))
         return None
 
     def admit(self, ticket: Ticket, output_tokens: float, now_s: float) -> None:
@@ -198,6 +198,6 @@
     return Refusal(
         RefusalKind.OVER_LIMIT,
         f'the limit of {limit} of this organisation is reached',
-        'Send the request again after retry_after_s, or ask for a higher limit',
+        'Send the call again after the time given, or ask for a higher limit',
         retry_after_s=wait_s,
     )
