--- a/packages/core/dandelionyoke_core/_incidents.py
+++ b/packages/core/dandelionyoke_core/_incidents.py
@@ -41,7 +41,7 @@
         """Take up a new incident."""
         self._incidents.append(incident)
 
-    def look_like_outage(self, now_s: float) -> bool:
+    def is_outage(self, now_s: float) -> bool:
         """Whether more engines broke at once than one request breaks."""
         since_s = now_s - self._settings.outage_window_s
         engines = {
--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -116,7 +116,7 @@
         if run is None:
             return []
         self._incident(run, now_s)
-        if self._incidents.look_like_outage(now_s):
+        if self._incidents.is_outage(now_s):
             return self._excuse_all(now_s)
         self._runs.lose(run, now_s)
         if self._suspected(run, now_s):
@@ -147,7 +147,7 @@
 
     def _count(self, run: Run, now_s: float) -> list[Output]:
         incident = self._incident(run, now_s)
-        if self._incidents.look_like_outage(now_s):
+        if self._incidents.is_outage(now_s):
             return self._excuse_all(now_s)
         fingerprint = run.fingerprint
         suspect = self._suspects.find(fingerprint, now_s)
