--- a/packages/core/dandelionyoke_core/_incidents.py
+++ b/packages/core/dandelionyoke_core/_incidents.py
@@ -14,7 +14,7 @@
     """An engine broke; the suspects that were on it at that moment."""
 
     target_id: TargetId
-    began_s: float
+    started_s: float
     suspects: frozenset[str]
 
 
@@ -33,7 +33,7 @@
         """
         since_s = max(run.started_s, now_s - self._settings.lost_window_s)
         for known in self._incidents:
-            if known.target_id == run.target_id and known.began_s >= since_s:
+            if known.target_id == run.target_id and known.started_s >= since_s:
                 return known
         return None
 
@@ -47,6 +47,6 @@
         engines = {
             incident.target_id
             for incident in self._incidents
-            if incident.began_s >= since_s
+            if incident.started_s >= since_s
         }
         return len(engines) >= self._settings.outage_engines
--- a/packages/core/dandelionyoke_core/_links.py
+++ b/packages/core/dandelionyoke_core/_links.py
@@ -43,11 +43,11 @@
         self._settings = settings
         self._links: dict[InstanceId, _Link] = {}
 
-    def up(self) -> list[InstanceId]:
+    def connected_peers(self) -> list[InstanceId]:
         """Give the peers that a message can go to."""
         return [name for name, link in self._links.items() if link.is_up]
 
-    def want(
+    def set_wanted(
         self, addresses: Mapping[InstanceId, str], now_s: float
     ) -> list[Action]:
         """Take the peers to be linked to; return the dials that begin."""
@@ -74,7 +74,7 @@
         self._links[name] = link
         return [self._dial(name, link, now_s)]
 
-    def connected(self, name: InstanceId, now_s: float) -> list[Action]:
+    def on_connected(self, name: InstanceId, now_s: float) -> list[Action]:
         """Take a new link; one too many is closed again."""
         link = self._links.get(name)
         if link is None:
@@ -89,7 +89,7 @@
         link.failures = 0
         return []
 
-    def disconnected(self, name: InstanceId, now_s: float) -> None:
+    def on_disconnected(self, name: InstanceId, now_s: float) -> None:
         """Take the end of a link, or of a dial."""
         link = self._links.get(name)
         if link is None or not (link.is_up or link.dialing):
@@ -98,13 +98,13 @@
         self._put_off(link, now_s)
         self._forget()
 
-    def heard(self, name: InstanceId, now_s: float) -> None:
+    def record_activity(self, name: InstanceId, now_s: float) -> None:
         """Note a sign of life."""
         link = self._links.get(name)
         if link is not None:
             link.heard_s = now_s
 
-    def advance(self, now_s: float) -> list[Action]:
+    def maintain(self, now_s: float) -> list[Action]:
         """Close silent and unwanted links; dial those that are due."""
         actions: list[Action] = []
         for name, link in self._links.items():
@@ -118,7 +118,7 @@
         self._forget()
         return actions + self._dial_due(now_s)
 
-    def missing(self, now_s: float) -> list[InstanceId]:
+    def silent_peers(self, now_s: float) -> list[InstanceId]:
         """Give the wanted peers that were silent for too long."""
         silent_since_s = now_s - self._settings.suspect_s
         return [
@@ -127,7 +127,7 @@
             if link.wanted and link.heard_s <= silent_since_s
         ]
 
-    def excuse(self, now_s: float) -> None:
+    def reset_silence(self, now_s: float) -> None:
         """Start all peers' silence anew.
 
         After a pause of this process everyone seems to have been silent for
--- a/packages/core/dandelionyoke_core/_members.py
+++ b/packages/core/dandelionyoke_core/_members.py
@@ -25,7 +25,7 @@
     instance: Instance
     state: MemberState
     version: int = 0
-    dead_at_s: float = 0
+    suspicion_expires_s: float = 0
 
 
 class Members:
@@ -55,7 +55,7 @@
         """Give the live instances with their addresses."""
         return [self._members[name].instance for name in self.live]
 
-    def take_list(self, instances: Iterable[Instance]) -> list[InstanceId]:
+    def apply_list(self, instances: Iterable[Instance]) -> list[InstanceId]:
         """Take the platform's list, which lags; return what it adds."""
         self._listed = {
             instance.instance_id: instance for instance in instances
@@ -72,7 +72,7 @@
         self._drop_unlisted()
         return added
 
-    def take_record(self, record: MemberRecord, now_s: float) -> None:
+    def apply_record(self, record: MemberRecord, now_s: float) -> None:
         """Take what an instance, or a peer that misses it, says."""
         instance_id = record.instance.instance_id
         member = self._members.get(instance_id)
@@ -89,7 +89,7 @@
         member.state = record.state
         member.version = record.version
         if record.state is MemberState.SUSPECTED and not was_suspected:
-            member.dead_at_s = now_s + self._grace_s
+            member.suspicion_expires_s = now_s + self._grace_s
 
     def refresh(self, now_s: float) -> bool:
         """Work the live lists out again; tell whether they changed."""
@@ -114,16 +114,16 @@
         )
         return True
 
-    def next_death_s(self, now_s: float) -> float | None:
+    def next_suspicion_expiry_s(self, now_s: float) -> float | None:
         """Tell when the next suspected instance stops counting as live."""
         deaths = (
-            member.dead_at_s
+            member.suspicion_expires_s
             for member in self._members.values()
             if member.state is MemberState.SUSPECTED
         )
         return min((at_s for at_s in deaths if at_s > now_s), default=None)
 
-    def dead_but_listed(self) -> list[Instance]:
+    def suspected_but_listed(self) -> list[Instance]:
         """Give the suspected instances that the platform still lists."""
         return [
             member.instance
@@ -155,5 +155,5 @@
 
 def _is_live(member: Member, now_s: float) -> bool:
     if member.state is MemberState.SUSPECTED:
-        return now_s < member.dead_at_s
+        return now_s < member.suspicion_expires_s
     return member.state is MemberState.LIVE
--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -30,9 +30,9 @@
     MemberState,
     RecordBatch,
     RecordSummary,
-    member_key,
-    next_announcement,
-    suspicion_of,
+    member_record_key,
+    next_announcement_version,
+    suspicion_version,
 )
 from dandelionyoke_core._membership_settings import MembershipSettings
 from dandelionyoke_core._names import InstanceId
@@ -80,7 +80,9 @@
         self._random = random
         self._version = incarnation * VERSIONS_PER_INCARNATION
         self._state = MemberState.LIVE
-        self._members = Members(own, settings.grace_s, settings.max_members)
+        self._members = Members(
+            own, settings.suspicion_timeout_s, settings.max_members
+        )
         self._links = Links(own.instance_id, settings.links)
         self._courier = Courier(own, settings.gossip)
         self._accused: dict[InstanceId, float] = {}
@@ -111,7 +113,7 @@
     @property
     def linked(self) -> tuple[InstanceId, ...]:
         """Peers that a link is up to."""
-        return tuple(self._links.up())
+        return tuple(self._links.connected_peers())
 
     def next_wakeup_s(self) -> float | None:
         """Tell when this part has to be woken, or None."""
@@ -125,7 +127,7 @@
         if self._tick_due_s is not None and now_s >= self._tick_due_s:
             outputs.extend(self._tick(now_s))
         outputs.extend(self._refresh(now_s))
-        outputs.extend(self._courier.flush(self._links.up()))
+        outputs.extend(self._courier.flush(self._links.connected_peers()))
         return outputs
 
     def _take(self, event: Event, now_s: float) -> list[Output]:
@@ -137,10 +139,10 @@
             case PeerConnected(peer_id=peer_id):
                 return self._greet(peer_id, now_s)
             case PeerDisconnected(peer_id=peer_id):
-                self._links.disconnected(peer_id, now_s)
+                self._links.on_disconnected(peer_id, now_s)
                 self._courier.forget(peer_id)
             case PeerMessageArrived(peer_id=peer_id, message=message):
-                self._links.heard(peer_id, now_s)
+                self._links.record_activity(peer_id, now_s)
                 return self._take_message(peer_id, message, now_s)
             case ShareRecord(record=record, everywhere=everywhere):
                 self._courier.share(record, everywhere, now_s)
@@ -151,8 +153,11 @@
 
     def _notice_stall(self, now_s: float) -> None:
         due_s = self._tick_due_s
-        if due_s is not None and now_s - due_s > self._settings.stall_s:
-            self._links.excuse(now_s)
+        if (
+            due_s is not None
+            and now_s - due_s > self._settings.stall_threshold_s
+        ):
+            self._links.reset_silence(now_s)
 
     # Time.
 
@@ -163,9 +168,11 @@
         return [PeersKnown(self.live, self.live_in_domain)]
 
     def _tick(self, now_s: float) -> list[Output]:
-        self._tick_due_s = now_s + self._jitter(self._settings.heartbeat_s)
+        self._tick_due_s = now_s + self._jitter(
+            self._settings.heartbeat_interval_s
+        )
         self._courier.expire(now_s)
-        outputs: list[Output] = list(self._links.advance(now_s))
+        outputs: list[Output] = list(self._links.maintain(now_s))
         outputs.extend(self._beat())
         outputs.extend(self._accuse(now_s))
         if now_s >= self._announce_due_s:
@@ -184,21 +191,25 @@
         of it is listed, and would stay strangers until the next reading.
         """
         if len(self.live) > 1:
-            return self._settings.list_every_s
-        return self._settings.list_alone_s
+            return self._settings.list_interval_s
+        return self._settings.isolated_list_interval_s
 
     def _beat(self) -> list[Action]:
         self._beats += 1
         beat = Heartbeat(self._beats)
-        return [SendPeer(peer_id, beat) for peer_id in self._links.up()]
+        return [
+            SendPeer(peer_id, beat) for peer_id in self._links.connected_peers()
+        ]
 
     def _jitter(self, pause_s: float) -> float:
         return pause_s * self._random.uniform(0.9, 1.1)
 
     def _probe(self, now_s: float) -> list[Action]:
         """Try one of the dead: a cut may be over, and no one else would."""
-        self._probe_due_s = now_s + self._jitter(self._settings.probe_every_s)
-        dead = self._members.dead_but_listed()
+        self._probe_due_s = now_s + self._jitter(
+            self._settings.probe_interval_s
+        )
+        dead = self._members.suspected_but_listed()
         if not dead:
             return []
         chosen = self._random.choice(dead)
@@ -207,11 +218,11 @@
     # Members.
 
     def _take_list(self, instances: tuple[Instance, ...], now_s: float) -> None:
-        for instance_id in self._members.take_list(instances):
+        for instance_id in self._members.apply_list(instances):
             # The list may show again, for a while, what was dropped.
-            record = self._courier.find(member_key(instance_id))
+            record = self._courier.find(member_record_key(instance_id))
             if isinstance(record, MemberRecord):
-                self._members.take_record(record, now_s)
+                self._members.apply_record(record, now_s)
         self._is_dirty = True
 
     def _refresh(self, now_s: float) -> list[Output]:
@@ -224,8 +235,8 @@
             self._is_dirty = False
             if self._members.refresh(now_s):
                 outputs.append(PeersKnown(self.live, self.live_in_domain))
-                self._relink_due_s = now_s + self._settings.relink_after_s
-            self._death_due_s = self._members.next_death_s(now_s)
+                self._relink_due_s = now_s + self._settings.relink_delay_s
+            self._death_due_s = self._members.next_suspicion_expiry_s(now_s)
         if self._relink_due_s is not None and now_s >= self._relink_due_s:
             self._relink_due_s = None
             outputs.extend(self._relink(now_s))
@@ -239,7 +250,7 @@
             for instance in live
             if instance.instance_id in chosen
         }
-        return self._links.want(addresses, now_s)
+        return self._links.set_wanted(addresses, now_s)
 
     def _accuse(self, now_s: float) -> list[Output]:
         outputs: list[Output] = []
@@ -248,7 +259,7 @@
             for name, until_s in self._accused.items()
             if now_s < until_s
         }
-        for instance_id in self._links.missing(now_s):
+        for instance_id in self._links.silent_peers(now_s):
             member = self._members.find(instance_id)
             if member is None or member.state is MemberState.SUSPECTED:
                 continue
@@ -257,8 +268,10 @@
                 # way to it is broken, and accusing it each second would
                 # flood the peers with records.
                 continue
-            self._accused[instance_id] = now_s + self._settings.accuse_again_s
-            version = suspicion_of(member.version)
+            self._accused[instance_id] = (
+                now_s + self._settings.resuspect_after_s
+            )
+            version = suspicion_version(member.version)
             suspicion = self._record(
                 member.instance, version, MemberState.SUSPECTED
             )
@@ -269,9 +282,9 @@
 
     def _announce(self, now_s: float) -> None:
         self._announce_due_s = now_s + self._jitter(
-            self._settings.announce_every_s
+            self._settings.announce_interval_s
         )
-        self._version = next_announcement(self._version)
+        self._version = next_announcement_version(self._version)
         self._keep_member(
             self._record(self._own, self._version, self._state), now_s
         )
@@ -280,7 +293,7 @@
         self, instance: Instance, version: int, state: MemberState
     ) -> MemberRecord:
         return MemberRecord(
-            record_key=member_key(instance.instance_id),
+            record_key=member_record_key(instance.instance_id),
             version=version,
             lifetime_s=self._settings.member_lifetime_s,
             instance=instance,
@@ -290,11 +303,11 @@
 
     def _keep_member(self, record: MemberRecord, now_s: float) -> None:
         self._courier.share(record, everywhere=True, now_s=now_s)
-        self._members.take_record(record, now_s)
+        self._members.apply_record(record, now_s)
         self._is_dirty = True
 
     def _take_member(self, record: MemberRecord, now_s: float) -> list[Output]:
-        self._members.take_record(record, now_s)
+        self._members.apply_record(record, now_s)
         self._is_dirty = True
         if record.instance.instance_id != self._own.instance_id:
             return []
@@ -309,7 +322,7 @@
     # Records and links.
 
     def _greet(self, peer_id: InstanceId, now_s: float) -> list[Output]:
-        refusal = self._links.connected(peer_id, now_s)
+        refusal = self._links.on_connected(peer_id, now_s)
         if refusal:
             return list(refusal)
         self._accused.pop(peer_id, None)
--- a/packages/core/dandelionyoke_core/_membership_messages.py
+++ b/packages/core/dandelionyoke_core/_membership_messages.py
@@ -66,16 +66,16 @@
     versions: Mapping[str, int]
 
 
-def member_key(instance_id: InstanceId) -> str:
+def member_record_key(instance_id: InstanceId) -> str:
     """Name the record of an instance."""
     return f'member/{instance_id}'
 
 
-def next_announcement(version: int) -> int:
+def next_announcement_version(version: int) -> int:
     """Give the version with which an instance outbids what is said of it."""
     return (version // 2 + 1) * 2
 
 
-def suspicion_of(version: int) -> int:
+def suspicion_version(version: int) -> int:
     """Give the version of a suspicion of what was said last."""
     return version // 2 * 2 + 1
--- a/packages/core/dandelionyoke_core/_membership_settings.py
+++ b/packages/core/dandelionyoke_core/_membership_settings.py
@@ -12,15 +12,15 @@
 class MembershipSettings:
     """How an instance finds its peers, and when it misses one."""
 
-    heartbeat_s: float = 1.0
-    stall_s: float = 2.0
-    grace_s: float = 2.0
-    accuse_again_s: float = 30.0
-    list_every_s: float = 30.0
-    list_alone_s: float = 2.0
-    probe_every_s: float = 10.0
-    relink_after_s: float = 0.3
-    announce_every_s: float = 1800.0
+    heartbeat_interval_s: float = 1.0
+    stall_threshold_s: float = 2.0
+    suspicion_timeout_s: float = 2.0
+    resuspect_after_s: float = 30.0
+    list_interval_s: float = 30.0
+    isolated_list_interval_s: float = 2.0
+    probe_interval_s: float = 10.0
+    relink_delay_s: float = 0.3
+    announce_interval_s: float = 1800.0
     member_lifetime_s: float = 5400.0
     max_members: int = 2048
     seeds: tuple[Instance, ...] = ()
--- a/packages/core/dandelionyoke_core/_observation.py
+++ b/packages/core/dandelionyoke_core/_observation.py
@@ -56,7 +56,7 @@
             )
 
 
-def share_loads(
+def make_loads_record(
     key: str,
     version: int,
     lifetime_s: float,
@@ -83,21 +83,21 @@
     )
 
 
-def is_watched_by_all(
+def polls_all_targets(
     settings: RoutingSettings, live_in_domain: tuple[InstanceId, ...]
 ) -> bool:
     """Tell whether the domain is small enough that all read all."""
     return len(live_in_domain) <= settings.poll_all_below_entries
 
 
-def watched(
+def targets_to_poll(
     settings: RoutingSettings,
     instance_id: InstanceId,
     live_in_domain: tuple[InstanceId, ...],
     targets: Iterable[Target],
 ) -> frozenset[TargetId]:
     """Name the targets that this entry has to read."""
-    if is_watched_by_all(settings, live_in_domain):
+    if polls_all_targets(settings, live_in_domain):
         return frozenset(target.target_id for target in targets)
     return frozenset(
         target.target_id
--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -7,9 +7,9 @@
 from dandelionyoke_core._names import Domain, InstanceId, ServiceName
 from dandelionyoke_core._notices import ShareRecord
 from dandelionyoke_core._observation import (
-    is_watched_by_all,
-    share_loads,
-    watched,
+    polls_all_targets,
+    make_loads_record,
+    targets_to_poll,
 )
 from dandelionyoke_core._ports import Output, Peers
 from dandelionyoke_core._rendezvous import rendezvous
@@ -126,7 +126,7 @@
             for state in self._table.every()
             if state.target.domain == self._domain
         ]
-        names = watched(
+        names = targets_to_poll(
             self._settings,
             self._instance_id,
             self._peers.live_in_domain,
@@ -155,7 +155,7 @@
 
     def _share(self, now_s: float) -> list[Output]:
         here = self._peers.live_in_domain
-        if is_watched_by_all(self._settings, here):
+        if polls_all_targets(self._settings, here):
             return []
         since_s = now_s - self._settings.poll_interval_s * MISSED_POLLS
         states = [one for one in self._watched() if self._tells(one, now_s)]
@@ -163,7 +163,7 @@
         silent = [state for state in states if state.failures]
         if not heard and not silent:
             return self._share_changes(now_s)
-        record = share_loads(
+        record = make_loads_record(
             f'loads/{self._instance_id}',
             self._next_version(),
             self._settings.share_lifetime_s,
@@ -200,7 +200,7 @@
 
     def _is_lister(self) -> bool:
         here = self._peers.live_in_domain
-        if is_watched_by_all(self._settings, here):
+        if polls_all_targets(self._settings, here):
             return True
         listers = rendezvous(here, 'targets', self._settings.watchers)
         return self._instance_id in listers
--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -63,11 +63,11 @@
         suspect = self._suspects.find(fingerprint, now_s)
         if suspect is None:
             return None
-        convicted_s = suspect.convicted_s
-        if convicted_s is None:
+        quarantined_s = suspect.quarantined_s
+        if quarantined_s is None:
             tried = self._is_tried(fingerprint, now_s)
             return self._wait() if tried else None
-        if now_s < convicted_s + self._settings.outage_window_s:
+        if now_s < quarantined_s + self._settings.outage_window_s:
             return self._wait()
         return _quarantined(self._settings.quarantine_s)
 
@@ -154,16 +154,16 @@
         if suspect is None:
             self._suspects.suspect(fingerprint, now_s)
             return [self._share(fingerprint, Suspicion.SUSPECT)]
-        if not run.trial or suspect.convicted_s is not None:
+        if not run.trial or suspect.quarantined_s is not None:
             # A copy that was already running when the first engine crashed.
             # A prompt that many callers share runs on many engines at once,
             # and any two crashes would condemn it.
             return []
         if incident.suspects - {fingerprint}:
-            suspect.joint += 1
-            if suspect.joint < self._settings.joint_limit:
+            suspect.shared_crashes += 1
+            if suspect.shared_crashes < self._settings.shared_crash_limit:
                 return []
-        self._suspects.convict(fingerprint, now_s)
+        self._suspects.quarantine(fingerprint, now_s)
         return [self._share(fingerprint, Suspicion.CONVICTED)]
 
     def _incident(self, run: Run, now_s: float) -> Incident:
@@ -193,7 +193,7 @@
         since_s = now_s - self._settings.outage_window_s
         return [
             self._share(fingerprint, Suspicion.CLEARED)
-            for fingerprint in self._suspects.blamed_since(since_s)
+            for fingerprint in self._suspects.flagged_since(since_s)
             if self._suspects.clear(fingerprint)
         ]
 
@@ -224,7 +224,7 @@
             case Suspicion.CLEARED:
                 self._suspects.clear(fingerprint)
             case Suspicion.CONVICTED:
-                self._suspects.convict(fingerprint, now_s)
+                self._suspects.quarantine(fingerprint, now_s)
             case Suspicion.SUSPECT:
                 self._suspects.suspect(fingerprint, now_s)
                 return list(map(self._announce, self._runs.copies(fingerprint)))
--- a/packages/core/dandelionyoke_core/_quarantine_settings.py
+++ b/packages/core/dandelionyoke_core/_quarantine_settings.py
@@ -21,7 +21,7 @@
     quarantine_s: float = 86_400.0
     outage_window_s: float = 2.0
     outage_engines: int = 3
-    joint_limit: int = 2
+    shared_crash_limit: int = 2
     lost_window_s: float = 30.0
     trial_lifetime_s: float = 300.0
     retry_after_s: float = 1.0
--- a/packages/core/dandelionyoke_core/_suspects.py
+++ b/packages/core/dandelionyoke_core/_suspects.py
@@ -16,9 +16,9 @@
     that nothing is proved by them.
     """
 
-    since_s: float
-    joint: int = 0
-    convicted_s: float | None = None
+    suspected_s: float
+    shared_crashes: int = 0
+    quarantined_s: float | None = None
 
 
 class Suspects:
@@ -51,25 +51,25 @@
         while len(self._suspects) > self._settings.max_suspects:
             self._suspects.popitem(last=False)
 
-    def convict(self, fingerprint: str, now_s: float) -> None:
+    def quarantine(self, fingerprint: str, now_s: float) -> None:
         """Hold a request for the cause of its crashes."""
         self.suspect(fingerprint, now_s)
         suspect = self._suspects[fingerprint]
-        if suspect.convicted_s is None:
-            suspect.convicted_s = now_s
+        if suspect.quarantined_s is None:
+            suspect.quarantined_s = now_s
 
     def clear(self, fingerprint: str) -> bool:
         """Drop a suspicion; False if there was none."""
         return self._suspects.pop(fingerprint, None) is not None
 
-    def blamed_since(self, since_s: float) -> Iterator[str]:
+    def flagged_since(self, since_s: float) -> Iterator[str]:
         """Go through the requests that were blamed since a time."""
         for fingerprint, suspect in tuple(self._suspects.items()):
-            blamed_s = max(suspect.since_s, suspect.convicted_s or 0)
+            blamed_s = max(suspect.suspected_s, suspect.quarantined_s or 0)
             if blamed_s >= since_s:
                 yield fingerprint
 
     def _until_s(self, suspect: Suspect) -> float:
-        if suspect.convicted_s is not None:
-            return suspect.convicted_s + self._settings.quarantine_s
-        return suspect.since_s + self._settings.suspect_lifetime_s
+        if suspect.quarantined_s is not None:
+            return suspect.quarantined_s + self._settings.quarantine_s
+        return suspect.suspected_s + self._settings.suspect_lifetime_s
