--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -1,4 +1,4 @@
-"""A whole node: which parts it has and how they know each other."""
+"""Builds a node from its parts and wires them together."""
 
 from random import Random
 
@@ -39,9 +39,9 @@
 
 @attrs.frozen
 class NodeSettings:
-    """The settings of every part of a node.
+    """Settings of every part of a node.
 
-    `incarnation` is higher for each start under one instance id: seconds
+    `incarnation` increases with each start under one instance id: seconds
     since the epoch at the start.
     """
 
@@ -65,10 +65,10 @@
 
 
 class Node:
-    """One entry's decisions behind a single `handle`.
+    """All decision logic of one entry behind a single `handle` method.
 
-    Nothing that decides lives outside it, so that a test can run many nodes
-    in one process and replay a run from its seed.
+    It contains all decision logic, so that a test can run many nodes in one
+    process and replay a run from its seed.
     """
 
     def __init__(self, settings: NodeSettings, random: Random) -> None:
@@ -144,8 +144,9 @@
             lambda: self.leaving,
             lambda: self.request.in_progress,
         )
-        # The lifecycle comes before the requests: after a second signal they
-        # end all calls, and nothing would seem to have been cut.
+        # The lifecycle part handles an event before the request part: after
+        # a second signal the request part ends all calls, and the lifecycle
+        # part would then see none in progress and report a clean exit.
         self._parts = Composition(
             (
                 self.lifecycle,
@@ -167,13 +168,13 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the node was asked to leave."""
+        """Whether a shutdown was requested."""
         return self.lifecycle.leaving
 
     def handle(self, event: Event, now_s: float) -> list[Action]:
-        """Take one event; return the actions that follow, in order."""
+        """Handle one event and return the resulting actions in order."""
         return self._parts.handle(event, now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next `Woken` is due, or None."""
+        """Return the time at which the next `Woken` is due, or None."""
         return self._parts.next_wakeup_s()
--- a/packages/core/dandelionyoke_core/_demand.py
+++ b/packages/core/dandelionyoke_core/_demand.py
@@ -1,9 +1,10 @@
-"""What is asked for: at this entry, and at the others as they tell of it.
+"""Demand per organisation, measured at this entry and shared by other entries.
 
-Each entry shares one small record. In a small fleet every entry hears every
-other. In a large one it hears those of its domain, and for each other
-domain a sum that one entry there, picked by rendezvous hashing, shares: so
-what an entry hears does not grow with the fleet.
+Each entry shares one small record. In a small fleet every entry receives
+the record of every other. In a large one it receives the records of its own
+domain, and for each other domain one sum, shared by an entry there that
+rendezvous hashing selects. The volume that an entry receives therefore does
+not grow with the fleet.
 """
 
 from collections.abc import Iterable, Mapping
@@ -29,8 +30,8 @@
 
 
 @attrs.frozen
-class Asked:
-    """Demand of an organisation, a second."""
+class DemandRate:
+    """Demand of an organisation, per second."""
 
     tokens_per_s: float = 0
     calls_per_s: float = 0
@@ -38,10 +39,10 @@
 
 @attrs.frozen
 class DemandShared(SharedRecord):
-    """Demand at one entry, or the sum over its domain; in columns.
+    """Demand at one entry, or the sum over its domain, stored in columns.
 
-    `mix` is told in small fleets only; in a large one an entry's own part
-    of the work is sample enough.
+    `mix` is shared in small fleets only; in a large one an entry's own work
+    is a sufficient sample.
     """
 
     instance_id: InstanceId
@@ -51,36 +52,41 @@
     calls_per_s: tuple[float, ...]
     mix: tuple[MixRow, ...] = ()
 
-    def asked(self) -> dict[OrganisationId, Asked]:
-        """Give the demand of each organisation."""
+    def asked(self) -> dict[OrganisationId, DemandRate]:
+        """Return the demand of each organisation."""
         columns = zip(
             self.organisations,
             self.tokens_per_s,
             self.calls_per_s,
             strict=False,
         )
-        return {name: Asked(tokens, calls) for name, tokens, calls in columns}
+        return {
+            name: DemandRate(tokens, calls) for name, tokens, calls in columns
+        }
 
 
 @attrs.define
-class Heard:
-    """The last record of an entry, and when it came."""
+class ReceivedDemand:
+    """The last record received from an entry, and when it arrived."""
 
     record: DemandShared
-    heard_s: float
-    asked: dict[OrganisationId, Asked]
+    received_s: float
+    asked: dict[OrganisationId, DemandRate]
 
 
 @attrs.define
-class OwnDemand:
-    """One organisation's demand at this entry, and its limits."""
+class LocalDemand:
+    """Demand of one organisation at this entry, and its limits."""
 
     organisation: Organisation
     tokens: DecayingRate
     calls: DecayingRate
 
-    def presses(self, entries: int, share: float, now_s: float) -> bool:
-        """Tell whether it asks for much of an equal part of its limits."""
+    def exceeds_share(self, entries: int, share: float, now_s: float) -> bool:
+        """Return whether demand exceeds `share` of an equal part of the limits.
+
+        The equal part is the organisation's limits divided by `entries`.
+        """
         limits = self.organisation
         part = share / entries
         if self.tokens.per_s(now_s) > limits.tokens_per_s * part:
@@ -89,7 +95,7 @@
 
 
 class DemandTable:
-    """Demand here and elsewhere."""
+    """Tracks local demand and the demand that other entries report."""
 
     def __init__(
         self,
@@ -101,59 +107,63 @@
         self._settings = settings
         self._peers = peers
         self._instance_id = instance_id
-        self._own: dict[OrganisationId, OwnDemand] = {}
-        self._told: dict[OrganisationId, Asked] = {}
-        self._heard: dict[InstanceId, Heard] = {}
+        self._local: dict[OrganisationId, LocalDemand] = {}
+        self._last_shared: dict[OrganisationId, DemandRate] = {}
+        self._received: dict[InstanceId, ReceivedDemand] = {}
         self._version = 0
-        self._has_told = False
-        self._next_s: float | None = None
-        self._shared_s: float | None = None
+        self._has_shared_demand = False
+        self._next_share_s: float | None = None
+        self._last_shared_s: float | None = None
 
     def count(self, ticket: Ticket, output_tokens: float, now_s: float) -> None:
-        """Count a call that was asked for, whether it is served or not."""
+        """Count an incoming call, whether it is served or not."""
         name = ticket.organisation.organisation_id
-        own = self._own.get(name)
+        own = self._local.get(name)
         if own is None:
-            self._make_room(now_s)
+            self._evict_least_active(now_s)
             window_s = self._settings.rate_window_s
-            own = OwnDemand(
+            own = LocalDemand(
                 ticket.organisation,
                 DecayingRate(window_s),
                 DecayingRate(window_s),
             )
-            self._own[name] = own
+            self._local[name] = own
         own.organisation = ticket.organisation
         own.tokens.add(ticket.prompt_tokens + output_tokens, now_s)
         own.calls.add(1, now_s)
 
     def learn(self, record: DemandShared, now_s: float) -> None:
-        """Take in what another entry tells."""
-        self._heard[record.instance_id] = Heard(record, now_s, record.asked())
+        """Store a record received from another entry."""
+        self._received[record.instance_id] = ReceivedDemand(
+            record, now_s, record.asked()
+        )
 
-    def told(self, name: OrganisationId) -> Asked:
-        """Give an organisation's demand here, as the others know it."""
-        return self._told.get(name, Asked())
+    def told(self, name: OrganisationId) -> DemandRate:
+        """Return the local demand that this entry shared last."""
+        return self._last_shared.get(name, DemandRate())
 
-    def elsewhere(self, name: OrganisationId, now_s: float) -> Asked | None:
-        """Add up what is heard of an organisation; None: nobody is heard."""
-        heard = list(self._fresh(now_s))
+    def elsewhere(
+        self, name: OrganisationId, now_s: float
+    ) -> DemandRate | None:
+        """Sum the demand at other entries; None without a current record."""
+        heard = list(self._current_records(now_s))
         if not heard:
             return None
-        found = [one.asked.get(name, Asked()) for one in heard]
-        return Asked(
+        found = [one.asked.get(name, DemandRate()) for one in heard]
+        return DemandRate(
             sum(one.tokens_per_s for one in found),
             sum(one.calls_per_s for one in found),
         )
 
     def mix(self, service: ServiceName, now_s: float) -> tuple[MixRow, ...]:
-        """Estimate the work that all entries are asked for."""
+        """Estimate the demand on all entries, per ratio of prompt to output."""
         own = self.meter.rows(service, now_s)
         live = self._peers.live
-        if not self._is_small():
+        if not self._is_small_fleet():
             return tuple(row.scaled(len(live)) for row in own)
         heard = [
             row
-            for one in self._fresh(now_s)
+            for one in self._current_records(now_s)
             if one.record.instance_id in live
             for row in one.record.mix
             if row.service == service
@@ -161,50 +171,50 @@
         return (*own, *heard)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the demand is to be shared again."""
-        return self._next_s
+        """Return the time at which demand is shared next, or None."""
+        return self._next_share_s
 
     def start(self, now_s: float, wall_s: float) -> None:
-        """Begin to share; versions go on from the clock's.
+        """Start sharing, with versions derived from the wall clock.
 
-        A process that starts again under its instance's name would else
-        begin with versions that its peers take for old.
+        A process that restarts under the same instance id would otherwise
+        begin with versions that its peers reject as old.
         """
         self._version = int(wall_s * VERSIONS_PER_S)
-        self._next_s = now_s
+        self._next_share_s = now_s
 
     def share(self, now_s: float) -> list[Output]:
-        """Share the demand here, when it is due."""
-        if self._next_s is None or now_s < self._next_s:
+        """Share the local demand, and the domain sum, when due."""
+        if self._next_share_s is None or now_s < self._next_share_s:
             return []
-        self._next_s = now_s + self._interval_s()
-        self._told = self._own_asked(now_s)
-        is_small = self._is_small()
+        self._next_share_s = now_s + self._interval_s()
+        self._last_shared = self._local_demand(now_s)
+        is_small = self._is_small_fleet()
         mix = self.meter.every_row(now_s) if is_small else ()
-        record = self._record(self._told, is_sum=False, mix=mix)
+        record = self._make_record(self._last_shared, is_sum=False, mix=mix)
         outputs: list[Output] = []
-        has_news = bool(self._told or self._has_told or mix)
-        if has_news or (is_small and self._is_forgotten_soon(now_s)):
-            self._shared_s = now_s
+        has_content = bool(self._last_shared or self._has_shared_demand or mix)
+        if has_content or (is_small and self._needs_refresh(now_s)):
+            self._last_shared_s = now_s
             outputs.append(ShareRecord(record, is_small))
-        # One empty record takes back what was told before it.
-        self._has_told = bool(self._told)
-        if not is_small and self._is_summing():
-            total = self._record(self._domain_asked(now_s), is_sum=True)
+        # One empty record replaces the demand that was shared before.
+        self._has_shared_demand = bool(self._last_shared)
+        if not is_small and self._shares_domain_sum():
+            total = self._make_record(self._domain_demand(now_s), is_sum=True)
             if total.organisations:
                 outputs.append(ShareRecord(total, everywhere=True))
         return outputs
 
-    def _record(
+    def _make_record(
         self,
-        asked: Mapping[OrganisationId, Asked],
+        asked: Mapping[OrganisationId, DemandRate],
         *,
         is_sum: bool,
         mix: tuple[MixRow, ...] = (),
     ) -> DemandShared:
         self._version += 1
         kind = 'demand-sum' if is_sum else 'demand'
-        names = _most_asked(asked, self._settings.shared_organisations)
+        names = _highest_demand(asked, self._settings.shared_organisations)
         return DemandShared(
             record_key=f'{kind}/{self._instance_id}',
             version=self._version,
@@ -221,93 +231,102 @@
             mix=mix,
         )
 
-    def _own_asked(self, now_s: float) -> dict[OrganisationId, Asked]:
-        """Give the demand that the others have to know.
+    def _local_demand(self, now_s: float) -> dict[OrganisationId, DemandRate]:
+        """Return the local demand that other entries need to know.
 
-        In a large fleet that is what presses: an organisation that asks for
-        less than an equal part of its limits is served without any news.
+        In a large fleet only organisations near an equal part of their
+        limits are included: one that demands less is served without any
+        coordination.
         """
-        share = 0 if self._is_small() else self._settings.pressing_share
+        share = 0 if self._is_small_fleet() else self._settings.pressing_share
         entries = max(1, len(self._peers.live))
         return {
-            name: Asked(own.tokens.per_s(now_s), own.calls.per_s(now_s))
-            for name, own in self._own.items()
-            if own.presses(entries, share, now_s)
+            name: DemandRate(own.tokens.per_s(now_s), own.calls.per_s(now_s))
+            for name, own in self._local.items()
+            if own.exceeds_share(entries, share, now_s)
         }
 
-    def _domain_asked(self, now_s: float) -> dict[OrganisationId, Asked]:
-        here = set(self._peers.live_in_domain)
+    def _domain_demand(self, now_s: float) -> dict[OrganisationId, DemandRate]:
+        local_entries = set(self._peers.live_in_domain)
         parts = [
             one.asked
-            for one in self._fresh(now_s)
-            if not one.record.is_sum and one.record.instance_id in here
+            for one in self._current_records(now_s)
+            if not one.record.is_sum and one.record.instance_id in local_entries
         ]
-        sums: dict[OrganisationId, Asked] = {}
-        for part in (self._told, *parts):
+        sums: dict[OrganisationId, DemandRate] = {}
+        for part in (self._last_shared, *parts):
             for name, asked in part.items():
-                before = sums.get(name, Asked())
-                sums[name] = Asked(
+                before = sums.get(name, DemandRate())
+                sums[name] = DemandRate(
                     before.tokens_per_s + asked.tokens_per_s,
                     before.calls_per_s + asked.calls_per_s,
                 )
         return sums
 
-    def _fresh(self, now_s: float) -> Iterable[Heard]:
-        """Give the records that count, and forget those that are old."""
+    def _current_records(self, now_s: float) -> Iterable[ReceivedDemand]:
+        """Return the current records and drop the expired ones.
+
+        A sum shared by an entry of this domain is left out, since the
+        records of the single entries are received too.
+        """
         since_s = now_s - self._lifetime_s()
         old = [
-            name for name, one in self._heard.items() if one.heard_s < since_s
+            name
+            for name, one in self._received.items()
+            if one.received_s < since_s
         ]
         for name in old:
-            self._heard.pop(name)
-        here = set(self._peers.live_in_domain)
+            self._received.pop(name)
+        local_entries = set(self._peers.live_in_domain)
         return [
             one
-            for name, one in self._heard.items()
-            if not (one.record.is_sum and name in here)
+            for name, one in self._received.items()
+            if not (one.record.is_sum and name in local_entries)
         ]
 
-    def _is_small(self) -> bool:
+    def _is_small_fleet(self) -> bool:
         return len(self._peers.live) <= self._settings.share_all_below_entries
 
-    def _is_summing(self) -> bool:
-        here = self._peers.live_in_domain
-        return self._instance_id in rendezvous(here, 'demand-sum', 1)
+    def _shares_domain_sum(self) -> bool:
+        local_entries = self._peers.live_in_domain
+        return self._instance_id in rendezvous(local_entries, 'demand-sum', 1)
 
-    def _is_forgotten_soon(self, now_s: float) -> bool:
-        """Tell whether the others would soon take this entry for unheard.
+    def _needs_refresh(self, now_s: float) -> bool:
+        """Return whether the last shared record is about to expire at peers.
 
-        An entry that is heard to ask for nothing leaves its part to others;
-        one that is not heard keeps an equal part.
+        An entry that reports no demand leaves its part of the limits to
+        other entries; one without a current record keeps an equal part.
         """
-        if self._shared_s is None:
+        if self._last_shared_s is None:
             return True
-        unheard_s = now_s - self._shared_s
-        return unheard_s + 2 * self._interval_s() >= self._lifetime_s()
+        since_shared_s = now_s - self._last_shared_s
+        return since_shared_s + 2 * self._interval_s() >= self._lifetime_s()
 
     def _interval_s(self) -> float:
-        """Share less often where more share."""
-        here = len(self._peers.live_in_domain)
-        slower = max(1, here / self._settings.share_all_below_entries)
-        return self._settings.demand_interval_s * slower
+        """Return the share interval, longer in a larger domain."""
+        local_entries = len(self._peers.live_in_domain)
+        interval_factor = max(
+            1, local_entries / self._settings.share_all_below_entries
+        )
+        return self._settings.demand_interval_s * interval_factor
 
     def _lifetime_s(self) -> float:
         return self._settings.demand_lifetime_s * max(
             1, self._interval_s() / self._settings.demand_interval_s
         )
 
-    def _make_room(self, now_s: float) -> None:
-        if len(self._own) < MAX_ORGANISATIONS:
+    def _evict_least_active(self, now_s: float) -> None:
+        if len(self._local) < MAX_ORGANISATIONS:
             return
         ranked = sorted(
-            self._own, key=lambda name: self._own[name].calls.amount(now_s)
+            self._local, key=lambda name: self._local[name].calls.amount(now_s)
         )
         for name in ranked[: MAX_ORGANISATIONS // 2]:
-            self._own.pop(name)
+            self._local.pop(name)
 
 
-def _most_asked(
-    asked: Mapping[OrganisationId, Asked], count: int
+def _highest_demand(
+    asked: Mapping[OrganisationId, DemandRate], count: int
 ) -> tuple[OrganisationId, ...]:
     ranked = sorted(asked, key=lambda name: (-asked[name].tokens_per_s, name))
     return tuple(ranked[:count])
--- a/packages/core/dandelionyoke_core/_fleet_notices.py
+++ b/packages/core/dandelionyoke_core/_fleet_notices.py
@@ -1,4 +1,4 @@
-"""What the fleet's decisions ask of the part that gives orders."""
+"""Notices with which the fleet part requests changes from the orders part."""
 
 import attrs
 
@@ -9,11 +9,11 @@
 
 @attrs.frozen
 class RoleWanted(Notice):
-    """An engine should change its role: drain it, order, undrain it.
+    """Requests a role change of an engine: drain, change role, undrain.
 
-    It is asked for again while the target does not report the role; the
-    part that gives the orders takes a repeated wish for the same one.
-    `fence` is the number of the duty under which it was decided.
+    The request is repeated until the target reports the role; the orders
+    part treats a repeated request as the same one. `fence` is the fencing
+    token of the duty under which the change was decided.
     """
 
     target_id: TargetId
@@ -25,9 +25,11 @@
 
 @attrs.frozen
 class TargetsWanted(Notice):
-    """A service should get more targets in a domain, or lose some.
+    """Requests more targets for a service in a domain, or fewer.
 
-    Targets in `remove` have to be drained before they are given back.
+    `add_steady` counts on-demand targets, `add_reclaimable` spot targets.
+    Targets in `remove` must be drained before they are returned to the
+    platform.
     """
 
     service: ServiceName
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -1,4 +1,4 @@
-"""How many targets of which kind a service needs, by cost."""
+"""Scales the number of targets of a service up and down, by load and cost."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -17,16 +17,17 @@
 class SizeDecider:
     """Decides on the number of targets of one service in one domain.
 
-    New targets come too late for a swing, so it looks at the slow mix, and
-    only at what has lasted. Work flows between domains, so it looks at all
-    targets; of the domains, the poorest grows and the richest shrinks. In a
-    cut each side sees its own targets and decides for itself.
+    New targets start too late for a short swing in load, so decisions use
+    the slow work mix and only conditions that have lasted. Work flows
+    between domains, so the load of all targets counts; the domain with the
+    fewest targets adds one and the domain with the most removes one. During
+    a network partition each side sees its own targets and decides alone.
     """
 
     settings: FleetSettings
-    _full_since_s: float | None = None
-    _idle_since_s: float | None = None
-    _quiet_until_s: float = 0.0
+    _overloaded_since_s: float | None = None
+    _underused_since_s: float | None = None
+    _cooldown_until_s: float = 0.0
 
     def decide(
         self,
@@ -36,19 +37,23 @@
         sights: Sequence[TargetSight],
         now_s: float,
     ) -> list[TargetsWanted]:
-        """Ask for one more target, or one less, or nothing."""
+        """Request one more target, one fewer, or no change."""
         usable = [sight for sight in sights if sight.is_usable]
-        here = [one for one in usable if one.target.domain == place.domain]
-        if not here or now_s < self._quiet_until_s:
+        local = [
+            sight for sight in usable if sight.target.domain == place.domain
+        ]
+        if not local or now_s < self._cooldown_until_s:
             return []
-        self._note(rows, usable, now_s)
-        if self._may_grow(place, service, sights, now_s):
-            return self._settle(_grow(place, service, sights), now_s)
-        if self._may_shrink(place, service, sights, now_s):
-            return self._settle(_shrink(place, here), now_s)
+        self._update_load(rows, usable, now_s)
+        if self._should_scale_up(place, service, sights, now_s):
+            return self._start_cooldown(
+                _scale_up(place, service, sights), now_s
+            )
+        if self._should_scale_down(place, service, sights, now_s):
+            return self._start_cooldown(_scale_down(place, local), now_s)
         return []
 
-    def _may_grow(
+    def _should_scale_up(
         self,
         place: FleetPlace,
         service: Service,
@@ -56,13 +61,13 @@
         now_s: float,
     ) -> bool:
         after_s = self.settings.grow_after_s
-        if not _lasted(self._full_since_s, after_s, now_s):
+        if not _has_lasted(self._overloaded_since_s, after_s, now_s):
             return False
-        by_domain = _by_domain(sights)
-        poorest = min(by_domain, key=lambda name: (by_domain[name], name))
-        return len(sights) < service.max_targets and poorest == place.domain
+        by_domain = _counts_by_domain(sights)
+        smallest = min(by_domain, key=lambda name: (by_domain[name], name))
+        return len(sights) < service.max_targets and smallest == place.domain
 
-    def _may_shrink(
+    def _should_scale_down(
         self,
         place: FleetPlace,
         service: Service,
@@ -70,15 +75,15 @@
         now_s: float,
     ) -> bool:
         after_s = self.settings.shrink_after_s
-        if not _lasted(self._idle_since_s, after_s, now_s):
+        if not _has_lasted(self._underused_since_s, after_s, now_s):
             return False
-        by_domain = _by_domain(sights)
-        richest = max(by_domain, key=lambda name: (by_domain[name], name))
-        if len(sights) <= service.min_targets or by_domain[richest] < 2:
+        by_domain = _counts_by_domain(sights)
+        largest = max(by_domain, key=lambda name: (by_domain[name], name))
+        if len(sights) <= service.min_targets or by_domain[largest] < 2:
             return False
-        return richest == place.domain
+        return largest == place.domain
 
-    def _note(
+    def _update_load(
         self,
         rows: Sequence[WorkRow],
         usable: Sequence[TargetSight],
@@ -86,55 +91,69 @@
     ) -> None:
         settings = self.settings
         counts = Counter(sight.role for sight in usable)
-        full = stress(rows, counts, settings.speed) > settings.grow_stress
-        counts[_dearest(usable).role] -= 1
-        less = 0 if full else stress(rows, counts, settings.speed)
-        idle = not full and less < settings.shrink_stress
-        self._full_since_s = _since(full, self._full_since_s, now_s)
-        self._idle_since_s = _since(idle, self._idle_since_s, now_s)
-
-    def _settle(self, wish: TargetsWanted, now_s: float) -> list[TargetsWanted]:
-        self._full_since_s = None
-        self._idle_since_s = None
-        self._quiet_until_s = now_s + self.settings.size_settle_s
-        return [wish]
+        is_overloaded = (
+            stress(rows, counts, settings.speed) > settings.grow_stress
+        )
+        counts[_choose_removal(usable).role] -= 1
+        reduced_stress = (
+            0 if is_overloaded else stress(rows, counts, settings.speed)
+        )
+        is_underused = (
+            not is_overloaded and reduced_stress < settings.shrink_stress
+        )
+        self._overloaded_since_s = _condition_since(
+            is_overloaded, self._overloaded_since_s, now_s
+        )
+        self._underused_since_s = _condition_since(
+            is_underused, self._underused_since_s, now_s
+        )
+
+    def _start_cooldown(
+        self, request: TargetsWanted, now_s: float
+    ) -> list[TargetsWanted]:
+        self._overloaded_since_s = None
+        self._underused_since_s = None
+        self._cooldown_until_s = now_s + self.settings.size_settle_s
+        return [request]
 
 
-def _grow(
+def _scale_up(
     place: FleetPlace, service: Service, sights: Sequence[TargetSight]
 ) -> TargetsWanted:
-    """Take the cheaper kind while its share of the targets allows it."""
+    """Add a spot target while the allowed share permits it, else on-demand."""
     reclaimable = sum(sight.target.reclaimable for sight in sights)
     allowed = service.reclaimable_share * (len(sights) + 1)
-    is_cheap = reclaimable + 1 <= allowed
+    is_spot_allowed = reclaimable + 1 <= allowed
     return TargetsWanted(
         service=place.service,
         domain=place.domain,
         fence=place.fence,
-        reason='the targets have been full for a while',
-        add_steady=int(not is_cheap),
-        add_reclaimable=int(is_cheap),
+        reason='the targets have been saturated for longer than grow_after_s',
+        add_steady=int(not is_spot_allowed),
+        add_reclaimable=int(is_spot_allowed),
     )
 
 
-def _shrink(place: FleetPlace, usable: Sequence[TargetSight]) -> TargetsWanted:
+def _scale_down(
+    place: FleetPlace, usable: Sequence[TargetSight]
+) -> TargetsWanted:
     return TargetsWanted(
         service=place.service,
         domain=place.domain,
         fence=place.fence,
-        reason='one target less would do, and has for a while',
-        remove=(_dearest(usable).target.target_id,),
+        reason='one target fewer has sufficed for longer than shrink_after_s',
+        remove=(_choose_removal(usable).target.target_id,),
     )
 
 
-def _by_domain(sights: Sequence[TargetSight]) -> Counter[Domain]:
+def _counts_by_domain(sights: Sequence[TargetSight]) -> Counter[Domain]:
     return Counter(sight.target.domain for sight in sights)
 
 
-def _dearest(usable: Sequence[TargetSight]) -> TargetSight:
-    """Choose what to give back: a steady target before a cheap one.
+def _choose_removal(usable: Sequence[TargetSight]) -> TargetSight:
+    """Choose the target to remove: on-demand targets before spot targets.
 
-    Of equal ones the one with the least work goes, as it drains soonest.
+    Among equals, choose the one with the fewest calls, which drains first.
     """
     return min(
         usable,
@@ -146,11 +165,13 @@
     )
 
 
-def _since(holds: bool, since_s: float | None, now_s: float) -> float | None:
+def _condition_since(
+    holds: bool, since_s: float | None, now_s: float
+) -> float | None:
     if not holds:
         return None
     return now_s if since_s is None else since_s
 
 
-def _lasted(since_s: float | None, limit_s: float, now_s: float) -> bool:
+def _has_lasted(since_s: float | None, limit_s: float, now_s: float) -> bool:
     return since_s is not None and now_s - since_s >= limit_s
--- a/packages/core/dandelionyoke_core/_fleet_view.py
+++ b/packages/core/dandelionyoke_core/_fleet_view.py
@@ -1,4 +1,4 @@
-"""What the fleet's decisions ask other parts on the spot."""
+"""Protocols and value types through which the fleet part reads other parts."""
 
 from typing import Protocol
 
@@ -11,7 +11,11 @@
 
 @attrs.frozen
 class TargetSight:
-    """A target as routing sees it; `is_reached` if it answers its polls."""
+    """State of a target as known to routing.
+
+    `calls` is the number of calls in progress, `is_usable` whether the
+    target takes new calls, and `is_reached` whether it answers polls.
+    """
 
     target: Target
     role: Role
@@ -21,27 +25,30 @@
 
 
 class TargetView(Protocol):
-    """Shows the targets of a service."""
+    """Provides the targets of a service."""
 
     def sights(
         self, service: ServiceName, now_s: float
     ) -> tuple[TargetSight, ...]:
-        """Show the targets of a service, everywhere."""
+        """Return the targets of a service in all domains."""
 
     def fresh_share(self, service: ServiceName) -> float:
-        """Tell which part of the prompts is not found in caches."""
+        """Return the share of prompt tokens that are not in a KV cache."""
 
 
 class WorkView(Protocol):
-    """Shows what is asked for."""
+    """Provides the current demand."""
 
     def mix(self, service: ServiceName, now_s: float) -> tuple[MixRow, ...]:
-        """Estimate the work that all entries are asked for."""
+        """Estimate the demand on all entries, per ratio of prompt to output."""
 
 
 @attrs.frozen
 class FleetPlace:
-    """Where the decisions are made and for whom."""
+    """Domain and service that a decision covers.
+
+    `fence` is the fencing token of the duty that makes the decision.
+    """
 
     domain: Domain
     service: ServiceName
