--- a/packages/core/dandelionyoke_core/_gossip.py
+++ b/packages/core/dandelionyoke_core/_gossip.py
@@ -1,4 +1,4 @@
-"""The table of shared records, and what of it a link has to carry."""
+"""Table of shared records, and selection of the records to send to a peer."""
 
 import heapq
 from collections.abc import Iterable, Iterator, Mapping
@@ -15,13 +15,17 @@
 
 @attrs.frozen
 class GossipSettings:
-    """How many records are kept; a full table takes no new keys."""
+    """Limit of the record table.
+
+    A full table rejects new keys but still accepts new versions of the keys
+    that it holds.
+    """
 
     max_records: int = 8192
 
 
 @attrs.frozen
-class _Held:
+class _StoredRecord:
     record: SharedRecord
     mapping: Mapping[str, object]
     everywhere: bool
@@ -29,29 +33,29 @@
 
 
 class RecordTable:
-    """The newest version of each shared record, for as long as it lives."""
+    """Stores the newest version of each shared record until it expires."""
 
     def __init__(self, settings: GossipSettings) -> None:
         self._settings = settings
-        self._held: dict[str, _Held] = {}
-        self._expiries: list[tuple[float, str]] = []
+        self._stored: dict[str, _StoredRecord] = {}
+        self._expiry_heap: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._stored)
 
     def find(self, record_key: str) -> SharedRecord | None:
-        """Look a record up."""
-        held = self._held.get(record_key)
-        return None if held is None else held.record
+        """Return the record with this key, or None."""
+        stored = self._stored.get(record_key)
+        return None if stored is None else stored.record
 
     def keep(
         self, record: SharedRecord, everywhere: bool, now_s: float
     ) -> RecordEntry | None:
-        """Take a record of this node; return what links have to carry."""
-        if not self._is_new(record.record_key, record.version):
+        """Store a record of this node; return the entry to send if it is new."""
+        if not self._is_newer(record.record_key, record.version):
             return None
-        return self._hold(
-            _Held(
+        return self._store(
+            _StoredRecord(
                 record=record,
                 mapping=message_to_mapping(record),
                 everywhere=everywhere,
@@ -63,10 +67,14 @@
     def learn(
         self, entry: RecordEntry, now_s: float
     ) -> tuple[SharedRecord, RecordEntry] | None:
-        """Take a peer's record, if it is new here."""
-        # Most of what arrives is known already; it is not worth decoding.
+        """Store a record received from a peer if its version is newer.
+
+        Returns the record and the entry to pass on to other peers. Ignores
+        records that cannot be decoded.
+        """
+        # Most received records are already known, so skip decoding them.
         record_key = entry.record.get('record_key')
-        if not self._is_new(record_key, entry.record.get('version')):
+        if not self._is_newer(record_key, entry.record.get('version')):
             return None
         try:
             record = message_from_mapping(entry.record)
@@ -75,63 +83,68 @@
         if not isinstance(record, SharedRecord):
             return None
         remaining_s = min(entry.remaining_s, record.lifetime_s)
-        held = _Held(
+        stored = _StoredRecord(
             record=record,
             mapping=entry.record,
             everywhere=entry.everywhere,
             expires_s=now_s + remaining_s,
         )
-        return record, self._hold(held, now_s)
+        return record, self._store(stored, now_s)
 
     def expire(self, now_s: float) -> None:
-        """Drop the records whose lifetime is over."""
-        while self._expiries and self._expiries[0][0] <= now_s:
-            _, record_key = heapq.heappop(self._expiries)
-            held = self._held.get(record_key)
-            if held is not None and held.expires_s <= now_s:
-                self._held.pop(record_key)
+        """Remove expired records."""
+        while self._expiry_heap and self._expiry_heap[0][0] <= now_s:
+            _, record_key = heapq.heappop(self._expiry_heap)
+            stored = self._stored.get(record_key)
+            if stored is not None and stored.expires_s <= now_s:
+                self._stored.pop(record_key)
 
     def versions(self) -> dict[str, int]:
-        """Sum up what this node has."""
+        """Return the version of each stored record by key."""
         return {
-            record_key: held.record.version
-            for record_key, held in self._held.items()
+            record_key: stored.record.version
+            for record_key, stored in self._stored.items()
         }
 
     def newer_than(
         self, versions: Mapping[str, int], same_domain: bool, now_s: float
     ) -> Iterator[RecordEntry]:
-        """Find what the sender of a summary lacks."""
-        for record_key, held in self._held.items():
-            in_scope = same_domain or held.everywhere
-            if in_scope and held.record.version > versions.get(record_key, -1):
-                yield _entry(held, now_s)
-
-    def _is_new(self, record_key: object, version: object) -> bool:
+        """Yield the records that are newer than the given versions.
+
+        Records of one domain are included only for a peer in that domain.
+        """
+        for record_key, stored in self._stored.items():
+            in_scope = same_domain or stored.everywhere
+            if in_scope and stored.record.version > versions.get(
+                record_key, -1
+            ):
+                yield _make_entry(stored, now_s)
+
+    def _is_newer(self, record_key: object, version: object) -> bool:
         if not isinstance(record_key, str) or not isinstance(version, int):
             return False
-        held = self._held.get(record_key)
-        if held is None:
-            return len(self._held) < self._settings.max_records
-        return version > held.record.version
+        stored = self._stored.get(record_key)
+        if stored is None:
+            return len(self._stored) < self._settings.max_records
+        return version > stored.record.version
 
-    def _hold(self, held: _Held, now_s: float) -> RecordEntry:
-        record_key = held.record.record_key
-        self._held[record_key] = held
-        heapq.heappush(self._expiries, (held.expires_s, record_key))
-        return _entry(held, now_s)
+    def _store(self, stored: _StoredRecord, now_s: float) -> RecordEntry:
+        record_key = stored.record.record_key
+        self._stored[record_key] = stored
+        heapq.heappush(self._expiry_heap, (stored.expires_s, record_key))
+        return _make_entry(stored, now_s)
 
 
 def batches(entries: Iterable[RecordEntry]) -> Iterator[RecordBatch]:
-    """Cut entries into messages that fit a frame."""
-    waiting = tuple(entries)
-    for start in range(0, len(waiting), RECORDS_PER_BATCH):
-        yield RecordBatch(waiting[start : start + RECORDS_PER_BATCH])
+    """Split entries into batches that fit in one frame."""
+    pending = tuple(entries)
+    for start in range(0, len(pending), RECORDS_PER_BATCH):
+        yield RecordBatch(pending[start : start + RECORDS_PER_BATCH])
 
 
-def _entry(held: _Held, now_s: float) -> RecordEntry:
+def _make_entry(stored: _StoredRecord, now_s: float) -> RecordEntry:
     return RecordEntry(
-        record=held.mapping,
-        everywhere=held.everywhere,
-        remaining_s=held.expires_s - now_s,
+        record=stored.mapping,
+        everywhere=stored.everywhere,
+        remaining_s=stored.expires_s - now_s,
     )
--- a/packages/core/dandelionyoke_core/_incidents.py
+++ b/packages/core/dandelionyoke_core/_incidents.py
@@ -1,4 +1,4 @@
-"""Engines that broke, and whether that looks like one request's doing."""
+"""Recent engine crashes, and whether they indicate an outage."""
 
 from collections import deque
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Incident:
-    """An engine broke; the suspects that were on it at that moment."""
+    """Crash of an engine, with the suspects in progress on it at that time."""
 
     target_id: TargetId
     started_s: float
@@ -19,17 +19,17 @@
 
 
 class Incidents:
-    """The last incidents that this entry saw."""
+    """Bounded list of the most recent incidents at this entry."""
 
     def __init__(self, settings: QuarantineSettings) -> None:
         self._settings = settings
         self._incidents: deque[Incident] = deque(maxlen=settings.max_incidents)
 
     def find(self, run: Run, now_s: float) -> Incident | None:
-        """Find the incident that a broken run belongs to.
+        """Return the incident that a failed run belongs to, or None.
 
-        The runs of one crash break one after the other. One that started
-        after an incident broke in another one.
+        The runs of one crash fail one after the other. A run that started
+        after an incident belongs to a later one.
         """
         since_s = max(run.started_s, now_s - self._settings.lost_window_s)
         for known in self._incidents:
@@ -38,11 +38,15 @@
         return None
 
     def add(self, incident: Incident) -> None:
-        """Take up a new incident."""
+        """Add a new incident."""
         self._incidents.append(incident)
 
     def is_outage(self, now_s: float) -> bool:
-        """Whether more engines broke at once than one request breaks."""
+        """Return whether too many engines crashed at once for one request.
+
+        True when at least `outage_engines` crashed in the last
+        `outage_window_s`.
+        """
         since_s = now_s - self._settings.outage_window_s
         engines = {
             incident.target_id
--- a/packages/core/dandelionyoke_core/_information.py
+++ b/packages/core/dandelionyoke_core/_information.py
@@ -1,4 +1,4 @@
-"""Answers of a node about itself: models for callers, status for operators."""
+"""Answers queries about the node: models for callers, status for operators."""
 
 from collections.abc import Callable
 from typing import ClassVar
@@ -16,11 +16,11 @@
 from dandelionyoke_core._records import Instance
 from dandelionyoke_core._refusals import Refusal
 
-NEVER_S: float | None = None
+NO_WAKEUP_S: float | None = None
 
 
 class InformationPart:
-    """Tells what this node knows; decides nothing."""
+    """Answers model and status queries; makes no decisions."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         ModelsAsked,
@@ -44,12 +44,12 @@
         self._authenticator = authenticator
         self._peers = peers
         self._capacities = capacities
-        self._leaving = leaving
+        self._is_leaving = leaving
         self._in_progress = in_progress
         self._duties: set[str] = set()
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         outputs: list[Output] = []
         match event:
             case ModelsAsked():
@@ -64,13 +64,13 @@
         return outputs
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when this part has to be woken: never."""
-        return NEVER_S
+        """Return None: this part needs no wake-up."""
+        return NO_WAKEUP_S
 
     def _models(self, event: ModelsAsked, now_s: float) -> Output:
-        found = self._authenticator.authenticate(event.bearer_key, now_s)
-        if isinstance(found, Refusal):
-            return RefuseCall(event.request_id, found)
+        identity = self._authenticator.authenticate(event.bearer_key, now_s)
+        if isinstance(identity, Refusal):
+            return RefuseCall(event.request_id, identity)
         models = self._directory.snapshot.models
         return AnswerModels(
             event.request_id, tuple(models[name] for name in sorted(models))
@@ -88,7 +88,7 @@
             domain=self._own.domain,
             revision=self._directory.snapshot.revision,
             knowledge_age_s=self._directory.knowledge_age_s(now_s),
-            leaving=self._leaving(),
+            leaving=self._is_leaving(),
             in_progress=self._in_progress(),
             live=self._peers.live,
             usable_targets=self._usable_targets(now_s),
