--- a/packages/core/dandelionyoke_core/_knowledge.py
+++ b/packages/core/dandelionyoke_core/_knowledge.py
@@ -1,4 +1,4 @@
-"""What one node knows of the configuration; it only ever grows."""
+"""The configuration of one node, which only moves to higher revisions."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -17,20 +17,26 @@
 
 @attrs.frozen
 class KnowledgeSettings:
-    """How many changes a node keeps, and how many it tells at once."""
+    """Limits on the changes that a node retains and sends.
 
-    kept_changes: int = 64
-    told_changes: int = 4
-    told_bytes: int = 16_384
-    offered_bytes: int = 524_288
+    `max_pushed_changes` and `max_pushed_bytes` limit the changes that are
+    sent without a request, `max_offered_bytes` those in an answer.
+    """
+
+    max_retained_changes: int = 64
+    max_pushed_changes: int = 4
+    max_pushed_bytes: int = 16_384
+    max_offered_bytes: int = 524_288
 
 
 class Knowledge:
-    """A configuration that takes higher revisions and no others."""
+    """Configuration snapshot that accepts only higher revisions."""
 
     def __init__(self, settings: KnowledgeSettings) -> None:
         self._settings = settings
-        self._recent: deque[Change] = deque(maxlen=settings.kept_changes)
+        self._recent: deque[Change] = deque(
+            maxlen=settings.max_retained_changes
+        )
         self.snapshot = Snapshot()
 
     @property
@@ -39,67 +45,69 @@
         return self.snapshot.revision
 
     def take_changes(self, changes: Iterable[Change]) -> list[Output]:
-        """Take the changes that follow without a gap; skip all others."""
+        """Apply the changes that follow without a gap; skip all others."""
         snapshot = self.snapshot
-        taken: list[Change] = []
+        applied: list[Change] = []
         for change in changes:
             if change.revision == snapshot.revision + 1:
                 snapshot = apply_change(snapshot, change)
-                taken.append(change)
-        return self._put_in_force(snapshot, taken)
+                applied.append(change)
+        return self._activate(snapshot, applied)
 
     def take_snapshot(
         self, snapshot: Snapshot, changes: Iterable[Change] = ()
     ) -> list[Output]:
-        """Take a whole configuration, if its revision is higher.
+        """Replace the configuration if the snapshot has a higher revision.
 
-        `changes` are those that led to it, as far as they are known.
+        `changes` are those that led to the snapshot, as far as known.
         """
-        fresh = [
+        newer = [
             change
             for change in changes
             if self.revision < change.revision <= snapshot.revision
         ]
-        return self._put_in_force(snapshot, fresh)
+        return self._activate(snapshot, newer)
 
     def changes_after(self, revision: int) -> tuple[Change, ...] | None:
-        """Give the changes after a revision.
+        """Return the changes after a revision.
 
-        None where some are gone, or where they would not fit a frame.
+        Returns None if some are no longer retained, or if they would not
+        fit in one frame.
         """
         newer = tuple(
             change for change in self._recent if change.revision > revision
         )
         if len(newer) != max(0, self.revision - revision):
             return None
-        if sum(map(_size_bytes, newer)) > self._settings.offered_bytes:
+        if sum(map(_size_bytes, newer)) > self._settings.max_offered_bytes:
             return None
         return newer
 
     def last_changes(self) -> tuple[Change, ...]:
-        """Give the newest changes, as many as are told unasked."""
-        told: list[Change] = []
+        """Return the newest changes, within the limits for unrequested sending."""
+        pushed: list[Change] = []
         size_bytes = 0
         for change in reversed(self._recent):
             size_bytes += _size_bytes(change)
-            if size_bytes > self._settings.told_bytes:
+            if size_bytes > self._settings.max_pushed_bytes:
                 break
-            if len(told) >= self._settings.told_changes:
+            if len(pushed) >= self._settings.max_pushed_changes:
                 break
-            told.append(change)
-        return tuple(reversed(told))
+            pushed.append(change)
+        return tuple(reversed(pushed))
 
-    def _put_in_force(
+    def _activate(
         self, snapshot: Snapshot, changes: list[Change]
     ) -> list[Output]:
-        old = self.snapshot
-        if snapshot.revision <= old.revision:
+        previous = self.snapshot
+        if snapshot.revision <= previous.revision:
             return []
         self.snapshot = snapshot
         self._recent.extend(changes)
         outputs: list[Output] = [ConfigurationInForce(snapshot, tuple(changes))]
         outputs.extend(
-            KeyWithdrawn(key_hash) for key_hash in withdrawn_keys(old, snapshot)
+            KeyWithdrawn(key_hash)
+            for key_hash in withdrawn_keys(previous, snapshot)
         )
         outputs.extend(_logs(snapshot, changes))
         return outputs
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -16,11 +16,11 @@
     def setUp(self) -> None:
         super().setUp()
         self.open = 0
-        self.unrecorded = 0
+        self.unsaved_count = 0
         self.part = LifecyclePart(
-            LifecycleSettings(balancer_notice_s=2, record_limit_s=30),
+            LifecycleSettings(balancer_notice_s=2, save_timeout_s=30),
             lambda: self.open,
-            lambda: self.unrecorded,
+            lambda: self.unsaved_count,
         )
 
     def stops_at(self, last_s: int) -> tuple[int, bool] | None:
@@ -45,7 +45,7 @@
         """The store is out while an entry leaves. Its last confirmation is
         answered but not recorded; the entry waits, so that a repeat gets
         the answer, but not for as long as the store is out."""
-        self.unrecorded = 1
+        self.unsaved_count = 1
         self.part.handle(ShutdownRequested(), 0)
         self.assertEqual((32, True), self.stops_at(60))
 
