--- a/packages/core/dandelionyoke_core/_members.py
+++ b/packages/core/dandelionyoke_core/_members.py
@@ -1,4 +1,4 @@
-"""Who is alive: the platform's list, corrected by what instances say."""
+"""Membership table: the platform's list, corrected by member records."""
 
 from collections.abc import Iterable
 from types import MappingProxyType
@@ -20,7 +20,11 @@
 
 @attrs.define
 class Member:
-    """One instance as far as it is known."""
+    """Known state of one instance.
+
+    `version` is that of its last member record, 0 if it is known only from
+    the platform's list.
+    """
 
     instance: Instance
     state: MemberState
@@ -29,15 +33,17 @@
 
 
 class Members:
-    """The known instances; a record goes before the platform's list.
+    """Table of known instances; member records override the platform's list.
 
-    A suspected instance counts as live for a grace time, in which it can
-    answer the suspicion.
+    A suspected instance counts as live until its suspicion times out, so
+    that it can refute the suspicion first.
     """
 
-    def __init__(self, own: Instance, grace_s: float, max_members: int) -> None:
+    def __init__(
+        self, own: Instance, suspicion_timeout_s: float, max_members: int
+    ) -> None:
         self._own = own
-        self._grace_s = grace_s
+        self._suspicion_timeout_s = suspicion_timeout_s
         self._max_members = max_members
         self._listed: dict[InstanceId, Instance] = {}
         self._members: dict[InstanceId, Member] = {
@@ -48,15 +54,15 @@
         self.leaving: tuple[InstanceId, ...] = ()
 
     def find(self, instance_id: InstanceId) -> Member | None:
-        """Look an instance up."""
+        """Return the member with this id, or None."""
         return self._members.get(instance_id)
 
     def live_instances(self) -> list[Instance]:
-        """Give the live instances with their addresses."""
+        """Return the live instances with their addresses."""
         return [self._members[name].instance for name in self.live]
 
     def apply_list(self, instances: Iterable[Instance]) -> list[InstanceId]:
-        """Take the platform's list, which lags; return what it adds."""
+        """Apply the platform's list, which lags; return the ids that it adds."""
         self._listed = {
             instance.instance_id: instance for instance in instances
         }
@@ -73,7 +79,7 @@
         return added
 
     def apply_record(self, record: MemberRecord, now_s: float) -> None:
-        """Take what an instance, or a peer that misses it, says."""
+        """Apply a record from an instance, or from a peer that suspects it."""
         instance_id = record.instance.instance_id
         member = self._members.get(instance_id)
         if instance_id == self._own.instance_id:
@@ -89,10 +95,10 @@
         member.state = record.state
         member.version = record.version
         if record.state is MemberState.SUSPECTED and not was_suspected:
-            member.suspicion_expires_s = now_s + self._grace_s
+            member.suspicion_expires_s = now_s + self._suspicion_timeout_s
 
     def refresh(self, now_s: float) -> bool:
-        """Work the live lists out again; tell whether they changed."""
+        """Recompute the live lists; return whether they changed."""
         own_id = self._own.instance_id
         live = sorted(
             name
@@ -115,16 +121,19 @@
         return True
 
     def next_suspicion_expiry_s(self, now_s: float) -> float | None:
-        """Tell when the next suspected instance stops counting as live."""
-        deaths = (
+        """Return when the next suspected instance stops counting as live."""
+        expiries = (
             member.suspicion_expires_s
             for member in self._members.values()
             if member.state is MemberState.SUSPECTED
         )
-        return min((at_s for at_s in deaths if at_s > now_s), default=None)
+        return min(
+            (expires_s for expires_s in expiries if expires_s > now_s),
+            default=None,
+        )
 
     def suspected_but_listed(self) -> list[Instance]:
-        """Give the suspected instances that the platform still lists."""
+        """Return the suspected instances that the platform still lists."""
         return [
             member.instance
             for name, member in sorted(self._members.items())
@@ -142,12 +151,12 @@
         dropped = [
             name
             for name, member in self._members.items()
-            if self._is_over(name, member)
+            if self._is_obsolete(name, member)
         ]
         for name in dropped:
             self._members.pop(name)
 
-    def _is_over(self, name: InstanceId, member: Member) -> bool:
+    def _is_obsolete(self, name: InstanceId, member: Member) -> bool:
         if name in self._listed or name == self._own.instance_id:
             return False
         return member.version == 0 or member.state is not MemberState.LIVE
