--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -1,4 +1,4 @@
-"""Who the other entries are, and how shared records reach them."""
+"""Cluster membership: failure detection and gossip of shared records."""
 
 import random as random_module
 from typing import ClassVar
@@ -50,9 +50,9 @@
 
 
 class MembershipPart:
-    """Knows the live entries, links to a few, and passes records on.
+    """Tracks the live entries, links to a few and relays shared records.
 
-    `incarnation` is higher for each start under one instance id, for
+    `incarnation` increases with each start under one instance id, for
     example seconds since the epoch.
     """
 
@@ -85,15 +85,15 @@
         )
         self._links = Links(own.instance_id, settings.links)
         self._courier = Courier(own, settings.gossip)
-        self._accused: dict[InstanceId, float] = {}
-        self._beats = 0
+        self._resuspect_due_s: dict[InstanceId, float] = {}
+        self._heartbeat_count = 0
         self._tick_due_s: float | None = None
         self._list_due_s = 0.0
         self._probe_due_s = 0.0
         self._announce_due_s = 0.0
         self._relink_due_s: float | None = None
-        self._death_due_s: float | None = None
-        self._is_dirty = False
+        self._next_suspicion_expiry_s: float | None = None
+        self._is_refresh_needed = False
 
     @property
     def live(self) -> tuple[InstanceId, ...]:
@@ -107,43 +107,47 @@
 
     @property
     def leaving(self) -> tuple[InstanceId, ...]:
-        """Entries that are going; they finish what they have."""
+        """Entries that are shutting down and finish their calls in progress."""
         return self._members.leaving
 
     @property
     def linked(self) -> tuple[InstanceId, ...]:
-        """Peers that a link is up to."""
+        """Peers with an open link."""
         return tuple(self._links.connected_peers())
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when this part has to be woken, or None."""
-        wakeups = (self._tick_due_s, self._relink_due_s, self._death_due_s)
+        """Return the time at which this part needs a wake-up, or None."""
+        wakeups = (
+            self._tick_due_s,
+            self._relink_due_s,
+            self._next_suspicion_expiry_s,
+        )
         return min((at_s for at_s in wakeups if at_s is not None), default=None)
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
-        self._notice_stall(now_s)
-        outputs = self._take(event, now_s)
+        """Handle an event and return the resulting outputs."""
+        self._check_stall(now_s)
+        outputs = self._dispatch(event, now_s)
         if self._tick_due_s is not None and now_s >= self._tick_due_s:
             outputs.extend(self._tick(now_s))
         outputs.extend(self._refresh(now_s))
         outputs.extend(self._courier.flush(self._links.connected_peers()))
         return outputs
 
-    def _take(self, event: Event, now_s: float) -> list[Output]:
+    def _dispatch(self, event: Event, now_s: float) -> list[Output]:
         match event:
             case Started():
                 return self._start(now_s)
             case InstancesListed(instances=instances):
-                self._take_list(instances, now_s)
+                self._apply_list(instances, now_s)
             case PeerConnected(peer_id=peer_id):
-                return self._greet(peer_id, now_s)
+                return self._on_peer_connected(peer_id, now_s)
             case PeerDisconnected(peer_id=peer_id):
                 self._links.on_disconnected(peer_id, now_s)
                 self._courier.forget(peer_id)
             case PeerMessageArrived(peer_id=peer_id, message=message):
                 self._links.record_activity(peer_id, now_s)
-                return self._take_message(peer_id, message, now_s)
+                return self._handle_message(peer_id, message, now_s)
             case ShareRecord(record=record, everywhere=everywhere):
                 self._courier.share(record, everywhere, now_s)
             case Leaving():
@@ -151,7 +155,7 @@
                 self._announce(now_s)
         return []
 
-    def _notice_stall(self, now_s: float) -> None:
+    def _check_stall(self, now_s: float) -> None:
         due_s = self._tick_due_s
         if (
             due_s is not None
@@ -159,12 +163,12 @@
         ):
             self._links.reset_silence(now_s)
 
-    # Time.
+    # Periodic work.
 
     def _start(self, now_s: float) -> list[Output]:
         self._tick_due_s = now_s
         self._list_due_s = now_s
-        self._take_list(self._settings.seeds, now_s)
+        self._apply_list(self._settings.seeds, now_s)
         return [PeersKnown(self.live, self.live_in_domain)]
 
     def _tick(self, now_s: float) -> list[Output]:
@@ -173,70 +177,81 @@
         )
         self._courier.expire(now_s)
         outputs: list[Output] = list(self._links.maintain(now_s))
-        outputs.extend(self._beat())
-        outputs.extend(self._accuse(now_s))
+        outputs.extend(self._send_heartbeats())
+        outputs.extend(self._suspect_silent_peers(now_s))
         if now_s >= self._announce_due_s:
             self._announce(now_s)
         if now_s >= self._list_due_s:
-            self._list_due_s = now_s + self._jitter(self._list_pause_s())
+            self._list_due_s = now_s + self._jitter(self._list_interval_s())
             outputs.append(ListInstances())
         if now_s >= self._probe_due_s:
             outputs.extend(self._probe(now_s))
         return outputs
 
-    def _list_pause_s(self) -> float:
-        """Ask again soon while no peer is known.
+    def _list_interval_s(self) -> float:
+        """Return the list interval, which is shorter while no peer is known.
 
-        The list lags: a whole fleet that starts at once reads it before any
-        of it is listed, and would stay strangers until the next reading.
+        The list lags: the entries of a fleet that starts all at once read it
+        before any of them is listed, and would not know each other until the
+        next read.
         """
         if len(self.live) > 1:
             return self._settings.list_interval_s
         return self._settings.isolated_list_interval_s
 
-    def _beat(self) -> list[Action]:
-        self._beats += 1
-        beat = Heartbeat(self._beats)
+    def _send_heartbeats(self) -> list[Action]:
+        self._heartbeat_count += 1
+        heartbeat = Heartbeat(self._heartbeat_count)
         return [
-            SendPeer(peer_id, beat) for peer_id in self._links.connected_peers()
+            SendPeer(peer_id, heartbeat)
+            for peer_id in self._links.connected_peers()
         ]
 
-    def _jitter(self, pause_s: float) -> float:
-        return pause_s * self._random.uniform(0.9, 1.1)
+    def _jitter(self, interval_s: float) -> float:
+        return interval_s * self._random.uniform(0.9, 1.1)
 
     def _probe(self, now_s: float) -> list[Action]:
-        """Try one of the dead: a cut may be over, and no one else would."""
+        """Dial one random instance that is presumed dead.
+
+        A network partition may have ended, and nothing else reconnects the
+        two sides.
+        """
         self._probe_due_s = now_s + self._jitter(
             self._settings.probe_interval_s
         )
-        dead = self._members.suspected_but_listed()
-        if not dead:
+        presumed_dead = self._members.suspected_but_listed()
+        if not presumed_dead:
             return []
-        chosen = self._random.choice(dead)
+        chosen = self._random.choice(presumed_dead)
         return self._links.probe(chosen.instance_id, chosen.peer_address, now_s)
 
     # Members.
 
-    def _take_list(self, instances: tuple[Instance, ...], now_s: float) -> None:
+    def _apply_list(
+        self, instances: tuple[Instance, ...], now_s: float
+    ) -> None:
         for instance_id in self._members.apply_list(instances):
-            # The list may show again, for a while, what was dropped.
+            # The list lags and may still show a member that was removed.
             record = self._courier.find(member_record_key(instance_id))
             if isinstance(record, MemberRecord):
                 self._members.apply_record(record, now_s)
-        self._is_dirty = True
+        self._is_refresh_needed = True
 
     def _refresh(self, now_s: float) -> list[Output]:
-        """Bring the live lists and the links in line with what is known."""
+        """Update the live lists and the wanted links from the member table."""
         outputs: list[Output] = []
-        is_death_due = (
-            self._death_due_s is not None and now_s >= self._death_due_s
+        is_suspicion_due = (
+            self._next_suspicion_expiry_s is not None
+            and now_s >= self._next_suspicion_expiry_s
         )
-        if self._is_dirty or is_death_due:
-            self._is_dirty = False
+        if self._is_refresh_needed or is_suspicion_due:
+            self._is_refresh_needed = False
             if self._members.refresh(now_s):
                 outputs.append(PeersKnown(self.live, self.live_in_domain))
                 self._relink_due_s = now_s + self._settings.relink_delay_s
-            self._death_due_s = self._members.next_suspicion_expiry_s(now_s)
+            self._next_suspicion_expiry_s = (
+                self._members.next_suspicion_expiry_s(now_s)
+            )
         if self._relink_due_s is not None and now_s >= self._relink_due_s:
             self._relink_due_s = None
             outputs.extend(self._relink(now_s))
@@ -252,30 +267,30 @@
         }
         return self._links.set_wanted(addresses, now_s)
 
-    def _accuse(self, now_s: float) -> list[Output]:
+    def _suspect_silent_peers(self, now_s: float) -> list[Output]:
         outputs: list[Output] = []
-        self._accused = {
-            name: until_s
-            for name, until_s in self._accused.items()
-            if now_s < until_s
+        self._resuspect_due_s = {
+            name: due_s
+            for name, due_s in self._resuspect_due_s.items()
+            if now_s < due_s
         }
         for instance_id in self._links.silent_peers(now_s):
             member = self._members.find(instance_id)
             if member is None or member.state is MemberState.SUSPECTED:
                 continue
-            if instance_id in self._accused:
-                # It answered an earlier suspicion over other links: only the
-                # way to it is broken, and accusing it each second would
-                # flood the peers with records.
+            if instance_id in self._resuspect_due_s:
+                # It refuted an earlier suspicion over other links, so only
+                # the direct path to it is broken. A new suspicion each
+                # second would flood the peers with records.
                 continue
-            self._accused[instance_id] = (
+            self._resuspect_due_s[instance_id] = (
                 now_s + self._settings.resuspect_after_s
             )
             version = suspicion_version(member.version)
-            suspicion = self._record(
+            suspicion = self._make_record(
                 member.instance, version, MemberState.SUSPECTED
             )
-            self._keep_member(suspicion, now_s)
+            self._store_member(suspicion, now_s)
             outputs.append(WriteLog('membership.suspected', instance_id))
             outputs.append(CountMetric('membership_suspicions'))
         return outputs
@@ -285,11 +300,11 @@
             self._settings.announce_interval_s
         )
         self._version = next_announcement_version(self._version)
-        self._keep_member(
-            self._record(self._own, self._version, self._state), now_s
+        self._store_member(
+            self._make_record(self._own, self._version, self._state), now_s
         )
 
-    def _record(
+    def _make_record(
         self, instance: Instance, version: int, state: MemberState
     ) -> MemberRecord:
         return MemberRecord(
@@ -301,18 +316,19 @@
             said_by=self._own.instance_id,
         )
 
-    def _keep_member(self, record: MemberRecord, now_s: float) -> None:
+    def _store_member(self, record: MemberRecord, now_s: float) -> None:
         self._courier.share(record, everywhere=True, now_s=now_s)
         self._members.apply_record(record, now_s)
-        self._is_dirty = True
+        self._is_refresh_needed = True
 
-    def _take_member(self, record: MemberRecord, now_s: float) -> list[Output]:
+    def _apply_member(self, record: MemberRecord, now_s: float) -> list[Output]:
         self._members.apply_record(record, now_s)
-        self._is_dirty = True
+        self._is_refresh_needed = True
         if record.instance.instance_id != self._own.instance_id:
             return []
-        # Said of this node by a peer that missed it, or by itself before a
-        # restart: unanswered, the others would take it for dead.
+        # The record comes from a peer that suspects this node, or from this
+        # node before a restart. Without a newer announcement the other
+        # entries would presume this node dead.
         self._version = max(self._version, record.version)
         self._announce(now_s)
         return [
@@ -321,14 +337,16 @@
 
     # Records and links.
 
-    def _greet(self, peer_id: InstanceId, now_s: float) -> list[Output]:
+    def _on_peer_connected(
+        self, peer_id: InstanceId, now_s: float
+    ) -> list[Output]:
         refusal = self._links.on_connected(peer_id, now_s)
         if refusal:
             return list(refusal)
-        self._accused.pop(peer_id, None)
+        self._resuspect_due_s.pop(peer_id, None)
         return [self._courier.greet(peer_id)]
 
-    def _take_message(
+    def _handle_message(
         self, peer_id: InstanceId, message: PeerMessage, now_s: float
     ) -> list[Output]:
         if isinstance(message, RecordSummary):
@@ -339,5 +357,5 @@
         for record in self._courier.take(peer_id, message, now_s):
             outputs.append(RecordLearned(record, peer_id))
             if isinstance(record, MemberRecord):
-                outputs.extend(self._take_member(record, now_s))
+                outputs.extend(self._apply_member(record, now_s))
         return outputs
--- a/packages/core/dandelionyoke_core/_membership_messages.py
+++ b/packages/core/dandelionyoke_core/_membership_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of themselves and of shared records."""
+"""Messages for heartbeats, membership and the exchange of shared records."""
 
 import enum
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 @enum.unique
 class MemberState(enum.Enum):
-    """What is said of an instance."""
+    """State of an instance in a member record."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -22,19 +22,20 @@
 
 @attrs.frozen
 class Heartbeat(PeerMessage):
-    """The sender is alive."""
+    """Periodic message that shows that the sender is alive."""
 
     sequence: int
 
 
 @attrs.frozen
 class MemberRecord(SharedRecord):
-    """What an instance says of itself, or a peer that misses it.
+    """State of an instance, announced by itself or suspected by a peer.
 
-    An instance's own versions are even, suspicions have the odd one after
-    the last that was known. With one run of numbers for both, two regions
-    that lost each other would give one version to an announcement and to a
-    suspicion, and would stay apart in what they take for the newest.
+    `said_by` is the author of the record. Announcements of an instance have
+    even versions; a suspicion has the odd version after the last known one.
+    With one sequence for both, two regions separated by a partition could
+    give the same version to an announcement and to a suspicion, and would
+    then never agree on which is newer.
     """
 
     instance: Instance
@@ -44,7 +45,11 @@
 
 @attrs.frozen
 class RecordEntry:
-    """A shared record on its way, as a mapping that names its type."""
+    """A shared record in transit, as a mapping that names its type.
+
+    `everywhere` is False for a record that stays in its domain, and
+    `remaining_s` is what is left of its lifetime.
+    """
 
     record: Mapping[str, Any]
     everywhere: bool
@@ -53,29 +58,29 @@
 
 @attrs.frozen
 class RecordBatch(PeerMessage):
-    """Shared records that are new to the sender, or to the receiver."""
+    """Shared records that are new to the sender or missing at the receiver."""
 
     entries: tuple[RecordEntry, ...]
 
 
 @attrs.frozen
 class RecordSummary(PeerMessage):
-    """Who the sender is and the versions it has, told on a new link."""
+    """Identity and record versions of the sender, sent on a new link."""
 
     instance: Instance
     versions: Mapping[str, int]
 
 
 def member_record_key(instance_id: InstanceId) -> str:
-    """Name the record of an instance."""
+    """Return the key of the member record of an instance."""
     return f'member/{instance_id}'
 
 
 def next_announcement_version(version: int) -> int:
-    """Give the version with which an instance outbids what is said of it."""
+    """Return the next announcement version, higher than any version so far."""
     return (version // 2 + 1) * 2
 
 
 def suspicion_version(version: int) -> int:
-    """Give the version of a suspicion of what was said last."""
+    """Return the version of a suspicion that follows a known version."""
     return version // 2 * 2 + 1
--- a/packages/core/dandelionyoke_core/_membership_settings.py
+++ b/packages/core/dandelionyoke_core/_membership_settings.py
@@ -1,4 +1,4 @@
-"""The settings of membership."""
+"""Settings of cluster membership."""
 
 import attrs
 
@@ -10,7 +10,15 @@
 
 @attrs.frozen
 class MembershipSettings:
-    """How an instance finds its peers, and when it misses one."""
+    """Intervals, timeouts and limits of peer discovery and failure detection.
+
+    After a wake-up that is late by more than `stall_threshold_s` the
+    silence of peers is not counted. A suspected peer counts as dead after
+    `suspicion_timeout_s`, and is not suspected again by this instance for
+    `resuspect_after_s`. The platform's list is read every
+    `isolated_list_interval_s` while no peer is known. `seeds` are the
+    instances known at the start.
+    """
 
     heartbeat_interval_s: float = 1.0
     stall_threshold_s: float = 2.0
