--- a/packages/core/dandelionyoke_core/_node.py
+++ b/packages/core/dandelionyoke_core/_node.py
@@ -1,7 +1,8 @@
-"""One node: the parts behind a single `handle`.
+"""Event dispatch between the parts of a node.
 
-The node decides nothing itself. It gives each event to the parts that take
-its type, feeds their notices back in, and returns the actions in order.
+The composition makes no decisions. It passes each event to the parts that
+handle its type, dispatches the notices that they return, and returns the
+actions in order.
 """
 
 from collections import deque
@@ -11,67 +12,69 @@
 from dandelionyoke_core._events import Event, Notice, Woken
 from dandelionyoke_core._ports import Part
 
-# A notice that keeps causing notices would hang the process without a sign;
-# no event needs near as many steps.
-MAX_STEPS = 100_000
+# Guards against notices that cause each other without end, which would hang
+# the process silently. No event needs nearly as many dispatches.
+MAX_DISPATCHES = 100_000
 
 
 class NoticeLoopError(RuntimeError):
-    """Parts kept answering each other's notices."""
+    """Notices between parts caused each other without end."""
 
 
 class Composition:
-    """Parts that take events in a fixed order, in one thread."""
+    """Parts that handle events in a fixed order, in one thread."""
 
     def __init__(self, parts: Sequence[Part]) -> None:
         self._parts = tuple(parts)
-        self._takers: dict[type[Event], tuple[Part, ...]] = {}
-        self._wakeup_s = self._earliest_s()
+        self._parts_by_event_type: dict[type[Event], tuple[Part, ...]] = {}
+        self._wakeup_s = self._earliest_wakeup_s()
 
     def handle(self, event: Event, now_s: float) -> list[Action]:
-        """Take one event; return the actions that follow, in order."""
+        """Handle one event and return the resulting actions in order."""
         actions: list[Action] = []
-        waiting: deque[Event] = deque((event,))
-        for _ in range(MAX_STEPS):
-            if not waiting:
-                # Parts change only in here, so that one look at all of them
-                # serves every question until the next event.
-                self._wakeup_s = self._earliest_s()
+        pending: deque[Event] = deque((event,))
+        for _ in range(MAX_DISPATCHES):
+            if not pending:
+                # Parts change only in this method, so the earliest wake-up
+                # stays valid until the next event.
+                self._wakeup_s = self._earliest_wakeup_s()
                 return actions
-            self._step(waiting, now_s, actions)
-        raise NoticeLoopError(f'{event!r} causes notices without end')
+            self._dispatch_next(pending, now_s, actions)
+        raise NoticeLoopError(f'endless loop of notices after {event!r}')
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next `Woken` is due, or None."""
+        """Return the time at which the next `Woken` is due, or None."""
         return self._wakeup_s
 
-    def _earliest_s(self) -> float | None:
+    def _earliest_wakeup_s(self) -> float | None:
         wakeups = (part.next_wakeup_s() for part in self._parts)
         return min(
             (wakeup for wakeup in wakeups if wakeup is not None),
             default=None,
         )
 
-    def _step(
-        self, waiting: deque[Event], now_s: float, actions: list[Action]
+    def _dispatch_next(
+        self, pending: deque[Event], now_s: float, actions: list[Action]
     ) -> None:
-        event = waiting.popleft()
-        for part in self._takers_of(event, now_s):
+        event = pending.popleft()
+        for part in self._parts_for(event, now_s):
             for output in part.handle(event, now_s):
                 if isinstance(output, Notice):
-                    waiting.append(output)
+                    pending.append(output)
                 else:
                     actions.append(output)
 
-    def _takers_of(self, event: Event, now_s: float) -> tuple[Part, ...]:
+    def _parts_for(self, event: Event, now_s: float) -> tuple[Part, ...]:
         if isinstance(event, Woken):
             return tuple(part for part in self._parts if _is_due(part, now_s))
-        taken = type(event)
-        if taken not in self._takers:
-            self._takers[taken] = tuple(
-                part for part in self._parts if issubclass(taken, part.handles)
+        event_type = type(event)
+        if event_type not in self._parts_by_event_type:
+            self._parts_by_event_type[event_type] = tuple(
+                part
+                for part in self._parts
+                if issubclass(event_type, part.handles)
             )
-        return self._takers[taken]
+        return self._parts_by_event_type[event_type]
 
 
 def _is_due(part: Part, now_s: float) -> bool:
