--- a/packages/core/dandelionyoke_core/_demand.py
+++ b/packages/core/dandelionyoke_core/_demand.py
@@ -52,7 +52,7 @@
     calls_per_s: tuple[float, ...]
     mix: tuple[MixRow, ...] = ()
 
-    def asked(self) -> dict[OrganisationId, DemandRate]:
+    def rates(self) -> dict[OrganisationId, DemandRate]:
         """Return the demand of each organisation."""
         columns = zip(
             self.organisations,
@@ -71,7 +71,7 @@
 
     record: DemandShared
     received_s: float
-    asked: dict[OrganisationId, DemandRate]
+    rates: dict[OrganisationId, DemandRate]
 
 
 @attrs.define
@@ -118,24 +118,24 @@
     def count(self, ticket: Ticket, output_tokens: float, now_s: float) -> None:
         """Count an incoming call, whether it is served or not."""
         name = ticket.organisation.organisation_id
-        own = self._local.get(name)
-        if own is None:
+        demand = self._local.get(name)
+        if demand is None:
             self._evict_least_active(now_s)
             window_s = self._settings.rate_window_s
-            own = LocalDemand(
+            demand = LocalDemand(
                 ticket.organisation,
                 DecayingRate(window_s),
                 DecayingRate(window_s),
             )
-            self._local[name] = own
-        own.organisation = ticket.organisation
-        own.tokens.add(ticket.prompt_tokens + output_tokens, now_s)
-        own.calls.add(1, now_s)
+            self._local[name] = demand
+        demand.organisation = ticket.organisation
+        demand.tokens.add(ticket.prompt_tokens + output_tokens, now_s)
+        demand.calls.add(1, now_s)
 
     def learn(self, record: DemandShared, now_s: float) -> None:
         """Store a record received from another entry."""
         self._received[record.instance_id] = ReceivedDemand(
-            record, now_s, record.asked()
+            record, now_s, record.rates()
         )
 
     def told(self, name: OrganisationId) -> DemandRate:
@@ -146,29 +146,29 @@
         self, name: OrganisationId, now_s: float
     ) -> DemandRate | None:
         """Sum the demand at other entries; None without a current record."""
-        heard = list(self._current_records(now_s))
-        if not heard:
+        current = list(self._current_records(now_s))
+        if not current:
             return None
-        found = [one.asked.get(name, DemandRate()) for one in heard]
+        rates = [received.rates.get(name, DemandRate()) for received in current]
         return DemandRate(
-            sum(one.tokens_per_s for one in found),
-            sum(one.calls_per_s for one in found),
+            sum(rate.tokens_per_s for rate in rates),
+            sum(rate.calls_per_s for rate in rates),
         )
 
     def mix(self, service: ServiceName, now_s: float) -> tuple[MixRow, ...]:
         """Estimate the demand on all entries, per ratio of prompt to output."""
-        own = self.meter.rows(service, now_s)
+        local_rows = self.meter.rows(service, now_s)
         live = self._peers.live
         if not self._is_small_fleet():
-            return tuple(row.scaled(len(live)) for row in own)
-        heard = [
+            return tuple(row.scaled(len(live)) for row in local_rows)
+        remote_rows = [
             row
-            for one in self._current_records(now_s)
-            if one.record.instance_id in live
-            for row in one.record.mix
+            for received in self._current_records(now_s)
+            if received.record.instance_id in live
+            for row in received.record.mix
             if row.service == service
         ]
-        return (*own, *heard)
+        return (*local_rows, *remote_rows)
 
     def next_wakeup_s(self) -> float | None:
         """Return the time at which demand is shared next, or None."""
@@ -207,14 +207,14 @@
 
     def _make_record(
         self,
-        asked: Mapping[OrganisationId, DemandRate],
+        demand: Mapping[OrganisationId, DemandRate],
         *,
         is_sum: bool,
         mix: tuple[MixRow, ...] = (),
     ) -> DemandShared:
         self._version += 1
         kind = 'demand-sum' if is_sum else 'demand'
-        names = _highest_demand(asked, self._settings.shared_organisations)
+        names = _highest_demand(demand, self._settings.shared_organisations)
         return DemandShared(
             record_key=f'{kind}/{self._instance_id}',
             version=self._version,
@@ -223,10 +223,10 @@
             is_sum=is_sum,
             organisations=names,
             tokens_per_s=tuple(
-                round(asked[name].tokens_per_s, 1) for name in names
+                round(demand[name].tokens_per_s, 1) for name in names
             ),
             calls_per_s=tuple(
-                round(asked[name].calls_per_s, 2) for name in names
+                round(demand[name].calls_per_s, 2) for name in names
             ),
             mix=mix,
         )
@@ -241,25 +241,28 @@
         share = 0 if self._is_small_fleet() else self._settings.pressing_share
         entries = max(1, len(self._peers.live))
         return {
-            name: DemandRate(own.tokens.per_s(now_s), own.calls.per_s(now_s))
-            for name, own in self._local.items()
-            if own.exceeds_share(entries, share, now_s)
+            name: DemandRate(
+                demand.tokens.per_s(now_s), demand.calls.per_s(now_s)
+            )
+            for name, demand in self._local.items()
+            if demand.exceeds_share(entries, share, now_s)
         }
 
     def _domain_demand(self, now_s: float) -> dict[OrganisationId, DemandRate]:
-        local_entries = set(self._peers.live_in_domain)
+        domain_entries = set(self._peers.live_in_domain)
         parts = [
-            one.asked
-            for one in self._current_records(now_s)
-            if not one.record.is_sum and one.record.instance_id in local_entries
+            received.rates
+            for received in self._current_records(now_s)
+            if not received.record.is_sum
+            and received.record.instance_id in domain_entries
         ]
         sums: dict[OrganisationId, DemandRate] = {}
         for part in (self._last_shared, *parts):
-            for name, asked in part.items():
-                before = sums.get(name, DemandRate())
+            for name, rate in part.items():
+                subtotal = sums.get(name, DemandRate())
                 sums[name] = DemandRate(
-                    before.tokens_per_s + asked.tokens_per_s,
-                    before.calls_per_s + asked.calls_per_s,
+                    subtotal.tokens_per_s + rate.tokens_per_s,
+                    subtotal.calls_per_s + rate.calls_per_s,
                 )
         return sums
 
@@ -270,26 +273,26 @@
         records of the single entries are received too.
         """
         since_s = now_s - self._lifetime_s()
-        old = [
+        expired = [
             name
-            for name, one in self._received.items()
-            if one.received_s < since_s
+            for name, received in self._received.items()
+            if received.received_s < since_s
         ]
-        for name in old:
+        for name in expired:
             self._received.pop(name)
-        local_entries = set(self._peers.live_in_domain)
+        domain_entries = set(self._peers.live_in_domain)
         return [
-            one
-            for name, one in self._received.items()
-            if not (one.record.is_sum and name in local_entries)
+            received
+            for name, received in self._received.items()
+            if not (received.record.is_sum and name in domain_entries)
         ]
 
     def _is_small_fleet(self) -> bool:
         return len(self._peers.live) <= self._settings.share_all_below_entries
 
     def _shares_domain_sum(self) -> bool:
-        local_entries = self._peers.live_in_domain
-        return self._instance_id in rendezvous(local_entries, 'demand-sum', 1)
+        domain_entries = self._peers.live_in_domain
+        return self._instance_id in rendezvous(domain_entries, 'demand-sum', 1)
 
     def _needs_refresh(self, now_s: float) -> bool:
         """Return whether the last shared record is about to expire at peers.
@@ -304,9 +307,9 @@
 
     def _interval_s(self) -> float:
         """Return the share interval, longer in a larger domain."""
-        local_entries = len(self._peers.live_in_domain)
+        entry_count = len(self._peers.live_in_domain)
         interval_factor = max(
-            1, local_entries / self._settings.share_all_below_entries
+            1, entry_count / self._settings.share_all_below_entries
         )
         return self._settings.demand_interval_s * interval_factor
 
@@ -326,7 +329,7 @@
 
 
 def _highest_demand(
-    asked: Mapping[OrganisationId, DemandRate], count: int
+    demand: Mapping[OrganisationId, DemandRate], count: int
 ) -> tuple[OrganisationId, ...]:
-    ranked = sorted(asked, key=lambda name: (-asked[name].tokens_per_s, name))
+    ranked = sorted(demand, key=lambda name: (-demand[name].tokens_per_s, name))
     return tuple(ranked[:count])
