--- a/packages/core/dandelionyoke_core/_observation.py
+++ b/packages/core/dandelionyoke_core/_observation.py
@@ -1,9 +1,9 @@
-"""Who reads the load of which target, and how others learn of it.
+"""Assignment of targets to the entries that poll them, and sharing of loads.
 
-In a small domain every entry reads every target of it. In a large one two
-entries read each target, and each of them shares one record of all that it
-reads: so an entry hears as many records as its domain has entries that
-watch, whatever their targets take.
+In a small domain every entry polls every target of the domain. In a large
+one two entries poll each target, and each of them shares one record of all
+loads that it reads. An entry therefore receives one record for each polling
+entry of its domain, independent of the load of the targets.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -19,10 +19,10 @@
 
 @attrs.frozen
 class LoadsShared(SharedRecord):
-    """The loads that one watcher read, in columns to keep it small.
+    """Loads read by one entry, stored in columns to keep the record small.
 
-    The attempts in progress and the models are left out: the former grow
-    with the load, and each entry knows its own.
+    Attempts in progress and models are left out: the attempts grow with the
+    load, and each entry knows its own.
     """
 
     target_ids: tuple[TargetId, ...]
@@ -37,7 +37,7 @@
     unreachable: tuple[TargetId, ...] = ()
 
     def reports(self) -> Iterator[tuple[TargetId, LoadReport]]:
-        """Give the loads as reports."""
+        """Yield the loads as reports."""
         for row, target_id in enumerate(self.target_ids):
             yield (
                 target_id,
@@ -63,22 +63,24 @@
     reports: Sequence[tuple[TargetId, LoadReport]],
     unreachable: tuple[TargetId, ...],
 ) -> LoadsShared:
-    """Put reports into one record."""
+    """Build one shared record from load reports."""
     return LoadsShared(
         record_key=key,
         version=version,
         lifetime_s=lifetime_s,
         target_ids=tuple(target_id for target_id, _ in reports),
-        incarnations=tuple(one.incarnation for _, one in reports),
-        ages_s=tuple(round(one.age_s, 2) for _, one in reports),
-        roles=tuple(one.role for _, one in reports),
-        calls=tuple(one.running + one.waiting for _, one in reports),
+        incarnations=tuple(report.incarnation for _, report in reports),
+        ages_s=tuple(round(report.age_s, 2) for _, report in reports),
+        roles=tuple(report.role for _, report in reports),
+        calls=tuple(report.running + report.waiting for _, report in reports),
         prefill_queue_tokens=tuple(
-            one.prefill_queue_tokens for _, one in reports
+            report.prefill_queue_tokens for _, report in reports
+        ),
+        kv_used_blocks=tuple(report.kv_used_blocks for _, report in reports),
+        kv_total_blocks=tuple(report.kv_total_blocks for _, report in reports),
+        draining=tuple(
+            target_id for target_id, report in reports if report.draining
         ),
-        kv_used_blocks=tuple(one.kv_used_blocks for _, one in reports),
-        kv_total_blocks=tuple(one.kv_total_blocks for _, one in reports),
-        draining=tuple(target_id for target_id, one in reports if one.draining),
         unreachable=unreachable,
     )
 
@@ -86,7 +88,7 @@
 def polls_all_targets(
     settings: RoutingSettings, live_in_domain: tuple[InstanceId, ...]
 ) -> bool:
-    """Tell whether the domain is small enough that all read all."""
+    """Return whether the domain is small enough for all to poll all targets."""
     return len(live_in_domain) <= settings.poll_all_below_entries
 
 
@@ -96,7 +98,7 @@
     live_in_domain: tuple[InstanceId, ...],
     targets: Iterable[Target],
 ) -> frozenset[TargetId]:
-    """Name the targets that this entry has to read."""
+    """Return the ids of the targets that this entry has to poll."""
     if polls_all_targets(settings, live_in_domain):
         return frozenset(target.target_id for target in targets)
     return frozenset(
--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -1,4 +1,4 @@
-"""When the targets, their loads and their caches are read."""
+"""Schedule for reading the target list, target loads and cache events."""
 
 from collections.abc import Iterable
 from random import Random
@@ -7,8 +7,8 @@
 from dandelionyoke_core._names import Domain, InstanceId, ServiceName
 from dandelionyoke_core._notices import ShareRecord
 from dandelionyoke_core._observation import (
-    polls_all_targets,
     make_loads_record,
+    polls_all_targets,
     targets_to_poll,
 )
 from dandelionyoke_core._ports import Output, Peers
@@ -19,16 +19,16 @@
 from dandelionyoke_core._target_table import TargetTable
 
 VERSIONS_PER_S = 1000
-# What was missed so often in a row is taken for gone.
-MISSED_POLLS = 4
-MISSED_SHARES = 6
+# Consecutive intervals without data after which the source counts as lost.
+MAX_MISSED_POLLS = 4
+MAX_MISSED_SHARES = 6
 
 
 class JitteredTimer:
-    """A timer whose every interval is stretched or cut at random.
+    """Periodic timer with a random deviation of each interval.
 
-    Entries that were started together would otherwise read together, and
-    the platform would see their sum at once.
+    Entries that were started together would otherwise poll together, and
+    their requests would reach the platform at the same moment.
     """
 
     def __init__(
@@ -40,21 +40,21 @@
         self.due_s: float | None = None
 
     def start(self, now_s: float) -> None:
-        """Be due at once."""
+        """Make the timer due immediately."""
         self.due_s = now_s
 
-    def rings(self, now_s: float, slower: float = 1) -> bool:
-        """Tell whether it is due, and if so set it again."""
+    def restart_if_due(self, now_s: float, interval_factor: float = 1) -> bool:
+        """Return whether the timer is due, and restart it if so."""
         if self.due_s is None or now_s < self.due_s:
             return False
         share = self._jitter_share
-        stretch = self._random.uniform(1 - share, 1 + share)
-        self.due_s = now_s + self._interval_s * stretch * slower
+        jitter_factor = self._random.uniform(1 - share, 1 + share)
+        self.due_s = now_s + self._interval_s * jitter_factor * interval_factor
         return True
 
 
 class PollSchedule:
-    """Asks for the readings that are due, and shares what was read."""
+    """Requests the polls that are due and shares their results with peers."""
 
     def __init__(
         self,
@@ -71,20 +71,28 @@
         self._instance_id = instance_id
         self._table = table
         self._random = random
-        self._needed: dict[ServiceName, float] = {}
+        self._last_requested_s: dict[ServiceName, float] = {}
         self._version = 0
         self._started_s = 0.0
         jitter = settings.jitter_share
-        self._lists = JitteredTimer(settings.list_interval_s, jitter, random)
-        self._loads = JitteredTimer(settings.poll_interval_s, jitter, random)
-        self._caches = JitteredTimer(settings.cache_interval_s, jitter, random)
-        self._shares = JitteredTimer(settings.share_interval_s, jitter, random)
+        self._list_timer = JitteredTimer(
+            settings.list_interval_s, jitter, random
+        )
+        self._load_timer = JitteredTimer(
+            settings.poll_interval_s, jitter, random
+        )
+        self._cache_timer = JitteredTimer(
+            settings.cache_interval_s, jitter, random
+        )
+        self._share_timer = JitteredTimer(
+            settings.share_interval_s, jitter, random
+        )
 
     def start(self, now_s: float, wall_s: float) -> None:
-        """Make every reading due; versions go on from the clock's.
+        """Make every poll due, and derive versions from the wall clock.
 
-        A process that starts again under its instance's name would else
-        begin with versions that its peers take for old.
+        A process that restarts under the same instance id would otherwise
+        begin with versions that its peers reject as old.
         """
         self._version = int(wall_s * VERSIONS_PER_S)
         self._started_s = now_s
@@ -92,36 +100,45 @@
             timer.start(now_s)
 
     def need(self, service: ServiceName, now_s: float) -> None:
-        """Note that a service is asked for at this entry."""
-        self._needed[service] = now_s
+        """Record that a service was requested at this entry."""
+        self._last_requested_s[service] = now_s
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next reading is due."""
+        """Return the time at which the next poll is due, or None."""
         due = (timer.due_s for timer in self._timers())
         return min((due_s for due_s in due if due_s is not None), default=None)
 
     def due(self, now_s: float) -> list[Output]:
-        """Ask for the readings that are due now."""
+        """Return the polls and shared records that are due."""
         outputs: list[Output] = []
-        seldom = 1 if self._is_lister() else self._settings.seldom_list_factor
-        if self._lists.rings(now_s, seldom):
+        list_factor = (
+            1 if self._should_read_list() else self._settings.seldom_list_factor
+        )
+        if self._list_timer.restart_if_due(now_s, list_factor):
             outputs.append(ListTargets())
-        if self._loads.rings(now_s):
-            outputs.extend(_poll_loads(self._watched()))
-            outputs.extend(_poll_loads(self._far(now_s)))
-        if self._caches.rings(now_s):
-            outputs.extend(_poll_caches(self._watched()))
-        here = len(self._peers.live_in_domain)
-        slower = max(1, here / self._settings.entries_per_share)
-        if self._shares.rings(now_s, slower):
+        if self._load_timer.restart_if_due(now_s):
+            outputs.extend(_poll_loads(self._polled_targets()))
+            outputs.extend(_poll_loads(self._remote_targets(now_s)))
+        if self._cache_timer.restart_if_due(now_s):
+            outputs.extend(_poll_caches(self._polled_targets()))
+        live_entries = len(self._peers.live_in_domain)
+        interval_factor = max(
+            1, live_entries / self._settings.entries_per_share
+        )
+        if self._share_timer.restart_if_due(now_s, interval_factor):
             outputs.extend(self._share(now_s))
         return outputs
 
     def _timers(self) -> tuple[JitteredTimer, ...]:
-        return (self._lists, self._loads, self._caches, self._shares)
+        return (
+            self._list_timer,
+            self._load_timer,
+            self._cache_timer,
+            self._share_timer,
+        )
 
-    def _watched(self) -> list[TargetState]:
-        near = [
+    def _polled_targets(self) -> list[TargetState]:
+        local = [
             state
             for state in self._table.every()
             if state.target.domain == self._domain
@@ -130,64 +147,69 @@
             self._settings,
             self._instance_id,
             self._peers.live_in_domain,
-            [state.target for state in near],
+            [state.target for state in local],
         )
-        return [state for state in near if state.target.target_id in names]
+        return [state for state in local if state.target.target_id in names]
 
-    def _far(self, now_s: float) -> list[TargetState]:
-        """Pick the targets of other domains, or a few of many, to know where to turn.
+    def _remote_targets(self, now_s: float) -> list[TargetState]:
+        """Return the targets of other domains to poll, or a sample of many.
 
-        Without them an entry whose domain is full would not know which far
-        target is idle; reading all of them would cost each entry as much as
-        the whole fleet is large.
+        Without these polls an entry in a saturated domain would not know
+        which target of another domain is idle. Polling all of them would
+        cost each entry an amount that grows with the fleet.
         """
         since_s = now_s - self._settings.needed_s
-        far = [
+        remote = [
             state
-            for service, at_s in self._needed.items()
+            for service, at_s in self._last_requested_s.items()
             if at_s >= since_s
             for state in self._table.of_service(service).values()
             if state.target.domain != self._domain
         ]
-        if len(far) <= self._settings.poll_all_below_far:
-            return far
-        return self._random.sample(far, self._settings.far_polls)
+        if len(remote) <= self._settings.poll_all_below_far:
+            return remote
+        return self._random.sample(remote, self._settings.far_polls)
 
     def _share(self, now_s: float) -> list[Output]:
-        here = self._peers.live_in_domain
-        if polls_all_targets(self._settings, here):
+        live_entries = self._peers.live_in_domain
+        if polls_all_targets(self._settings, live_entries):
             return []
-        since_s = now_s - self._settings.poll_interval_s * MISSED_POLLS
-        states = [one for one in self._watched() if self._tells(one, now_s)]
-        heard = [state for state in states if state.heard_s >= since_s]
-        silent = [state for state in states if state.failures]
-        if not heard and not silent:
+        since_s = now_s - self._settings.poll_interval_s * MAX_MISSED_POLLS
+        states = [
+            state
+            for state in self._polled_targets()
+            if self._should_share_load(state, now_s)
+        ]
+        recent = [state for state in states if state.heard_s >= since_s]
+        unreachable = [state for state in states if state.failures]
+        if not recent and not unreachable:
             return self._share_changes(now_s)
         record = make_loads_record(
             f'loads/{self._instance_id}',
             self._next_version(),
             self._settings.share_lifetime_s,
-            [(state.target.target_id, state.report) for state in heard],
-            tuple(state.target.target_id for state in silent),
+            [(state.target.target_id, state.report) for state in recent],
+            tuple(state.target.target_id for state in unreachable),
         )
         return [ShareRecord(record), *self._share_changes(now_s)]
 
-    def _tells(self, state: TargetState, now_s: float) -> bool:
-        """Tell whether this entry is the one that shares a target's load.
+    def _should_share_load(self, state: TargetState, now_s: float) -> bool:
+        """Return whether this entry is the one that shares a target's load.
 
-        The first of its watchers does; the second only when nobody has for
-        a while, as when the first has just gone.
+        The first entry that polls the target shares it. The second does so
+        only if no record arrived for `MAX_MISSED_SHARES` intervals, for
+        example after the first has left.
         """
-        here = self._peers.live_in_domain
-        first = rendezvous(here, state.target.target_id, 1)
-        if self._instance_id in first:
+        live_entries = self._peers.live_in_domain
+        first_poller = rendezvous(live_entries, state.target.target_id, 1)
+        if self._instance_id in first_poller:
             return True
-        silent_s = self._settings.share_interval_s * MISSED_SHARES
-        return now_s - max(state.shared_s, self._started_s) > silent_s
+        max_silence_s = self._settings.share_interval_s * MAX_MISSED_SHARES
+        return now_s - max(state.shared_s, self._started_s) > max_silence_s
 
     def _share_changes(self, now_s: float) -> list[Output]:
         changed, gone = self._table.changes.latest(now_s)
-        if not self._is_lister() or not (changed or gone):
+        if not self._should_read_list() or not (changed or gone):
             return []
         record = TargetsShared(
             record_key=f'targets/{self._instance_id}',
@@ -198,12 +220,12 @@
         )
         return [ShareRecord(record)]
 
-    def _is_lister(self) -> bool:
-        here = self._peers.live_in_domain
-        if polls_all_targets(self._settings, here):
+    def _should_read_list(self) -> bool:
+        live_entries = self._peers.live_in_domain
+        if polls_all_targets(self._settings, live_entries):
             return True
-        listers = rendezvous(here, 'targets', self._settings.watchers)
-        return self._instance_id in listers
+        selected = rendezvous(live_entries, 'targets', self._settings.watchers)
+        return self._instance_id in selected
 
     def _next_version(self) -> int:
         self._version += 1
