--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -1,9 +1,10 @@
-"""Requests that crash each engine that runs them.
+"""Quarantine of requests that crash every engine that runs them.
 
-A crash makes all that ran on the engine suspects, guilty and innocent.
-Each suspect is then tried on an engine that no other suspect is on; the
-innocent ones end and are cleared, the guilty one crashes its second engine
-as the only suspect there, and is refused from then on.
+After a crash every request that was in progress on the engine is a suspect.
+Each suspect is then run again on an engine without another suspect, as a
+trial. Harmless requests complete and are cleared. The request that caused
+the crash crashes a second engine as the only suspect there, and is refused
+from then on.
 """
 
 from typing import ClassVar
@@ -31,7 +32,10 @@
 
 
 class QuarantinePart:
-    """Finds out which request crashes engines, and spares its neighbours."""
+    """Identifies requests that crash engines and refuses them.
+
+    Other requests that were in progress on the same engine are retried.
+    """
 
     handles: ClassVar[tuple[type[Event], ...]] = (TargetCrashed, RecordLearned)
 
@@ -43,42 +47,42 @@
         self._version = 0
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the resulting outputs."""
         match event:
             case TargetCrashed():
-                return self._crashed(event, now_s)
+                return self._on_target_crashed(event, now_s)
             case RecordLearned(record=SuspicionShared() as suspicion):
-                return self._suspicion_learned(suspicion, now_s)
+                return self._apply_suspicion(suspicion, now_s)
             case RecordLearned(record=TrialShared() as trial):
-                self._trial_learned(trial, now_s)
+                self._apply_trial(trial, now_s)
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Nothing here waits for a time."""
+        """Return None: this part needs no wake-up."""
 
-    # The Quarantine port.
+    # Methods of the `Quarantine` protocol.
 
     def refusal(self, fingerprint: str, now_s: float) -> Refusal | None:
-        """Refuse a request in quarantine, or while a copy is being tried."""
+        """Return a refusal if the request is quarantined or in a trial."""
         suspect = self._suspects.find(fingerprint, now_s)
         if suspect is None:
             return None
         quarantined_s = suspect.quarantined_s
         if quarantined_s is None:
-            tried = self._is_tried(fingerprint, now_s)
-            return self._wait() if tried else None
+            in_trial = self._is_in_trial(fingerprint, now_s)
+            return self._retry_later() if in_trial else None
         if now_s < quarantined_s + self._settings.outage_window_s:
-            return self._wait()
-        return _quarantined(self._settings.quarantine_s)
+            return self._retry_later()
+        return _quarantine_refusal(self._settings.quarantine_s)
 
     def crowded(self, fingerprint: str, now_s: float) -> frozenset[TargetId]:
-        """Tell which engines other suspects are on."""
+        """Return the engines on which other suspects are in progress."""
         if self._suspects.find(fingerprint, now_s) is None:
             return frozenset()
         return frozenset(
             run.target_id
             for run in self._runs.known(now_s)
-            if run.fingerprint != fingerprint and self._suspected(run, now_s)
+            if run.fingerprint != fingerprint and self._is_suspected(run, now_s)
         )
 
     def started(
@@ -88,14 +92,14 @@
         fingerprint: str,
         now_s: float,
     ) -> list[Output]:
-        """Remember what is in progress where."""
+        """Record an attempt in progress; announce it if it is a trial."""
         trial = self._suspects.find(fingerprint, now_s) is not None
         run = Run(attempt_id, target_id, fingerprint, now_s, trial)
         self._runs.start(run)
-        return [self._announce(run)] if trial else []
+        return [self._announce_trial(run)] if trial else []
 
     def ended(self, attempt_id: AttemptId, whole: bool = False) -> list[Output]:
-        """Forget an attempt; one that ran to its end clears its request."""
+        """Remove an attempt; clear its request if it ran to completion."""
         run = self._runs.end(attempt_id)
         if run is None:
             return []
@@ -103,38 +107,42 @@
         if run.announced:
             outputs.append(self._share_trial(run, over=True))
         if whole and self._suspects.clear(run.fingerprint):
-            outputs.append(self._share(run.fingerprint, Suspicion.CLEARED))
+            outputs.append(
+                self._share_suspicion(run.fingerprint, Suspicion.CLEARED)
+            )
         return outputs
 
     def lost(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
-        """Suspect an attempt that was left at a silent engine.
+        """Suspect a request whose attempt was abandoned on a silent engine.
 
-        It is not yet known whether the engine crashed, so nothing is held
-        against a suspect's second one until a crash is told.
+        It is not yet known whether the engine crashed, so a second such
+        engine counts against a suspect only after its crash is reported.
         """
         run = self._runs.find(attempt_id)
         if run is None:
             return []
-        self._incident(run, now_s)
+        self._find_or_open_incident(run, now_s)
         if self._incidents.is_outage(now_s):
-            return self._excuse_all(now_s)
+            return self._clear_recent_suspicions(now_s)
         self._runs.lose(run, now_s)
-        if self._suspected(run, now_s):
+        if self._is_suspected(run, now_s):
             return []
         self._suspects.suspect(run.fingerprint, now_s)
-        return [self._share(run.fingerprint, Suspicion.SUSPECT)]
+        return [self._share_suspicion(run.fingerprint, Suspicion.SUSPECT)]
 
     def broke(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
-        """Count the engine of an attempt that broke off."""
+        """Count a crash against the request of an attempt that failed."""
         run = self._runs.find(attempt_id)
         if run is None:
             return []
-        outputs = self._count(run, now_s)
+        outputs = self._record_crash(run, now_s)
         return [*outputs, *self.ended(attempt_id)]
 
     # Crashes.
 
-    def _crashed(self, event: TargetCrashed, now_s: float) -> list[Output]:
+    def _on_target_crashed(
+        self, event: TargetCrashed, now_s: float
+    ) -> list[Output]:
         outputs = [
             output
             for attempt_id in event.attempt_ids
@@ -142,68 +150,69 @@
         ]
         for run in self._runs.lost(now_s):
             if run.target_id == event.target_id:
-                outputs.extend(self._count(run, now_s))
+                outputs.extend(self._record_crash(run, now_s))
         return outputs
 
-    def _count(self, run: Run, now_s: float) -> list[Output]:
-        incident = self._incident(run, now_s)
+    def _record_crash(self, run: Run, now_s: float) -> list[Output]:
+        incident = self._find_or_open_incident(run, now_s)
         if self._incidents.is_outage(now_s):
-            return self._excuse_all(now_s)
+            return self._clear_recent_suspicions(now_s)
         fingerprint = run.fingerprint
         suspect = self._suspects.find(fingerprint, now_s)
         if suspect is None:
             self._suspects.suspect(fingerprint, now_s)
-            return [self._share(fingerprint, Suspicion.SUSPECT)]
+            return [self._share_suspicion(fingerprint, Suspicion.SUSPECT)]
         if not run.trial or suspect.quarantined_s is not None:
-            # A copy that was already running when the first engine crashed.
-            # A prompt that many callers share runs on many engines at once,
-            # and any two crashes would condemn it.
+            # This copy was already running when the first engine crashed. A
+            # prompt sent by many callers runs on many engines at once, and
+            # any two unrelated crashes would quarantine it.
             return []
         if incident.suspects - {fingerprint}:
             suspect.shared_crashes += 1
             if suspect.shared_crashes < self._settings.shared_crash_limit:
                 return []
         self._suspects.quarantine(fingerprint, now_s)
-        return [self._share(fingerprint, Suspicion.CONVICTED)]
+        return [self._share_suspicion(fingerprint, Suspicion.CONVICTED)]
 
-    def _incident(self, run: Run, now_s: float) -> Incident:
-        """Find or open the incident that a broken run belongs to.
+    def _find_or_open_incident(self, run: Run, now_s: float) -> Incident:
+        """Return the incident that a failed run belongs to, or open one.
 
-        Who was a suspect is settled when it opens, before the rest become
-        suspects by this very crash.
+        The suspects are recorded when the incident opens, before this crash
+        makes the other requests on the engine suspects too.
         """
-        known = self._incidents.find(run, now_s)
-        if known is not None:
-            return known
-        on_it = frozenset(
+        existing = self._incidents.find(run, now_s)
+        if existing is not None:
+            return existing
+        suspects = frozenset(
             other.fingerprint
             for other in self._runs.known(now_s)
             if other.target_id == run.target_id
-            and self._suspected(other, now_s)
+            and self._is_suspected(other, now_s)
         )
-        incident = Incident(run.target_id, now_s, on_it)
+        incident = Incident(run.target_id, now_s, suspects)
         self._incidents.add(incident)
         return incident
 
-    def _excuse_all(self, now_s: float) -> list[Output]:
-        # A request crashes one engine at a time. Many at once are a cut
-        # network or a zone taken away, which condemns nobody. What was said
-        # in the last moments is taken back; else all that ran there would
-        # be tried one by one, and wait for minutes.
+    def _clear_recent_suspicions(self, now_s: float) -> list[Output]:
+        # A request crashes one engine at a time. Many crashes at once are a
+        # network partition or a lost zone, for which no request is to blame.
+        # The suspicions of the last `outage_window_s` are cleared; otherwise
+        # all requests that ran there would be tried one by one, and would
+        # wait for minutes.
         since_s = now_s - self._settings.outage_window_s
         return [
-            self._share(fingerprint, Suspicion.CLEARED)
+            self._share_suspicion(fingerprint, Suspicion.CLEARED)
             for fingerprint in self._suspects.flagged_since(since_s)
             if self._suspects.clear(fingerprint)
         ]
 
-    def _suspected(self, run: Run, now_s: float) -> bool:
+    def _is_suspected(self, run: Run, now_s: float) -> bool:
         return self._suspects.find(run.fingerprint, now_s) is not None
 
-    def _is_tried(self, fingerprint: str, now_s: float) -> bool:
-        # A trial that was left at a silent engine is one until it is known
-        # whether the engine crashed; else the request would go on to a
-        # third engine before the end of its second is heard of.
+    def _is_in_trial(self, fingerprint: str, now_s: float) -> bool:
+        # A trial that was abandoned on a silent engine stays open until it is
+        # known whether the engine crashed. Otherwise the request would run on
+        # a third engine before the crash of its second one is reported.
         if any(
             run.trial and run.fingerprint == fingerprint
             for run in self._runs.lost(now_s)
@@ -215,7 +224,7 @@
 
     # Peers.
 
-    def _suspicion_learned(
+    def _apply_suspicion(
         self, record: SuspicionShared, now_s: float
     ) -> list[Output]:
         self._version = max(self._version, record.version)
@@ -227,14 +236,16 @@
                 self._suspects.quarantine(fingerprint, now_s)
             case Suspicion.SUSPECT:
                 self._suspects.suspect(fingerprint, now_s)
-                return list(map(self._announce, self._runs.copies(fingerprint)))
+                return list(
+                    map(self._announce_trial, self._runs.copies(fingerprint))
+                )
         return []
 
-    def _announce(self, run: Run) -> Output:
+    def _announce_trial(self, run: Run) -> Output:
         self._runs.start(attrs.evolve(run, announced=True))
         return self._share_trial(run)
 
-    def _trial_learned(self, record: TrialShared, now_s: float) -> None:
+    def _apply_trial(self, record: TrialShared, now_s: float) -> None:
         self._version = max(self._version, record.version)
         if record.over:
             self._runs.end_peer(record.attempt_id)
@@ -244,7 +255,9 @@
         )
         self._runs.tell_peer(run, now_s)
 
-    def _share(self, fingerprint: str, suspicion: Suspicion) -> Output:
+    def _share_suspicion(
+        self, fingerprint: str, suspicion: Suspicion
+    ) -> Output:
         self._version += 1
         lifetime_s = self._settings.suspect_lifetime_s
         if suspicion is Suspicion.CONVICTED:
@@ -271,20 +284,20 @@
         )
         return ShareRecord(record, everywhere=True)
 
-    def _wait(self) -> Refusal:
+    def _retry_later(self) -> Refusal:
         return Refusal(
             RefusalKind.OVERLOADED,
-            'An engine crashed while it ran this request, and it is being '
-            'found out whether the request was the cause',
+            'An engine crashed while running this request, and whether the '
+            'request was the cause is still being checked',
             'Send the request again after retry_after_s',
             retry_after_s=self._settings.retry_after_s,
         )
 
 
-def _quarantined(quarantine_s: float) -> Refusal:
+def _quarantine_refusal(quarantine_s: float) -> Refusal:
     return Refusal(
         RefusalKind.QUARANTINED,
-        'Two engines crashed while they ran this request',
+        'Two engines crashed while running this request',
         'Change the prompt, or send it again when the quarantine of '
         f'{quarantine_s / 3600:.0f} hours is over',
     )
--- a/packages/core/dandelionyoke_core/_quarantine_messages.py
+++ b/packages/core/dandelionyoke_core/_quarantine_messages.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of requests that may crash engines."""
+"""Records that entries share about requests that may crash engines."""
 
 import enum
 
@@ -10,7 +10,11 @@
 
 @enum.unique
 class Suspicion(enum.Enum):
-    """What is thought of a request that an engine crashed with."""
+    """State of a request that was in progress on an engine that crashed.
+
+    `CONVICTED` means that the request is taken for the cause of the crashes
+    and is quarantined.
+    """
 
     SUSPECT = 'suspect'
     CONVICTED = 'convicted'
@@ -19,7 +23,7 @@
 
 @attrs.frozen
 class SuspicionShared(SharedRecord):
-    """What an entry found out about a request."""
+    """Suspicion state of a request, as determined by an entry."""
 
     fingerprint: str
     suspicion: Suspicion
@@ -27,7 +31,10 @@
 
 @attrs.frozen
 class TrialShared(SharedRecord):
-    """A suspect is in progress on an engine; or its trial is over."""
+    """Trial of a suspect on an engine.
+
+    `over` is False when the trial starts and True when it has ended.
+    """
 
     attempt_id: AttemptId
     fingerprint: str
--- a/packages/core/dandelionyoke_core/_quarantine_settings.py
+++ b/packages/core/dandelionyoke_core/_quarantine_settings.py
@@ -1,20 +1,20 @@
-"""Limits of the quarantine."""
+"""Settings of the quarantine of requests that crash engines."""
 
 import attrs
 
 
 @attrs.frozen
 class QuarantineSettings:
-    """When a request is refused for the engines that it crashed.
+    """Timeouts and limits of the quarantine.
 
-    One crash makes a request a suspect for `suspect_lifetime_s`; a second
-    one, of the engine on which it is then tried as the only suspect, puts
-    it in quarantine for `quarantine_s`. A verdict is held back for
-    `outage_window_s`: when `outage_engines` break within it, the cause is
-    taken for an outage and not for a request. After `joint_limit` crashes
-    with other suspects on the engine a request is quarantined all the same.
-    A suspect that an engine fell silent with waits `lost_window_s` for news
-    of the engine.
+    One crash makes a request a suspect for `suspect_lifetime_s`. A second
+    crash, of an engine on which it runs as the only suspect, quarantines it
+    for `quarantine_s`. The quarantine takes effect after `outage_window_s`:
+    if `outage_engines` engines crash within that time, the cause is assumed
+    to be an outage and not a request. A request is also quarantined after
+    `shared_crash_limit` further crashes with other suspects on the engine.
+    A suspect on an engine that fell silent waits `lost_window_s` for a
+    report about the engine.
     """
 
     suspect_lifetime_s: float = 600.0
--- a/packages/core/dandelionyoke_core/_suspects.py
+++ b/packages/core/dandelionyoke_core/_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are suspected of crashing engines, and how strongly."""
+"""Table of requests that are suspected of crashing engines."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -12,8 +12,8 @@
 class Suspect:
     """A request that was in progress on an engine that crashed.
 
-    `joint` counts further crashes that it shared with other suspects, so
-    that nothing is proved by them.
+    `shared_crashes` counts further crashes of engines that ran other
+    suspects too, which do not prove that this request is the cause.
     """
 
     suspected_s: float
@@ -22,7 +22,7 @@
 
 
 class Suspects:
-    """A bounded table of suspects by fingerprint, oldest first."""
+    """Bounded table of suspects by fingerprint, oldest first."""
 
     def __init__(self, settings: QuarantineSettings) -> None:
         self._settings = settings
@@ -32,44 +32,44 @@
         return len(self._suspects)
 
     def find(self, fingerprint: str, now_s: float) -> Suspect | None:
-        """Look a suspect up, if its time is not over."""
+        """Return the unexpired suspect with this fingerprint, or None."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return None
-        if now_s >= self._until_s(suspect):
+        if now_s >= self._expires_s(suspect):
             self._suspects.pop(fingerprint)
             return None
         return suspect
 
     def suspect(self, fingerprint: str, now_s: float) -> None:
-        """Hold a request for a suspect from now on."""
+        """Add a request as a suspect, unless it is one already."""
         if self.find(fingerprint, now_s) is not None:
             return
         self._suspects[fingerprint] = Suspect(now_s)
-        # A flood of crashes must not grow this without bound; the oldest
-        # suspicion is the one least likely to matter.
+        # Bounds the table during a flood of crashes. The oldest suspicion is
+        # the least likely to matter.
         while len(self._suspects) > self._settings.max_suspects:
             self._suspects.popitem(last=False)
 
     def quarantine(self, fingerprint: str, now_s: float) -> None:
-        """Hold a request for the cause of its crashes."""
+        """Mark a request as the cause of its crashes and quarantine it."""
         self.suspect(fingerprint, now_s)
         suspect = self._suspects[fingerprint]
         if suspect.quarantined_s is None:
             suspect.quarantined_s = now_s
 
     def clear(self, fingerprint: str) -> bool:
-        """Drop a suspicion; False if there was none."""
+        """Remove a suspect; return False if there was none."""
         return self._suspects.pop(fingerprint, None) is not None
 
     def flagged_since(self, since_s: float) -> Iterator[str]:
-        """Go through the requests that were blamed since a time."""
+        """Yield the requests suspected or quarantined since a time."""
         for fingerprint, suspect in tuple(self._suspects.items()):
-            blamed_s = max(suspect.suspected_s, suspect.quarantined_s or 0)
-            if blamed_s >= since_s:
+            flagged_s = max(suspect.suspected_s, suspect.quarantined_s or 0)
+            if flagged_s >= since_s:
                 yield fingerprint
 
-    def _until_s(self, suspect: Suspect) -> float:
+    def _expires_s(self, suspect: Suspect) -> float:
         if suspect.quarantined_s is not None:
             return suspect.quarantined_s + self._settings.quarantine_s
         return suspect.suspected_s + self._settings.suspect_lifetime_s
