--- a/packages/core/dandelionyoke_core/_timers.py
+++ b/packages/core/dandelionyoke_core/_timers.py
@@ -1,4 +1,4 @@
-"""When something has to be looked at, for many things at little cost."""
+"""Timer queue for many names, with inexpensive postponement."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -8,36 +8,41 @@
 
 
 class Timers(Generic[Name]):
-    """A heap of times that may be early but are never late.
+    """Heap of due times, which may be earlier than the true due time.
 
-    A time that moves later is left in place and looked up again when it
-    is due, so that a stream's every token costs nothing here.
+    A due time that moves later stays in the heap and is looked up again
+    when it expires, so that a token of a stream does not have to update
+    the heap. A due time in the heap is never too late.
     """
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, Name]] = []
-        self._set: dict[Name, float] = {}
+        self._scheduled: dict[Name, float] = {}
 
     def next_s(self) -> float | None:
-        """Tell the earliest time, which may prove to be early."""
+        """Return the earliest due time, which may be too early, or None."""
         return self._heap[0][0] if self._heap else None
 
     def put(self, name: Name, due_s: float) -> None:
-        """Have `name` looked at by `due_s`."""
-        known_s = self._set.get(name)
-        if known_s is None or due_s < known_s:
-            self._set[name] = due_s
+        """Schedule `name` for `due_s`, unless it is due earlier already."""
+        scheduled_s = self._scheduled.get(name)
+        if scheduled_s is None or due_s < scheduled_s:
+            self._scheduled[name] = due_s
             heapq.heappush(self._heap, (due_s, name))
 
     def due(
         self, now_s: float, due_of: Callable[[Name], float | None]
     ) -> Iterator[Name]:
-        """Take what is due; `due_of` tells the true time, None if gone."""
+        """Remove and yield the names that are due.
+
+        `due_of` returns the true due time of a name, or None if the name is
+        no longer in use. A name that is not yet due is scheduled again.
+        """
         while self._heap and self._heap[0][0] <= now_s:
-            known_s, name = heapq.heappop(self._heap)
-            if self._set.get(name) != known_s:
+            scheduled_s, name = heapq.heappop(self._heap)
+            if self._scheduled.get(name) != scheduled_s:
                 continue
-            self._set.pop(name)
+            self._scheduled.pop(name)
             due_s = due_of(name)
             if due_s is None:
                 continue
