--- a/packages/core/dandelionyoke_core/_gossip.py
+++ b/packages/core/dandelionyoke_core/_gossip.py
@@ -51,7 +51,7 @@
     def keep(
         self, record: SharedRecord, everywhere: bool, now_s: float
     ) -> RecordEntry | None:
-        """Store a record of this node; return the entry to send if it is new."""
+        """Store a record of this node; return the entry to send if new."""
         if not self._is_newer(record.record_key, record.version):
             return None
         return self._store(
--- a/packages/core/dandelionyoke_core/_knowledge.py
+++ b/packages/core/dandelionyoke_core/_knowledge.py
@@ -84,7 +84,7 @@
         return newer
 
     def last_changes(self) -> tuple[Change, ...]:
-        """Return the newest changes, within the limits for unrequested sending."""
+        """Return the newest changes that fit the limits for pushing."""
         pushed: list[Change] = []
         size_bytes = 0
         for change in reversed(self._recent):
--- a/packages/core/dandelionyoke_core/_members.py
+++ b/packages/core/dandelionyoke_core/_members.py
@@ -62,7 +62,7 @@
         return [self._members[name].instance for name in self.live]
 
     def apply_list(self, instances: Iterable[Instance]) -> list[InstanceId]:
-        """Apply the platform's list, which lags; return the ids that it adds."""
+        """Apply the platform's list, which lags; return the added ids."""
         self._listed = {
             instance.instance_id: instance for instance in instances
         }
