--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -40,7 +40,9 @@
         """Request one more target, one fewer, or no change."""
         usable = [sight for sight in sights if sight.is_usable]
         local = [
-            sight for sight in usable if sight.target.domain == place.domain
+            candidate
+            for candidate in usable
+            if candidate.target.domain == place.domain
         ]
         if not local or now_s < self._cooldown_until_s:
             return []
--- a/packages/core/dandelionyoke_core/_node.py
+++ b/packages/core/dandelionyoke_core/_node.py
@@ -40,7 +40,7 @@
                 self._wakeup_s = self._earliest_wakeup_s()
                 return actions
             self._dispatch_next(pending, now_s, actions)
-        raise NoticeLoopError(f'endless loop of notices after {event!r}')
+        raise NoticeLoopError(f'{event!r} triggers an endless loop of notices')
 
     def next_wakeup_s(self) -> float | None:
         """Return the time at which the next `Woken` is due, or None."""
--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -176,9 +176,9 @@
             return []
         since_s = now_s - self._settings.poll_interval_s * MAX_MISSED_POLLS
         states = [
-            state
-            for state in self._polled_targets()
-            if self._should_share_load(state, now_s)
+            candidate
+            for candidate in self._polled_targets()
+            if self._should_share_load(candidate, now_s)
         ]
         recent = [state for state in states if state.heard_s >= since_s]
         unreachable = [state for state in states if state.failures]
