--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Each node knows who is alive, at a cost that does not grow with them."""
+"""Tests of membership: link topology, failure detection and gossip."""
 
 import random
 
@@ -39,20 +39,25 @@
 
 def instances(*counts):
     return [
-        Instance(InstanceId(f'd{place}-{number}'), Domain(f'd{place}'), '', '')
-        for place, count in enumerate(counts)
+        Instance(
+            InstanceId(f'd{domain_index}-{number}'),
+            Domain(f'd{domain_index}'),
+            '',
+            '',
+        )
+        for domain_index, count in enumerate(counts)
         for number in range(count)
     ]
 
 
-def sees_all(world) -> bool:
+def all_views_agree(world) -> bool:
     names = tuple(
         sorted(node.instance.instance_id for node in world.live_nodes())
     )
     return all(node.membership.live == names for node in world.live_nodes())
 
 
-def suspicions(world):
+def suspected_ids(world):
     return [
         log.subject
         for node in world.nodes.values()
@@ -62,8 +67,8 @@
 
 
 class TopologyTest(testtools.TestCase):
-    def test_links_are_few_and_connect_all(self) -> None:
-        for counts, most in (
+    def test_links_are_bounded_and_keep_instances_connected(self) -> None:
+        for counts, link_limit in (
             ((1,), 0),
             ((2,), 2),
             ((1, 1, 1), 6),
@@ -79,48 +84,53 @@
                 for peer in choose_links(own, live, TopologySettings()):
                     links[own.instance_id].add(peer)
                     links[peer].add(own.instance_id)
-            self.assertLessEqual(max(map(len, links.values())), most, counts)
-            self.assertEqual(set(links), self._reached(links), counts)
-            for gone in list(links)[:20] if len(links) > 4 else ():
+            self.assertLessEqual(
+                max(map(len, links.values())), link_limit, counts
+            )
+            self.assertEqual(set(links), self._reachable(links), counts)
+            for removed in list(links)[:20] if len(links) > 4 else ():
                 self.assertEqual(
-                    set(links) - {gone}, self._reached(links, gone), counts
+                    set(links) - {removed},
+                    self._reachable(links, removed),
+                    counts,
                 )
 
-    def _reached(self, links, without=None):
-        waiting = [next(name for name in links if name != without)]
-        seen = set()
-        while waiting:
-            name = waiting.pop()
-            if name not in seen and name != without:
-                seen.add(name)
-                waiting.extend(links[name])
-        return seen
+    def _reachable(self, links, excluded=None):
+        pending = [next(name for name in links if name != excluded)]
+        reached = set()
+        while pending:
+            name = pending.pop()
+            if name not in reached and name != excluded:
+                reached.add(name)
+                pending.extend(links[name])
+        return reached
 
 
 class LivenessTest(testtools.TestCase):
-    def test_nobody_is_suspected_without_a_fault(self) -> None:
+    def test_no_instance_is_suspected_without_a_fault(self) -> None:
         world = make_world()
-        self.assertTrue(sees_all(world))
+        self.assertTrue(all_views_agree(world))
         world.run(300)
-        self.assertEqual([], suspicions(world))
+        self.assertEqual([], suspected_ids(world))
 
-    def test_a_killed_instance_is_missed(self) -> None:
-        """A process is killed without a word.
+    def test_a_killed_instance_is_detected(self) -> None:
+        """A process is killed and sends no leave announcement.
 
-        Until the others miss it, it counts for shares of limits and may be
-        chosen for a duty that no one then does.
+        Until the other instances detect it, it still counts in the division
+        of limits and may be selected for a duty that it cannot perform.
         """
         for seed in range(5):
             world = make_world(seed)
             world.kill(world.live_nodes()[seed])
-            took_s = world.run_until(lambda: sees_all(world), 60)
-            self.assertLess(took_s, 9)
+            elapsed_s = world.run_until(lambda: all_views_agree(world), 60)
+            self.assertLess(elapsed_s, 9)
 
-    def test_a_paused_instance_comes_back_by_itself(self) -> None:
-        """A process stops for 20 s, as on a busy machine.
+    def test_a_paused_instance_rejoins_after_the_pause(self) -> None:
+        """A process is paused for 20 s, as on an overloaded machine.
 
-        It is missed, and after it wakes it has to count again at once; nor
-        may it take all others for dead because it heard nothing.
+        It is suspected, and must count as live again soon after it resumes.
+        It must not suspect the other instances because it received nothing
+        during the pause.
         """
         for seed in range(5):
             world = make_world(seed)
@@ -128,25 +138,27 @@
             name = node.instance.instance_id
             world.pause(node, 20)
             world.run(19)
-            self.assertFalse(sees_all(world))
+            self.assertFalse(all_views_agree(world))
             world.run(1.01)
-            self.assertLess(world.run_until(lambda: sees_all(world), 60), 5)
-            self.assertEqual({name}, set(suspicions(world)))
+            self.assertLess(
+                world.run_until(lambda: all_views_agree(world), 60), 5
+            )
+            self.assertEqual({name}, set(suspected_ids(world)))
             world.run(60)
-            self.assertTrue(sees_all(world))
+            self.assertTrue(all_views_agree(world))
 
-    def test_a_short_pause_goes_unnoticed(self) -> None:
+    def test_a_short_pause_causes_no_suspicion(self) -> None:
         world = make_world()
         world.pause(world.live_nodes()[0], 4)
         world.run(30)
-        self.assertEqual([], suspicions(world))
+        self.assertEqual([], suspected_ids(world))
 
-    def test_regions_that_lost_each_other(self) -> None:
-        """The line between two regions is down for an hour.
+    def test_partitioned_regions_reconnect(self) -> None:
+        """Two regions are partitioned for an hour.
 
-        Each goes on with its own instances. The platform's list shows all
-        of them the whole time, and afterwards no one starts anew: unless
-        the dead are tried now and then, the regions stay apart for good.
+        Each continues with its own instances. The platform's list shows all
+        instances the whole time, and no instance restarts afterwards. Unless
+        instances presumed dead are probed, the regions never reconnect.
         """
         world = make_world(domains=REGIONS)
         for north in ('n1', 'n2'):
@@ -158,36 +170,38 @@
         )
         world.run(3540)
         world.heal()
-        self.assertLess(world.run_until(lambda: sees_all(world), 120), 15)
+        self.assertLess(
+            world.run_until(lambda: all_views_agree(world), 120), 15
+        )
 
-    def test_two_domains_that_reach_each_other_over_a_third(self) -> None:
-        """Two domains are cut apart, and a third still reaches both.
+    def test_domains_connected_through_a_third_stay_live(self) -> None:
+        """Two domains cannot reach each other, and a third reaches both.
 
-        Their instances miss each other directly but are alive; were they
-        dropped, each would take over more than its share of limits.
+        Their instances suspect each other but are live. If they were
+        removed, each domain would use more than its share of the limits.
         """
         world = make_world()
         world.cut('a', 'b')
         world.run(30)
         for _ in range(20):
             world.run(5)
-            self.assertTrue(sees_all(world))
-        self.assertLess(len(suspicions(world)), 150)
+            self.assertTrue(all_views_agree(world))
+        self.assertLess(len(suspected_ids(world)), 150)
 
-    def test_a_link_that_went_silent_for_good(self) -> None:
-        """Something between two ends loses track of their connections.
+    def test_a_link_that_silently_drops_messages(self) -> None:
+        """A middlebox drops the state of established connections.
 
-        What is sent on them vanishes, while new ones work. The peers at
-        both ends are alive and nobody may notice anything.
+        Messages on them are lost, while new connections work. The peers at
+        both ends are live, and none may be suspected.
         """
         world = make_world()
         node = world.live_nodes()[0]
         world.silence(node)
         world.run(60)
-        self.assertTrue(sees_all(world))
-        self.assertEqual([], suspicions(world))
+        self.assertTrue(all_views_agree(world))
+        self.assertEqual([], suspected_ids(world))
 
-    def test_who_leaves_is_known_at_once(self) -> None:
+    def test_a_leaving_instance_is_known_immediately(self) -> None:
         world = make_world()
         node = world.live_nodes()[0]
         name = node.instance.instance_id
@@ -198,16 +212,16 @@
             is_listed = name in other.membership.live
             self.assertEqual(other is node, is_listed)
         world.run(30)
-        self.assertEqual([], suspicions(world))
+        self.assertEqual([], suspected_ids(world))
         world.kill(node)
         world.run(90)
         self.assertEqual((), world.live_nodes()[0].membership.leaving)
 
-    def test_the_list_is_out(self) -> None:
-        """The platform gives no list while instances come and go.
+    def test_membership_without_the_platform_list(self) -> None:
+        """The platform's list is unavailable while instances start and stop.
 
-        A new one knows its peers by its settings, the old ones hear of it
-        from each other; nobody may wait for the list.
+        A new instance finds its peers through its settings, and the others
+        learn of it by gossip. None may depend on the list.
         """
         world = make_world()
         world.list_is_out = True
@@ -218,15 +232,16 @@
         )
         world.kill(world.live_nodes()[5])
         world.start('new', 'b')
-        self.assertLess(world.run_until(lambda: sees_all(world), 60), 9)
+        self.assertLess(world.run_until(lambda: all_views_agree(world), 60), 9)
         world.run(60)
-        self.assertTrue(sees_all(world))
+        self.assertTrue(all_views_agree(world))
 
-    def test_a_restart_with_a_clock_that_runs_behind(self) -> None:
-        """An instance restarts under its name with a lower incarnation.
+    def test_a_restart_with_a_lower_incarnation(self) -> None:
+        """An instance restarts with its clock behind, at a lower incarnation.
 
-        Its peers hold a newer record of its past life; it has to outbid
-        that, or it is left out for as long as the record lives.
+        Its peers hold a record with a higher version from before the
+        restart. It must announce a higher version, or it is ignored until
+        that record expires.
         """
         world = make_world()
         world.run(100)
@@ -236,11 +251,11 @@
         world.start(
             node.instance.instance_id, node.instance.domain, incarnation=0
         )
-        self.assertLess(world.run_until(lambda: sees_all(world), 60), 5)
+        self.assertLess(world.run_until(lambda: all_views_agree(world), 60), 5)
 
 
 class GossipTest(testtools.TestCase):
-    def test_a_record_reaches_its_scope_once(self) -> None:
+    def test_a_record_is_delivered_once_within_its_scope(self) -> None:
         for everywhere, count in ((True, 12), (False, 4)):
             world = make_world()
             record = SharedRecord('load/x', version=1, lifetime_s=5)
@@ -249,20 +264,20 @@
                 node.recorder.learned.clear()
             world.give(world.live_nodes()[0], ShareRecord(record, everywhere))
             world.run(0.1)
-            heard = [
+            deliveries = [
                 notice
                 for node in world.nodes.values()
                 for notice in node.recorder.learned
                 if notice.record == record
             ]
-            self.assertEqual(count - 1, len(heard))
+            self.assertEqual(count - 1, len(deliveries))
             sent = sum(n.sent['RecordBatch'] for n in world.nodes.values())
             self.assertLess(sent, count * 10)
 
-    def test_what_was_missed_in_a_cut_is_made_up(self) -> None:
-        """A record is shared while a domain is cut off.
+    def test_records_missed_during_a_partition_are_delivered(self) -> None:
+        """A record is shared while a domain is partitioned.
 
-        It must still arrive after the cut, as long as it lives.
+        It must arrive after the partition ends, unless it has expired.
         """
         world = make_world()
         for other in ('b', 'c'):
@@ -291,33 +306,35 @@
         )
     )
     @settings(deadline=None)
-    def test_the_highest_version_wins(self, script) -> None:
-        """Records arrive over many ways, late and in any order.
+    def test_the_highest_version_wins(self, updates) -> None:
+        """Records arrive over several paths, late and in any order.
 
-        Whoever took an older one would act on what is no longer so, and
-        would pass it on to others.
+        A node that accepted an older version would act on outdated data and
+        relay it to others.
         """
         part = MembershipPart(
             MembershipSettings(), instances(1)[0], 1, random.Random(1)
         )
         part.handle(Started(0), 0)
-        naive: dict[str, int] = {}
-        for name, version in script:
+        highest_versions: dict[str, int] = {}
+        for name, version in updates:
             record = SharedRecord(name, version, 60)
             entry = RecordEntry(message_to_mapping(record), True, 60)
             outputs = part.handle(
                 PeerMessageArrived(InstanceId('p'), RecordBatch((entry,))), 1
             )
             learned = [o for o in outputs if isinstance(o, RecordLearned)]
-            is_newer = version > naive.get(name, -1)
+            is_newer = version > highest_versions.get(name, -1)
             self.assertEqual(is_newer, bool(learned))
-            naive[name] = max(version, naive.get(name, -1))
+            highest_versions[name] = max(
+                version, highest_versions.get(name, -1)
+            )
 
-    def test_a_lifetime_is_not_begun_anew_by_each_who_hears(self) -> None:
-        """A record has lived for most of its time when a node hears of it.
+    def test_relaying_does_not_restart_the_lifetime(self) -> None:
+        """A record is near the end of its lifetime when a node receives it.
 
-        Passed on for its whole lifetime each time, it would go round among
-        nodes that meet for ever, long after what it says has ended.
+        If each relay restarted the lifetime, the record would circulate
+        forever among nodes that reconnect.
         """
         for remaining_s, count in ((1, 0), (30, 1)):
             part = MembershipPart(
@@ -329,24 +346,24 @@
             batch = RecordBatch((entry,))
             part.handle(PeerMessageArrived(InstanceId('p'), batch), 1)
             part.handle(Woken(), 5)
-            hello = RecordSummary(instances(2)[1], {'member/d0-0': 2 << 20})
+            summary = RecordSummary(instances(2)[1], {'member/d0-0': 2 << 20})
             outputs = part.handle(
-                PeerMessageArrived(InstanceId('d0-1'), hello), 5
+                PeerMessageArrived(InstanceId('d0-1'), summary), 5
             )
-            passed_on = [
+            relayed = [
                 entry
                 for output in outputs
                 if isinstance(output, SendPeer)
                 and isinstance(output.message, RecordBatch)
                 for entry in output.message.entries
             ]
-            self.assertEqual(count, len(passed_on))
+            self.assertEqual(count, len(relayed))
 
-    def test_tables_and_links_are_bounded(self) -> None:
-        """A peer sends records, or opens links, without end.
+    def test_the_record_table_and_links_are_bounded(self) -> None:
+        """A peer sends records, or opens links, without limit.
 
-        Memory must not grow with them; records that are known already
-        still get their new versions.
+        Memory must stay bounded, and records that are already known must
+        still be updated to new versions.
         """
         part = MembershipPart(
             MembershipSettings(
@@ -378,8 +395,8 @@
         self.assertEqual(3, len(greeted))
 
 
-class SeededTest(testtools.TestCase):
-    def test_a_run_follows_from_its_seed(self) -> None:
+class DeterminismTest(testtools.TestCase):
+    def test_the_same_seed_gives_the_same_run(self) -> None:
         runs = []
         for _ in range(2):
             world = World(7, WorldSettings((('a', 3), ('b', 2))))
