--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that crashes engines is stopped, and its neighbours are not."""
+"""Tests that only requests that crash engines are quarantined."""
 
 from random import Random
 from typing import Any
@@ -9,22 +9,27 @@
 import dandelionyoke_core as core
 from tests.core.fakes import Entry, ask, engine
 
-POISON = 'crash'
+CRASH_PROMPT = 'crash'
 RESTART_S = 6
 SLOW_S = 1.2
 TICK_S = 0.4
 
 
 class Fleet:
-    """Entries that share engines, which die of a poisonous prompt."""
+    """Entries that share engines, which crash on certain prompts.
+
+    An engine crashes while it runs a prompt that contains `CRASH_PROMPT`.
+    """
 
     def __init__(self, entries: int, engines: int, seed: int = 0) -> None:
         self.random = Random(seed)
-        self.engines = [engine(f'e{place}') for place in range(engines)]
-        self.entries = [Entry(f'entry-{place}') for place in range(entries)]
-        self.work: dict[str, tuple[Entry, core.StartAttempt, float]] = {}
-        self.streams: dict[str, str] = {}
-        self.down: dict[core.TargetId, float] = {}
+        self.engines = [engine(f'e{index}') for index in range(engines)]
+        self.entries = [Entry(f'entry-{index}') for index in range(entries)]
+        self.running_attempts: dict[
+            str, tuple[Entry, core.StartAttempt, float]
+        ] = {}
+        self.stream_of_attempt: dict[str, str] = {}
+        self.down_until_s: dict[core.TargetId, float] = {}
         self.crashes: list[core.TargetId] = []
         self.slow_s = SLOW_S
         for entry in self.entries:
@@ -34,37 +39,42 @@
     def now_s(self) -> float:
         return self.entries[0].now_s
 
-    def tell(self, entry: Entry, event: Any) -> None:
-        self.take(entry, entry.tell(event))
+    def send_event(self, entry: Entry, event: Any) -> None:
+        self.apply_actions(entry, entry.tell(event))
 
-    def take(self, entry: Entry, actions: list[core.Action]) -> None:
-        self.spread(entry)
+    def apply_actions(self, entry: Entry, actions: list[core.Action]) -> None:
+        self.share_records(entry)
         for action in actions:
             if isinstance(action, core.StartAttempt | core.ResumeAttempt):
-                self.connect(entry, action)
+                self.start_or_resume(entry, action)
             elif isinstance(action, core.CancelAttempt):
-                self.work.pop(action.attempt_id, None)
+                self.running_attempts.pop(action.attempt_id, None)
 
-    def connect(self, entry: Entry, action: Any) -> None:
+    def start_or_resume(self, entry: Entry, action: Any) -> None:
         if isinstance(action, core.ResumeAttempt):
-            lost = action.resumed_attempt_id not in self.work
-            self.streams[action.resumed_attempt_id] = action.attempt_id
+            has_failed = action.resumed_attempt_id not in self.running_attempts
+            self.stream_of_attempt[action.resumed_attempt_id] = (
+                action.attempt_id
+            )
         else:
-            lost = action.target_id in self.down
-        if lost:
+            has_failed = action.target_id in self.down_until_s
+        if has_failed:
             ids = action.request_id, action.attempt_id
-            failed = core.AttemptFailed(*ids, sent=False, cause='refused')
-            self.tell(entry, failed)
+            event = core.AttemptFailed(*ids, sent=False, cause='refused')
+            self.send_event(entry, event)
         elif isinstance(action, core.StartAttempt):
-            self.work[action.attempt_id] = entry, action, self.now_s
+            self.running_attempts[action.attempt_id] = entry, action, self.now_s
+
+    def stream_ids(self, start: core.StartAttempt) -> tuple[Any, Any]:
+        """Return the ids of the request and of the stream that reads it.
 
-    def ids(self, start: core.StartAttempt) -> tuple[Any, Any]:
-        """Name the stream on which an engine's work is read."""
-        stream = self.streams.pop(start.attempt_id, start.attempt_id)
+        The stream of a resumed attempt has an id of its own.
+        """
+        stream = self.stream_of_attempt.pop(start.attempt_id, start.attempt_id)
         return start.request_id, stream
 
-    def spread(self, entry: Entry) -> None:
-        """Give what an entry shares to the others."""
+    def share_records(self, entry: Entry) -> None:
+        """Deliver the records that an entry shares to the other entries."""
         shared, entry.gossip.shared = entry.gossip.shared, []
         for other in self.entries:
             if other is entry:
@@ -73,48 +83,54 @@
                 learned = core.RecordLearned(
                     record, core.InstanceId(entry.name)
                 )
-                self.take(other, other.tell(learned))
+                self.apply_actions(other, other.tell(learned))
 
     def crash(self, target_id: core.TargetId) -> None:
         self.crashes.append(target_id)
-        self.down[target_id] = self.now_s + RESTART_S
-        lost = [
+        self.down_until_s[target_id] = self.now_s + RESTART_S
+        failed = [
             (entry, start)
-            for entry, start, _ in self.work.values()
+            for entry, start, _ in self.running_attempts.values()
             if start.target_id == target_id
         ]
-        self.random.shuffle(lost)
-        for _, start in lost:
-            self.work.pop(start.attempt_id)
-        for entry, start in lost:
-            ids = self.ids(start)
-            self.tell(entry, core.AttemptFailed(*ids, sent=True, cause='reset'))
+        self.random.shuffle(failed)
+        for _, start in failed:
+            self.running_attempts.pop(start.attempt_id)
+        for entry, start in failed:
+            ids = self.stream_ids(start)
+            self.send_event(
+                entry, core.AttemptFailed(*ids, sent=True, cause='reset')
+            )
 
     def tick(self) -> None:
-        """Let engines crash, answer and come back."""
-        poisoned = {
+        """Let engines crash, answer and restart; advance time by `TICK_S`."""
+        crashing = {
             start.target_id
-            for _, start, began_s in self.work.values()
-            if POISON in start.prompt and began_s < self.now_s
+            for _, start, started_s in self.running_attempts.values()
+            if CRASH_PROMPT in start.prompt and started_s < self.now_s
         }
-        for target_id in sorted(poisoned):
+        for target_id in sorted(crashing):
             self.crash(target_id)
-        for entry, start, began_s in tuple(self.work.values()):
-            if began_s + self.slow_s <= self.now_s:
-                self.work.pop(start.attempt_id)
-                ids = self.ids(start)
-                self.tell(entry, core.TokensArrived(*ids, 0, ('a', 'b')))
-                self.tell(entry, core.AttemptEnded(*ids, 'stop', 2, 3))
+        for entry, start, started_s in tuple(self.running_attempts.values()):
+            if started_s + self.slow_s <= self.now_s:
+                self.running_attempts.pop(start.attempt_id)
+                ids = self.stream_ids(start)
+                self.send_event(entry, core.TokensArrived(*ids, 0, ('a', 'b')))
+                self.send_event(entry, core.AttemptEnded(*ids, 'stop', 2, 3))
         for entry in self.entries:
-            self.take(entry, entry.wait(TICK_S))
-        self.down = {t: s for t, s in self.down.items() if s > self.now_s}
+            self.apply_actions(entry, entry.wait(TICK_S))
+        self.down_until_s = {
+            target_id: until_s
+            for target_id, until_s in self.down_until_s.items()
+            if until_s > self.now_s
+        }
 
     def run(self, duration_s: float = 60) -> None:
         for _ in range(int(duration_s / TICK_S)):
             self.tick()
 
-    def ends(self) -> dict[str, Any]:
-        """How each call ended: True, or the kind of its refusal."""
+    def outcomes(self) -> dict[str, Any]:
+        """Return True for each finished call, or the kind of its refusal."""
         found: dict[str, Any] = {}
         for entry in self.entries:
             for end in entry.all(core.FinishCall):
@@ -128,12 +144,14 @@
     names: tuple[str, ...] = ()
 
 
-class NeighbourTest(testtools.TestCase):
-    def check(self, fleet: Fleet, engines: int = 2) -> None:
-        ends = fleet.ends()
+class CrashingRequestTest(testtools.TestCase):
+    def check_outcomes(self, fleet: Fleet, engines: int = 2) -> None:
+        outcomes = fleet.outcomes()
         for name in fleet.names:
-            expected = core.RefusalKind.QUARANTINED if POISON in name else True
-            self.assertEqual((name, expected), (name, ends.get(name)))
+            expected = (
+                core.RefusalKind.QUARANTINED if CRASH_PROMPT in name else True
+            )
+            self.assertEqual((name, expected), (name, outcomes.get(name)))
         self.assertLessEqual(len(fleet.crashes), engines)
         for entry in fleet.entries:
             self.assertEqual(
@@ -146,74 +164,86 @@
         strategies.integers(1, 4),
         strategies.randoms(use_true_random=False),
     )
-    def test_neighbours_of_a_request_that_crashes_engines(
-        self, neighbours: int, engines: int, entries: int, random: Random
+    def test_other_requests_on_crashed_engines_are_answered(
+        self, other_count: int, engines: int, entries: int, random: Random
     ) -> None:
-        """One prompt kills every engine that runs it. The questions that
-        salesmen had on the same engine, through any entry, move on together
-        and are there again when the next engine dies. They must all be
-        answered; the one is refused after two engines.
+        """One prompt crashes every engine that runs it.
+
+        The other requests on the same engine, from any entry, are retried
+        together and may run beside it again when the next engine crashes.
+        All of them must be answered, and the crashing request must be
+        refused after two engines.
         """
         fleet = Fleet(entries, engines, random.randrange(1000))
-        names = [*(f'n{place}' for place in range(neighbours)), POISON]
+        names = [*(f'n{index}' for index in range(other_count)), CRASH_PROMPT]
         random.shuffle(names)
         fleet.names = tuple(names)
         for name in names:
             entry = random.choice(fleet.entries)
-            fleet.tell(entry, ask(name, f'prompt {name}'))
+            fleet.send_event(entry, ask(name, f'prompt {name}'))
         fleet.run()
-        self.check(fleet)
+        self.check_outcomes(fleet)
 
-    def test_it_is_sent_again_through_every_entry(self) -> None:
-        """The caller whose request crashes engines sends it again whenever
-        it is refused, and the balancer gives it to each entry in turn. No
-        third engine may die of it, and the traffic beside it goes on.
+    def test_a_crashing_request_resent_through_every_entry(self) -> None:
+        """A caller resends a crashing request each time it is refused.
+
+        The load balancer sends it to each entry in turn. It must not crash a
+        third engine, and other requests must be served.
         """
         fleet = Fleet(4, 5)
-        for turn in range(12):
-            name = f'{POISON}{turn}'
-            fleet.names += (name, f'n{turn}', f'm{turn}')
-            entry = fleet.entries[turn % 4]
-            fleet.tell(entry, ask(name, POISON))
-            for other, kind in ((entry, 'n'), (fleet.entries[0], 'm')):
-                fleet.tell(other, ask(f'{kind}{turn}', f'question {turn}'))
+        for round_number in range(12):
+            name = f'{CRASH_PROMPT}{round_number}'
+            fleet.names += (name, f'n{round_number}', f'm{round_number}')
+            entry = fleet.entries[round_number % 4]
+            fleet.send_event(entry, ask(name, CRASH_PROMPT))
+            for other, prefix in ((entry, 'n'), (fleet.entries[0], 'm')):
+                fleet.send_event(
+                    other,
+                    ask(f'{prefix}{round_number}', f'question {round_number}'),
+                )
             fleet.run(8)
         fleet.run()
-        self.check(fleet)
+        self.check_outcomes(fleet)
 
-    def test_neighbours_that_wait_for_each_other(self) -> None:
-        """Only two engines carry the service and the answers take long, so
-        that the suspects of a crash wait minutes for their turn. Slow is
-        bad; being refused for another's request would be worse.
+    def test_suspects_that_wait_for_each_other(self) -> None:
+        """Two engines serve a service with long answers.
+
+        The suspects of a crash wait minutes for their trials. They must be
+        answered late rather than be refused because of another request.
         """
         fleet = Fleet(2, 2)
         fleet.slow_s = 20
-        fleet.names = (*(f'n{place}' for place in range(6)), POISON)
-        for place, name in enumerate(fleet.names):
-            fleet.tell(fleet.entries[place % 2], ask(name, f'prompt {name}'))
+        fleet.names = (*(f'n{index}' for index in range(6)), CRASH_PROMPT)
+        for index, name in enumerate(fleet.names):
+            fleet.send_event(
+                fleet.entries[index % 2], ask(name, f'prompt {name}')
+            )
         fleet.run(200)
-        self.check(fleet)
+        self.check_outcomes(fleet)
+
+    def test_copies_of_a_crashing_request_sent_at_once(self) -> None:
+        """A client sends a crashing request to four entries at once.
 
-    def test_copies_that_are_sent_at_once(self) -> None:
-        """An impatient program sends the request four times at once, one to
-        each entry. They die on the same engine; if each went on to an
-        engine of its own, four more would die.
+        All copies fail on the same engine. If each were retried on an engine
+        of its own, four more engines would crash.
         """
         fleet = Fleet(4, 6)
-        fleet.names = tuple(f'{POISON}{place}' for place in range(4))
+        fleet.names = tuple(f'{CRASH_PROMPT}{index}' for index in range(4))
         first, *others = fleet.engines
         for name, entry in zip(fleet.names, fleet.entries, strict=True):
-            # Each entry's router has another engine for its next choice.
+            # The second choice of each entry's router is a different engine.
             entry.router.targets = (first, *others)
             others = others[1:] + others[:1]
-            fleet.tell(entry, ask(name, POISON))
+            fleet.send_event(entry, ask(name, CRASH_PROMPT))
         fleet.run()
-        self.check(fleet)
+        self.check_outcomes(fleet)
 
-    def test_engines_that_die_without_a_word(self) -> None:
-        """The machine under the engine loses power: the stream is silent,
-        and the new one too. The request waits for news of its second engine
-        before it is tried on a third, and is refused when the news comes.
+    def test_engines_that_fall_silent(self) -> None:
+        """Two engines lose power in turn, and their streams fall silent.
+
+        The request must wait for a report about its second engine before it
+        is retried on a third, and must be refused when the crash is
+        reported.
         """
         entry = Entry()
         entry.tell(ask())
@@ -227,35 +257,43 @@
         self.assertEqual(422, refusal.kind.status)
         self.assertEqual(2, len(entry.all(core.StartAttempt)))
 
-    def test_a_prompt_that_many_share_is_not_condemned(self) -> None:
-        """Every salesman asks the same short question, so that it runs on
-        all engines at all times. Two different requests crash two engines;
-        the question was on both, and must still be answered.
+    def test_a_prompt_sent_by_many_callers_is_not_quarantined(self) -> None:
+        """Many callers send the same prompt, which runs on all engines.
+
+        Two different requests crash two engines. The prompt ran on both
+        engines and must still be answered.
         """
         fleet = Fleet(3, 6)
-        for turn in range(3):
-            names = [f'n{turn}.{place}' for place in range(6)]
-            name = f'{POISON}{turn}'
-            for place, asked in enumerate([*names, name]):
-                prompt = 'van load' if asked in names else f'{POISON} {turn}'
-                fleet.tell(fleet.entries[place % 3], ask(asked, prompt))
+        for round_number in range(3):
+            names = [f'n{round_number}.{index}' for index in range(6)]
+            name = f'{CRASH_PROMPT}{round_number}'
+            for index, call_name in enumerate([*names, name]):
+                prompt = (
+                    'van load'
+                    if call_name in names
+                    else f'{CRASH_PROMPT} {round_number}'
+                )
+                fleet.send_event(
+                    fleet.entries[index % 3], ask(call_name, prompt)
+                )
             fleet.names += (*names, name)
             fleet.run(20)
         fleet.run()
-        self.check(fleet, engines=6)
+        self.check_outcomes(fleet, engines=6)
+
+    def test_a_zone_outage_quarantines_no_request(self) -> None:
+        """All engines of a zone fail at once, then those that replaced them.
 
-    def test_a_zone_that_is_cut_off_condemns_nobody(self) -> None:
-        """A zone's engines vanish in one moment, and a little later those
-        that took over their work. What ran on them ran on two engines that
-        died, but none of it was the cause.
+        Their requests ran on two engines that failed, but none of them was
+        the cause, so all must be answered.
         """
         fleet = Fleet(2, 8)
-        for place in range(8):
-            fleet.names += (f'n{place}',)
-            entry = fleet.entries[place % 2]
-            first = fleet.engines[place % 4].target_id
+        for index in range(8):
+            fleet.names += (f'n{index}',)
+            entry = fleet.entries[index % 2]
+            first = fleet.engines[index % 4].target_id
             entry.router.targets = (engine(first), *fleet.engines[4:])
-            fleet.tell(entry, ask(f'n{place}', f'prompt {place}'))
+            fleet.send_event(entry, ask(f'n{index}', f'prompt {index}'))
         for zone in (fleet.engines[:4], fleet.engines[4:]):
             for target in zone:
                 fleet.crash(target.target_id)
@@ -263,10 +301,10 @@
         for entry in fleet.entries:
             entry.router.targets = tuple(fleet.engines)
         fleet.run(30)
-        self.check(fleet, engines=8)
+        self.check_outcomes(fleet, engines=8)
 
 
-class PartTest(testtools.TestCase):
+class QuarantinePartTest(testtools.TestCase):
     def crash(
         self, part: core.QuarantinePart, number: int, prompt: str
     ) -> None:
@@ -278,10 +316,12 @@
         part.started(attempt_id, target_id, prompt, now_s)
         part.handle(core.TargetCrashed(target_id, (attempt_id,)), now_s + 1)
 
-    def test_suspicion_and_quarantine_end(self) -> None:
-        """An engine crashes of its own accord now and then. A prompt that
-        was there once must not be refused for the next crash days later,
-        and a quarantine ends, so that a mended engine can be used.
+    def test_suspicion_and_quarantine_expire(self) -> None:
+        """Engines also crash for reasons other than a request.
+
+        A prompt that ran during one crash must not be refused after an
+        unrelated crash days later. A quarantine must end too, so that a
+        repaired engine can run the prompt.
         """
         settings = core.QuarantineSettings(suspect_lifetime_s=40)
         part = core.QuarantinePart(settings)
@@ -292,9 +332,11 @@
         self.assertIsNotNone(part.refusal('p', 110))
         self.assertIsNone(part.refusal('p', 110 + settings.quarantine_s))
 
-    def test_tables_are_bounded(self) -> None:
-        """A broken fleet crashes engines all day. What is kept of it must
-        not grow until the entry itself dies of it.
+    def test_the_suspect_table_is_bounded(self) -> None:
+        """Engines crash continuously, each with a different prompt.
+
+        The table of suspects must not grow until the entry runs out of
+        memory.
         """
         settings = core.QuarantineSettings(
             max_suspects=10, suspect_lifetime_s=1e9
