--- a/tests/core/agreement.py
+++ b/tests/core/agreement.py
@@ -1,4 +1,4 @@
-"""What the tests of configuration, keys and membership share."""
+"""Helpers shared by the tests of configuration and membership."""
 
 from collections.abc import Sequence
 
@@ -30,7 +30,8 @@
 DUKA_KEY = ApiKey(hash_key('secret'), DUKA.organisation_id)
 ADD_DUKA: tuple[Operation, ...] = (Put(DUKA), Put(DUKA_KEY))
 WITHDRAW: tuple[Operation, ...] = (Remove(Section.KEY, DUKA_KEY.key_hash),)
-# Small, so that changes leave the head and snapshots are cut all the time.
+# Small limits, so that changes often leave the head record and snapshots are
+# written often.
 SMALL = StoreLayoutSettings(head_changes=2, snapshot_every_changes=2)
 THREE_DOMAINS = (('a', 4), ('b', 4), ('c', 4))
 
@@ -46,21 +47,21 @@
 
 
 def drive(
-    dialogue: Committer | ConfigurationLoader, store: VirtualStore
+    state_machine: Committer | ConfigurationLoader, store: VirtualStore
 ) -> None:
-    calls: list[Action] = dialogue.begin()
-    while calls:
-        calls = step(dialogue, store, calls)
+    actions: list[Action] = state_machine.begin()
+    while actions:
+        actions = step(state_machine, store, actions)
 
 
 def step(
-    dialogue: Committer | ConfigurationLoader,
+    state_machine: Committer | ConfigurationLoader,
     store: VirtualStore,
-    calls: list[Action],
+    actions: list[Action],
 ) -> list[Action]:
-    (call,) = calls
-    answer = StoreAnswered(call.operation_id, store.call(call))
-    return dialogue.handle(answer, 0)
+    (action,) = actions
+    answer = StoreAnswered(action.operation_id, store.call(action))
+    return state_machine.handle(answer, 0)
 
 
 def commit(
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Leaving waits for what must not be cut, and for nothing for good."""
+"""Tests of the graceful shutdown of an entry and its timeouts."""
 
 import testtools
 
@@ -15,42 +15,45 @@
 class LifecycleTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.open = 0
+        self.in_progress = 0
         self.unsaved_count = 0
         self.part = LifecyclePart(
             LifecycleSettings(balancer_notice_s=2, save_timeout_s=30),
-            lambda: self.open,
+            lambda: self.in_progress,
             lambda: self.unsaved_count,
         )
 
-    def stops_at(self, last_s: int) -> tuple[int, bool] | None:
-        """Wake the part each second; tell when it stops, and how."""
+    def run_until_stopped(self, last_s: int) -> tuple[int, bool] | None:
+        """Wake the part each second; return when and how it stops."""
         for second in range(last_s + 1):
             for output in self.part.handle(Woken(), second):
                 if isinstance(output, StopProcess):
                     return second, output.clean
         return None
 
-    def test_calls_are_taken_until_the_balancer_must_have_noticed(self) -> None:
+    def test_calls_are_accepted_for_the_balancer_notice(self) -> None:
         self.part.handle(ShutdownRequested(), 0)
         self.assertTrue(self.part.leaving)
-        self.assertEqual((2, True), self.stops_at(9))
+        self.assertEqual((2, True), self.run_until_stopped(9))
 
-    def test_open_calls_are_waited_for(self) -> None:
-        self.open = 1
+    def test_calls_in_progress_delay_the_stop(self) -> None:
+        self.in_progress = 1
         self.part.handle(ShutdownRequested(), 0)
-        self.assertIsNone(self.stops_at(600))
+        self.assertIsNone(self.run_until_stopped(600))
 
-    def test_ends_that_the_store_must_hear_are_waited_for_a_while(self) -> None:
-        """The store is out while an entry leaves. Its last confirmation is
-        answered but not recorded; the entry waits, so that a repeat gets
-        the answer, but not for as long as the store is out."""
+    def test_unsaved_results_delay_the_stop_until_the_timeout(self) -> None:
+        """The store is unavailable while an entry shuts down.
+
+        Its last call is answered but the result is not saved. The entry
+        waits, so that a retry of the call gets the answer, but only until
+        its timeout.
+        """
         self.unsaved_count = 1
         self.part.handle(ShutdownRequested(), 0)
-        self.assertEqual((32, True), self.stops_at(60))
+        self.assertEqual((32, True), self.run_until_stopped(60))
 
-    def test_a_second_signal_says_whether_it_cut(self) -> None:
-        self.open = 1
+    def test_a_second_signal_reports_interrupted_calls(self) -> None:
+        self.in_progress = 1
         self.part.handle(ShutdownRequested(), 0)
         outputs = self.part.handle(ShutdownForced(), 1)
         self.assertIn(StopProcess(clean=False), outputs)
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -1,4 +1,4 @@
-"""Whole nodes behind one `handle`, in virtual time from one seed."""
+"""Tests of complete nodes in a deterministic simulation with virtual time."""
 
 import testtools
 
@@ -42,7 +42,7 @@
 
 
 def run_nodes(seed: int, entries: int) -> World:
-    """Run a load through a fleet; each entry gets one call of each kind."""
+    """Simulate a fleet in which each entry receives one call of each kind."""
     world = World(seed)
     plan = DeploymentPlan(
         entries=entries, engines=(ENGINES,), plain_services=('ledger',)
@@ -72,19 +72,19 @@
     return world
 
 
-def kept(nodes: list[Node], node: Node) -> Node:
-    """Keep a node that is put into a world."""
+def append_node(nodes: list[Node], node: Node) -> Node:
+    """Append a node that is added to a world to a list, and return it."""
     nodes.append(node)
     return node
 
 
 def prompt(name: str) -> str:
-    """Ask for an answer that tells the call apart."""
+    """Return a prompt that is unique to a call."""
     return f'{name}: answer 20 tokens'
 
 
 class NodeTest(testtools.TestCase):
-    def test_fifty_nodes_answer_and_replay_from_their_seed(self) -> None:
+    def test_fifty_nodes_answer_and_replay_with_the_same_seed(self) -> None:
         worlds = [run_nodes(seed=11, entries=50) for _ in range(2)]
         for request_id, call in worlds[0].calls.items():
             if request_id.endswith('-plain'):
@@ -95,20 +95,29 @@
                 self.assertEqual(expected, ''.join(call.tokens))
         self.assertEqual(worlds[0].trace, worlds[1].trace)
 
-    def test_a_fleet_that_starts_at_once_finds_itself(self) -> None:
-        """All entries start together, and the platform's list does not show
-        them yet. Each would keep to itself for half a minute: news of a
-        withdrawn key would not pass between them."""
+    def test_entries_started_together_discover_each_other(self) -> None:
+        """All entries start together and are not yet in the platform's list.
+
+        Without early re-reads of the list each would stay isolated for half
+        a minute, and the withdrawal of a key would not spread.
+        """
         world = World(seed=3)
         nodes: list[Node] = []
-        deploy(world, DeploymentPlan(entries=12), lambda one: kept(nodes, one))
+        deploy(
+            world,
+            DeploymentPlan(entries=12),
+            lambda node: append_node(nodes, node),
+        )
         world.run(6)
         self.assertEqual({12}, {len(node.membership.live) for node in nodes})
 
-    def test_idle_targets_are_given_back_drained(self) -> None:
-        """Nobody calls for minutes, and each engine costs money. The domains
-        give engines back, each drained first and under its own domain's
-        fencing number, but keep enough to answer the next call."""
+    def test_idle_targets_are_drained_and_removed(self) -> None:
+        """No call arrives for minutes, and each engine costs money.
+
+        The domains must remove engines, each drained first and under the
+        fencing token of its own domain, but keep enough of them to answer
+        the next call.
+        """
         world = World(seed=5)
         world.keep_actions = (SendEngineOrder, SendTargetOrder)
         names = deploy(world, DeploymentPlan(entries=6, engines=(ENGINES,)))
@@ -119,7 +128,7 @@
         for order in orders:
             (removed,) = order.target_ids
             engine = world.engines[f'engine://{removed}'].model
-            kinds = [one.order.kind for one in engine.record.orders]
+            kinds = [entry.order.kind for entry in engine.record.orders]
             self.assertEqual(['drain'], kinds)
         world.send(
             names[0],
@@ -129,9 +138,12 @@
         expected = answer_text(prompt('x'), 64)
         self.assertEqual(expected, ''.join(world.calls['late'].tokens))
 
-    def test_a_second_signal_says_that_it_cut(self) -> None:
-        """An operator loses patience and signals twice while an answer runs.
-        The process must not claim that it left without cutting anything."""
+    def test_a_second_signal_reports_an_unclean_stop(self) -> None:
+        """A process is signalled twice while an answer is streamed.
+
+        It must not report a clean stop, since the second signal interrupts
+        the answer.
+        """
         world = World(seed=6)
         world.keep_actions = (StopProcess,)
         names = deploy(world, DeploymentPlan(entries=2, engines=(ENGINES,)))
@@ -143,9 +155,9 @@
         world.send(names[0], ShutdownRequested())
         world.send(names[0], ShutdownForced())
         self.assertEqual(
-            [StopProcess(clean=False)], [kept[2] for kept in world.actions]
+            [StopProcess(clean=False)], [entry[2] for entry in world.actions]
         )
 
-    def test_another_seed_is_another_run(self) -> None:
+    def test_different_seeds_give_different_runs(self) -> None:
         traces = {run_nodes(seed, entries=4).trace for seed in (1, 2)}
         self.assertEqual(2, len(traces))
