--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -67,8 +67,8 @@
 class Node:
     """All decision logic of one entry behind a single `handle` method.
 
-    It contains all decision logic, so that a test can run many nodes in one
-    process and replay a run from its seed.
+    Nothing outside of it makes decisions, so that a test can run many nodes
+    in one process and replay a run from its seed.
     """
 
     def __init__(self, settings: NodeSettings, random: Random) -> None:
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -120,8 +120,8 @@
         for entry in self.entries:
             self.apply_actions(entry, entry.wait(TICK_S))
         self.down_until_s = {
-            target_id: until_s
-            for target_id, until_s in self.down_until_s.items()
+            engine_id: until_s
+            for engine_id, until_s in self.down_until_s.items()
             if until_s > self.now_s
         }
 
