--- a/packages/core/dandelionyoke_core/_incidents.py
+++ b/packages/core/dandelionyoke_core/_incidents.py
@@ -32,9 +32,12 @@
         after an incident belongs to a later one.
         """
         since_s = max(run.started_s, now_s - self._settings.lost_window_s)
-        for known in self._incidents:
-            if known.target_id == run.target_id and known.started_s >= since_s:
-                return known
+        for incident in self._incidents:
+            if (
+                incident.target_id == run.target_id
+                and incident.started_s >= since_s
+            ):
+                return incident
         return None
 
     def add(self, incident: Incident) -> None:
