--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -17,12 +17,12 @@
 from dandelionyoke_core._events import Event
 from dandelionyoke_core._fleet import CONTROL_DUTY, FleetPart
 from dandelionyoke_core._fleet_settings import FleetSettings
-from dandelionyoke_core._information import InformationPart
 from dandelionyoke_core._keys import KeysPart, KeysSettings
 from dandelionyoke_core._lifecycle import LifecyclePart, LifecycleSettings
 from dandelionyoke_core._membership import MembershipPart
 from dandelionyoke_core._membership_settings import MembershipSettings
 from dandelionyoke_core._node import Composition
+from dandelionyoke_core._node_queries import NodeQueriesPart
 from dandelionyoke_core._once import OncePart
 from dandelionyoke_core._orders import OrdersPart
 from dandelionyoke_core._orders_settings import OrdersSettings
@@ -111,10 +111,10 @@
             self.quarantine,
             random,
         )
-        self.control = AuthorityPart(
+        self.control_duty = AuthorityPart(
             settings.authority, CONTROL_DUTY, own, random
         )
-        self.report = AuthorityPart(
+        self.report_duty = AuthorityPart(
             settings.authority, REPORT_DUTY, own, random
         )
         self.fleet = FleetPart(
@@ -135,7 +135,7 @@
             lambda: self.request.in_progress,
             lambda: self.once.in_progress + self.usage.unsaved,
         )
-        self.information = InformationPart(
+        self.node_queries = NodeQueriesPart(
             own,
             self.configuration,
             self.keys,
@@ -157,12 +157,12 @@
                 self.once,
                 self.quarantine,
                 self.request,
-                self.control,
-                self.report,
+                self.control_duty,
+                self.report_duty,
                 self.fleet,
                 self.orders,
                 self.usage,
-                self.information,
+                self.node_queries,
             )
         )
 
--- a/packages/core/dandelionyoke_core/_members.py
+++ b/packages/core/dandelionyoke_core/_members.py
@@ -32,7 +32,7 @@
     suspicion_expires_s: float = 0
 
 
-class Members:
+class MemberTable:
     """Table of known instances; member records override the platform's list.
 
     A suspected instance counts as live until its suspicion times out, so
--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -23,7 +23,7 @@
     Woken,
 )
 from dandelionyoke_core._links import Links
-from dandelionyoke_core._members import Members
+from dandelionyoke_core._members import MemberTable
 from dandelionyoke_core._membership_messages import (
     Heartbeat,
     MemberRecord,
@@ -80,7 +80,7 @@
         self._random = random
         self._version = incarnation * VERSIONS_PER_INCARNATION
         self._state = MemberState.LIVE
-        self._members = Members(
+        self._members = MemberTable(
             own, settings.suspicion_timeout_s, settings.max_members
         )
         self._links = Links(own.instance_id, settings.links)
--- a/packages/core/dandelionyoke_core/_information.py
+++ b/packages/core/dandelionyoke_core/_node_queries.py
@@ -19,7 +19,7 @@
 NO_WAKEUP_S: float | None = None
 
 
-class InformationPart:
+class NodeQueriesPart:
     """Answers model and status queries; makes no decisions."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -28,7 +28,7 @@
 from dandelionyoke_core._quarantine_settings import QuarantineSettings
 from dandelionyoke_core._refusals import Refusal, RefusalKind
 from dandelionyoke_core._runs import Run, Runs
-from dandelionyoke_core._suspects import Suspects
+from dandelionyoke_core._suspects import SuspectTable
 
 
 class QuarantinePart:
@@ -41,7 +41,7 @@
 
     def __init__(self, settings: QuarantineSettings) -> None:
         self._settings = settings
-        self._suspects = Suspects(settings)
+        self._suspects = SuspectTable(settings)
         self._runs = Runs(settings)
         self._incidents = Incidents(settings)
         self._version = 0
--- a/packages/core/dandelionyoke_core/_suspects.py
+++ b/packages/core/dandelionyoke_core/_suspects.py
@@ -21,7 +21,7 @@
     quarantined_s: float | None = None
 
 
-class Suspects:
+class SuspectTable:
     """Bounded table of suspects by fingerprint, oldest first."""
 
     def __init__(self, settings: QuarantineSettings) -> None:
