--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -1,4 +1,4 @@
-"""A whole node: which parts it has and how they know each other."""
+"""Builds a node from its parts and wires them together."""
 
 from random import Random
 
@@ -17,12 +17,12 @@
 from dandelionyoke_core._events import Event
 from dandelionyoke_core._fleet import CONTROL_DUTY, FleetPart
 from dandelionyoke_core._fleet_settings import FleetSettings
-from dandelionyoke_core._information import InformationPart
 from dandelionyoke_core._keys import KeysPart, KeysSettings
 from dandelionyoke_core._lifecycle import LifecyclePart, LifecycleSettings
 from dandelionyoke_core._membership import MembershipPart
 from dandelionyoke_core._membership_settings import MembershipSettings
 from dandelionyoke_core._node import Composition
+from dandelionyoke_core._node_queries import NodeQueriesPart
 from dandelionyoke_core._once import OncePart
 from dandelionyoke_core._orders import OrdersPart
 from dandelionyoke_core._orders_settings import OrdersSettings
@@ -39,9 +39,9 @@
 
 @attrs.frozen
 class NodeSettings:
-    """The settings of every part of a node.
+    """Settings of every part of a node.
 
-    `incarnation` is higher for each start under one instance id: seconds
+    `incarnation` increases with each start under one instance id: seconds
     since the epoch at the start.
     """
 
@@ -65,9 +65,9 @@
 
 
 class Node:
-    """One entry's decisions behind a single `handle`.
+    """All decision logic of one entry behind a single `handle` method.
 
-    Nothing that decides lives outside it, so that a test can run many nodes
+    Nothing outside of it makes decisions, so that a test can run many nodes
     in one process and replay a run from its seed.
     """
 
@@ -111,10 +111,10 @@
             self.quarantine,
             random,
         )
-        self.control = AuthorityPart(
+        self.control_duty = AuthorityPart(
             settings.authority, CONTROL_DUTY, own, random
         )
-        self.report = AuthorityPart(
+        self.report_duty = AuthorityPart(
             settings.authority, REPORT_DUTY, own, random
         )
         self.fleet = FleetPart(
@@ -135,7 +135,7 @@
             lambda: self.request.in_progress,
             lambda: self.once.in_progress + self.usage.unsaved,
         )
-        self.information = InformationPart(
+        self.node_queries = NodeQueriesPart(
             own,
             self.configuration,
             self.keys,
@@ -144,8 +144,9 @@
             lambda: self.leaving,
             lambda: self.request.in_progress,
         )
-        # The lifecycle comes before the requests: after a second signal they
-        # end all calls, and nothing would seem to have been cut.
+        # The lifecycle part handles an event before the request part: after
+        # a second signal the request part ends all calls, and the lifecycle
+        # part would then see none in progress and report a clean exit.
         self._parts = Composition(
             (
                 self.lifecycle,
@@ -156,24 +157,24 @@
                 self.once,
                 self.quarantine,
                 self.request,
-                self.control,
-                self.report,
+                self.control_duty,
+                self.report_duty,
                 self.fleet,
                 self.orders,
                 self.usage,
-                self.information,
+                self.node_queries,
             )
         )
 
     @property
     def leaving(self) -> bool:
-        """Whether the node was asked to leave."""
+        """Whether a shutdown was requested."""
         return self.lifecycle.leaving
 
     def handle(self, event: Event, now_s: float) -> list[Action]:
-        """Take one event; return the actions that follow, in order."""
+        """Handle one event and return the resulting actions in order."""
         return self._parts.handle(event, now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next `Woken` is due, or None."""
+        """Return the time at which the next `Woken` is due, or None."""
         return self._parts.next_wakeup_s()
--- a/packages/core/dandelionyoke_core/_incidents.py
+++ b/packages/core/dandelionyoke_core/_incidents.py
@@ -1,4 +1,4 @@
-"""Engines that broke, and whether that looks like one request's doing."""
+"""Recent engine crashes, and whether they indicate an outage."""
 
 from collections import deque
 
@@ -11,42 +11,49 @@
 
 @attrs.frozen
 class Incident:
-    """An engine broke; the suspects that were on it at that moment."""
+    """Crash of an engine, with the suspects in progress on it at that time."""
 
     target_id: TargetId
-    began_s: float
+    started_s: float
     suspects: frozenset[str]
 
 
 class Incidents:
-    """The last incidents that this entry saw."""
+    """Bounded list of the most recent incidents at this entry."""
 
     def __init__(self, settings: QuarantineSettings) -> None:
         self._settings = settings
         self._incidents: deque[Incident] = deque(maxlen=settings.max_incidents)
 
     def find(self, run: Run, now_s: float) -> Incident | None:
-        """Find the incident that a broken run belongs to.
+        """Return the incident that a failed run belongs to, or None.
 
-        The runs of one crash break one after the other. One that started
-        after an incident broke in another one.
+        The runs of one crash fail one after the other. A run that started
+        after an incident belongs to a later one.
         """
         since_s = max(run.started_s, now_s - self._settings.lost_window_s)
-        for known in self._incidents:
-            if known.target_id == run.target_id and known.began_s >= since_s:
-                return known
+        for incident in self._incidents:
+            if (
+                incident.target_id == run.target_id
+                and incident.started_s >= since_s
+            ):
+                return incident
         return None
 
     def add(self, incident: Incident) -> None:
-        """Take up a new incident."""
+        """Add a new incident."""
         self._incidents.append(incident)
 
-    def look_like_outage(self, now_s: float) -> bool:
-        """Whether more engines broke at once than one request breaks."""
+    def is_outage(self, now_s: float) -> bool:
+        """Return whether too many engines crashed at once for one request.
+
+        True when at least `outage_engines` crashed in the last
+        `outage_window_s`.
+        """
         since_s = now_s - self._settings.outage_window_s
         engines = {
             incident.target_id
             for incident in self._incidents
-            if incident.began_s >= since_s
+            if incident.started_s >= since_s
         }
         return len(engines) >= self._settings.outage_engines
