--- a/packages/entry/dandelionyoke_entry/_command.py
+++ b/packages/entry/dandelionyoke_entry/_command.py
@@ -9,9 +9,9 @@
 from cleo.io.inputs.argv_input import ArgvInput
 
 from dandelionyoke_core import SettingsError
+from dandelionyoke_entry._exit_status import ExitStatus
 from dandelionyoke_entry._process import Process
 from dandelionyoke_entry._settings import EntrySettings, read_settings
-from dandelionyoke_entry._status import ExitStatus
 
 PROGRAM = 'dandelionyoke-entry'
 VERSION = '0.1.0'
--- a/packages/entry/dandelionyoke_entry/_process.py
+++ b/packages/entry/dandelionyoke_entry/_process.py
@@ -25,9 +25,9 @@
     StopProcess,
     WriteLog,
 )
+from dandelionyoke_entry._exit_status import ExitStatus
 from dandelionyoke_entry._log import Log
 from dandelionyoke_entry._settings import Endpoint, EntrySettings
-from dandelionyoke_entry._status import ExitStatus
 from dandelionyoke_links import PeerSettings
 from dandelionyoke_wire import (
     CallerApp,
--- a/packages/operator/dandelionyoke_operator/_application.py
+++ b/packages/operator/dandelionyoke_operator/_application.py
@@ -13,7 +13,7 @@
 from cleo.io.outputs.stream_output import StreamOutput
 
 from dandelionyoke_core import DandelionyokeError
-from dandelionyoke_operator._declarations import (
+from dandelionyoke_operator._command_definitions import (
     COMMON_OPTIONS,
     DECLARATIONS,
     JSON_FORMAT,
@@ -22,7 +22,7 @@
 )
 from dandelionyoke_operator._environment import Environment
 from dandelionyoke_operator._errors import UsageError, status_of
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._exit_status import ExitStatus
 from dandelionyoke_operator._invocation import Invocation
 from dandelionyoke_operator._settings import (
     Settings,
--- a/packages/operator/dandelionyoke_operator/_configuration.py
+++ b/packages/operator/dandelionyoke_operator/_configuration.py
@@ -5,11 +5,11 @@
 import attrs
 
 from dandelionyoke_core import ApiKey, Entity, Snapshot
-from dandelionyoke_operator._mistake_finder import find_mistakes
+from dandelionyoke_operator._formatter import print_entities
 from dandelionyoke_operator._mistakes import ConfigurationMistakes
-from dandelionyoke_operator._options import LAYOUTS, entity_name, layout_of
-from dandelionyoke_operator._printer import print_entities
+from dandelionyoke_operator._schema import LAYOUTS, entity_name, layout_of
 from dandelionyoke_operator._snapshot import members_of, snapshot_of
+from dandelionyoke_operator._validation import find_mistakes
 
 _ORDER = tuple(LAYOUTS)
 
--- a/packages/operator/dandelionyoke_operator/_difference.py
+++ b/packages/operator/dandelionyoke_operator/_difference.py
@@ -10,14 +10,14 @@
     Section,
     Snapshot,
 )
-from dandelionyoke_operator._options import (
-    Option,
-    layout_of,
-)
 from dandelionyoke_operator._reports import (
     OptionDifference,
     SectionDifference,
 )
+from dandelionyoke_operator._schema import (
+    Option,
+    layout_of,
+)
 from dandelionyoke_operator._snapshot import find_entity, place_of_entity
 
 ADDED = 'added'
--- a/packages/operator/dandelionyoke_operator/_errors.py
+++ b/packages/operator/dandelionyoke_operator/_errors.py
@@ -7,7 +7,7 @@
     DandelionyokeError,
     SettingsError,
 )
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._exit_status import ExitStatus
 
 
 class OperatorError(DandelionyokeError):
--- a/packages/operator/dandelionyoke_operator/_printer.py
+++ b/packages/operator/dandelionyoke_operator/_formatter.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from dandelionyoke_core import Entity
-from dandelionyoke_operator._options import Option, header, layout_of
+from dandelionyoke_operator._schema import Option, header, layout_of
 
 BASE_SECTION = 'configuration'
 BASE_OPTION = 'base_revision'
--- a/packages/operator/dandelionyoke_operator/_parser.py
+++ b/packages/operator/dandelionyoke_operator/_parser.py
@@ -10,8 +10,8 @@
 
 import attrs
 
-from dandelionyoke_operator._forms import COMMENT_PREFIX
 from dandelionyoke_operator._mistakes import Mistake
+from dandelionyoke_operator._value_types import COMMENT_PREFIX
 
 # configparser copies a default section's options into all others. A header
 # cannot hold a line break, so no section of a file can become the default.
--- a/packages/operator/dandelionyoke_operator/_reports.py
+++ b/packages/operator/dandelionyoke_operator/_reports.py
@@ -5,8 +5,8 @@
 import attrs
 
 from dandelionyoke_core import Entity, InstanceId
-from dandelionyoke_operator._exit import ExitStatus
-from dandelionyoke_operator._lines import DecisionLine
+from dandelionyoke_operator._decision_log import DecisionLine
+from dandelionyoke_operator._exit_status import ExitStatus
 
 
 @attrs.frozen
--- a/packages/operator/dandelionyoke_operator/_repository.py
+++ b/packages/operator/dandelionyoke_operator/_repository.py
@@ -31,9 +31,9 @@
     UnavailableError,
     UnsettledError,
 )
-from dandelionyoke_operator._mistake_finder import core_mistakes
 from dandelionyoke_operator._mistakes import ConfigurationMistakes
 from dandelionyoke_operator._platform import Store
+from dandelionyoke_operator._validation import core_mistakes
 
 _CALLS = (StoreGet, StoreList, StorePut, StoreDelete)
 
--- a/packages/operator/dandelionyoke_operator/_past.py
+++ b/packages/operator/dandelionyoke_operator/_undo.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable, Iterator
 
 from dandelionyoke_core import Change, Loaded, Operation, Put, Remove
+from dandelionyoke_operator._audit_trail import FIRST_REVISION
 from dandelionyoke_operator._difference import Place, place_of
 from dandelionyoke_operator._errors import InvalidError
-from dandelionyoke_operator._trail import FIRST_REVISION
 
 
 def inverse(loaded: Loaded, revision: int) -> tuple[Operation, ...]:
--- a/packages/operator/dandelionyoke_operator/_mistake_finder.py
+++ b/packages/operator/dandelionyoke_operator/_validation.py
@@ -11,14 +11,14 @@
     Snapshot,
     validate,
 )
-from dandelionyoke_operator._forms import Form
 from dandelionyoke_operator._mistakes import Mistake
-from dandelionyoke_operator._options import (
+from dandelionyoke_operator._schema import (
     entity_name,
     header,
     layout_of,
 )
 from dandelionyoke_operator._snapshot import snapshot_of
+from dandelionyoke_operator._value_types import Form
 
 
 def find_mistakes(entities: Iterable[Entity]) -> tuple[Mistake, ...]:
--- a/packages/operator/dandelionyoke_operator/commands/_change.py
+++ b/packages/operator/dandelionyoke_operator/commands/_change.py
@@ -2,16 +2,16 @@
 
 from dandelionyoke_core import Snapshot, difference
 from dandelionyoke_operator._configuration import Configuration
+from dandelionyoke_operator._desired import refuse_withdrawn, wanted_snapshot
 from dandelionyoke_operator._difference import describe
 from dandelionyoke_operator._invocation import Invocation
-from dandelionyoke_operator._past import inverse
 from dandelionyoke_operator._reports import (
     CommitReport,
     ConflictReport,
     PlanReport,
 )
 from dandelionyoke_operator._repository import Intent, Repository
-from dandelionyoke_operator._wanted import refuse_withdrawn, wanted_snapshot
+from dandelionyoke_operator._undo import inverse
 from dandelionyoke_operator.commands._commit import commit
 
 
--- a/packages/operator/dandelionyoke_operator/commands/_commit.py
+++ b/packages/operator/dandelionyoke_operator/commands/_commit.py
@@ -3,6 +3,7 @@
 import contextlib
 
 from dandelionyoke_core import Change, Conflicted, Snapshot
+from dandelionyoke_operator._audit_trail import merge_changes, read_trail
 from dandelionyoke_operator._difference import describe
 from dandelionyoke_operator._errors import UnavailableError
 from dandelionyoke_operator._invocation import Invocation
@@ -10,7 +11,6 @@
 from dandelionyoke_operator._reports import CommitReport, ConflictReport
 from dandelionyoke_operator._repository import Intent, Repository
 from dandelionyoke_operator._rollout import await_rollout
-from dandelionyoke_operator._trail import merge_changes, read_trail
 
 
 def commit(
--- a/packages/operator/dandelionyoke_operator/commands/_explain.py
+++ b/packages/operator/dandelionyoke_operator/commands/_explain.py
@@ -1,7 +1,7 @@
 """Explains what became of a request, from the logs alone."""
 
+from dandelionyoke_operator._decision_log import find_lines
 from dandelionyoke_operator._invocation import Invocation
-from dandelionyoke_operator._lines import find_lines
 from dandelionyoke_operator._reports import ExplainReport
 
 
--- a/packages/operator/dandelionyoke_operator/commands/_read.py
+++ b/packages/operator/dandelionyoke_operator/commands/_read.py
@@ -5,7 +5,8 @@
 import re
 from types import MappingProxyType
 
-from dandelionyoke_operator._audit import concerns
+from dandelionyoke_operator._audit_filter import concerns
+from dandelionyoke_operator._audit_trail import read_trail
 from dandelionyoke_operator._configuration import Configuration
 from dandelionyoke_operator._errors import UnavailableError, UsageError
 from dandelionyoke_operator._invocation import Invocation
@@ -16,7 +17,6 @@
     StatusReport,
 )
 from dandelionyoke_operator._rollout import read_rollout
-from dandelionyoke_operator._trail import read_trail
 
 _UNITS_S = MappingProxyType({'m': 60, 'h': 3600, 'd': 86_400})
 _AGO = re.compile(r'(\d+)([mhd])')
--- a/packages/operator/dandelionyoke_operator/output/_text.py
+++ b/packages/operator/dandelionyoke_operator/output/_text.py
@@ -18,6 +18,7 @@
     ShowReport,
     StatusReport,
 )
+from dandelionyoke_operator.output._audit_trail import change_lines
 from dandelionyoke_operator.output._difference import (
     count_differences,
     difference_lines,
@@ -26,7 +27,6 @@
     rollout_lines,
     status_lines,
 )
-from dandelionyoke_operator.output._trail import change_lines
 
 MILLISECONDS = 1000
 INPUT_INDENT = ' ' * 13
--- a/tests/entry/test_failures.py
+++ b/tests/entry/test_failures.py
@@ -11,7 +11,7 @@
 import urllib3
 
 from dandelionyoke_core import hash_key
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._exit_status import ExitStatus
 from dandelionyoke_standins import answer_text
 from scripts.fleet import Deployment, Running
 from tests.entry.fleet_case import FleetCase
--- a/tests/entry/test_planned.py
+++ b/tests/entry/test_planned.py
@@ -8,7 +8,7 @@
 from concurrent.futures import Future, ThreadPoolExecutor
 from typing import Any
 
-from dandelionyoke_entry._status import ExitStatus
+from dandelionyoke_entry._exit_status import ExitStatus
 from dandelionyoke_standins import answer_text
 from scripts.fleet import Deployment, Running
 from tests.entry.test_failures import CONFIRM, FailureCase
--- a/tests/operator/support.py
+++ b/tests/operator/support.py
@@ -26,7 +26,7 @@
 from dandelionyoke_operator._application import run
 from dandelionyoke_operator._environment import Environment
 from dandelionyoke_operator._errors import UnavailableError
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._exit_status import ExitStatus
 from dandelionyoke_operator._platform import EntryStatus
 from dandelionyoke_operator._repository import Repository
 
--- a/tests/operator/test_changes.py
+++ b/tests/operator/test_changes.py
@@ -1,7 +1,7 @@
 """Changes go in once, spread, meet each other, and can be undone."""
 
 from dandelionyoke_core import Instance, hash_key
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._exit_status import ExitStatus
 from tests.operator.support import FLEET
 from tests.operator.test_commands import RAISED, DeskTest
 
--- a/tests/operator/test_commands.py
+++ b/tests/operator/test_commands.py
@@ -6,8 +6,8 @@
 import testtools
 
 from dandelionyoke_core import hash_key
-from dandelionyoke_operator._declarations import DECLARATIONS
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._command_definitions import DECLARATIONS
+from dandelionyoke_operator._exit_status import ExitStatus
 from tests.operator.support import FLEET, Desk, Ended
 
 RAISED = FLEET.replace('priority = 7', 'priority = 9')
--- a/tests/operator/test_docs.py
+++ b/tests/operator/test_docs.py
@@ -12,9 +12,12 @@
 import testtools
 
 from dandelionyoke_operator import parse_configuration
-from dandelionyoke_operator._declarations import COMMON_OPTIONS, DECLARATIONS
-from dandelionyoke_operator._exit import ExitStatus
-from dandelionyoke_operator._options import LAYOUTS
+from dandelionyoke_operator._command_definitions import (
+    COMMON_OPTIONS,
+    DECLARATIONS,
+)
+from dandelionyoke_operator._exit_status import ExitStatus
+from dandelionyoke_operator._schema import LAYOUTS
 from dandelionyoke_operator._settings import load_settings
 from tests.operator.support import Desk
 
--- a/tests/operator/test_processes.py
+++ b/tests/operator/test_processes.py
@@ -8,7 +8,7 @@
 
 from dandelionyoke_operator._application import run
 from dandelionyoke_operator._environment import Environment
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._exit_status import ExitStatus
 from scripts.fleet import Deployment
 from tests.entry.fleet_case import FleetCase
 from tests.operator.support import Ended
--- a/tests/operator/test_settings.py
+++ b/tests/operator/test_settings.py
@@ -3,7 +3,7 @@
 import pathlib
 import tempfile
 
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._exit_status import ExitStatus
 from tests.operator.test_commands import DeskTest
 
 
