--- a/packages/operator/dandelionyoke_operator/_audit_trail.py
+++ b/packages/operator/dandelionyoke_operator/_audit_trail.py
@@ -6,10 +6,10 @@
 
 from dandelionyoke_core import Change, Entity, Operation, Put
 from dandelionyoke_operator._difference import (
-    Place,
-    describe_blindly,
+    EntityReference,
     describe_operation,
-    place_of,
+    describe_without_previous,
+    operation_reference,
 )
 from dandelionyoke_operator._reports import ChangeRecord, SectionDifference
 
@@ -44,7 +44,7 @@
     """
 
     complete: bool
-    _seen: dict[Place, Entity | None] = attrs.field(factory=dict)
+    _seen: dict[EntityReference, Entity | None] = attrs.field(factory=dict)
 
     def follow(self, change: Change) -> ChangeRecord:
         return ChangeRecord(
@@ -57,11 +57,11 @@
         )
 
     def _take(self, operation: Operation) -> SectionDifference:
-        place = place_of(operation)
+        place = operation_reference(operation)
         known = self.complete or place in self._seen
         before = self._seen.get(place)
         after = operation.entity if isinstance(operation, Put) else None
         self._seen[place] = after
         if known:
             return describe_operation(operation, before)
-        return describe_blindly(operation)
+        return describe_without_previous(operation)
--- a/packages/operator/dandelionyoke_operator/_configuration.py
+++ b/packages/operator/dandelionyoke_operator/_configuration.py
@@ -5,21 +5,25 @@
 import attrs
 
 from dandelionyoke_core import ApiKey, Entity, Snapshot
-from dandelionyoke_operator._formatter import print_entities
+from dandelionyoke_operator._formatter import format_entities
 from dandelionyoke_operator._mistakes import ConfigurationMistakes
-from dandelionyoke_operator._schema import LAYOUTS, entity_name, layout_of
-from dandelionyoke_operator._snapshot import members_of, snapshot_of
+from dandelionyoke_operator._schema import (
+    SECTION_SCHEMAS,
+    entity_name,
+    schema_of,
+)
+from dandelionyoke_operator._snapshot import entities_of, snapshot_of
 from dandelionyoke_operator._validation import find_mistakes
 
-_ORDER = tuple(LAYOUTS)
+_SECTION_ORDER = tuple(SECTION_SCHEMAS)
 
 
 def _sorted(entities: Iterable[Entity]) -> tuple[Entity, ...]:
-    return tuple(sorted(entities, key=_place))
+    return tuple(sorted(entities, key=_sort_key))
 
 
-def _place(entity: Entity) -> tuple[int, str]:
-    return _ORDER.index(layout_of(entity).section), entity_name(entity)
+def _sort_key(entity: Entity) -> tuple[int, str]:
+    return _SECTION_ORDER.index(schema_of(entity).section), entity_name(entity)
 
 
 @attrs.frozen
@@ -43,7 +47,7 @@
             raise ConfigurationMistakes(mistakes)
 
     def __str__(self) -> str:
-        return print_entities(self.entities, self.base_revision)
+        return format_entities(self.entities, self.base_revision)
 
     @classmethod
     def of(cls, *entities: Entity) -> 'Configuration':
@@ -53,7 +57,7 @@
     @classmethod
     def from_snapshot(cls, snapshot: Snapshot) -> 'Configuration':
         """Take what is in force, to print it or to change it."""
-        return cls(tuple(members_of(snapshot)), snapshot.revision)
+        return cls(tuple(entities_of(snapshot)), snapshot.revision)
 
     @property
     def snapshot(self) -> Snapshot:
--- a/packages/operator/dandelionyoke_operator/_ini.py
+++ b/packages/operator/dandelionyoke_operator/_ini.py
@@ -12,9 +12,9 @@
 from dandelionyoke_operator._mistakes import ConfigurationMistakes, Mistake
 from dandelionyoke_operator._parser import IniSection, read_ini
 from dandelionyoke_operator._schema import (
-    LAYOUTS,
-    Layout,
-    Option,
+    SECTION_SCHEMAS,
+    OptionSchema,
+    SectionSchema,
 )
 from dandelionyoke_operator._validation import find_mistakes
 
@@ -57,7 +57,7 @@
             return
         kind, _, name = section.header.partition(' ')
         if kind in _KINDS and name.strip():
-            layout = LAYOUTS[Section(kind)]
+            layout = SECTION_SCHEMAS[Section(kind)]
             self._take_entity(section, layout, name.strip())
             return
         self._note(section.header, '', 'this section', _SECTION_REMEDY)
@@ -70,7 +70,7 @@
                 self._note(BASE_SECTION, name, repr(text), _BASE_REMEDY)
 
     def _take_entity(
-        self, section: IniSection, layout: Layout, name: str
+        self, section: IniSection, layout: SectionSchema, name: str
     ) -> None:
         fields = {layout.name_field: name}
         fields.update(self._fields(section, layout))
@@ -78,13 +78,16 @@
         for option in layout.options:
             if option.field in missing and option.name not in section.options:
                 self._note(
-                    section.header, option.name, 'nothing', option.form.remedy
+                    section.header,
+                    option.name,
+                    'nothing',
+                    option.value_type.remedy,
                 )
         if not missing:
             self.entities.append(layout.entity_type(**fields))
 
     def _fields(
-        self, section: IniSection, layout: Layout
+        self, section: IniSection, layout: SectionSchema
     ) -> Iterator[tuple[str, Any]]:
         for name, text in section.options.items():
             option = layout.option(name)
@@ -93,15 +96,17 @@
                 self._note(section.header, name, 'an unknown option', remedy)
                 continue
             try:
-                yield option.field, option.form.read(text)
+                yield option.field, option.value_type.read(text)
             except ValueError:
-                self._note(section.header, name, repr(text), option.form.remedy)
+                self._note(
+                    section.header, name, repr(text), option.value_type.remedy
+                )
 
     def _note(self, section: str, option: str, found: str, remedy: str) -> None:
         self.mistakes.append(Mistake(section, option, found, remedy))
 
 
-def _unknown_remedy(name: str, options: Iterable[Option]) -> str:
+def _unknown_remedy(name: str, options: Iterable[OptionSchema]) -> str:
     known = [option.name for option in options]
     close = difflib.get_close_matches(name.lower(), known, n=1)
     if close:
--- a/packages/operator/dandelionyoke_operator/_mistakes.py
+++ b/packages/operator/dandelionyoke_operator/_mistakes.py
@@ -7,10 +7,10 @@
 from dandelionyoke_core import ConfigurationError, Section
 from dandelionyoke_operator._value_types import is_hash
 
-SHOWN_LENGTH = 8
+SHOWN_KEY_CHARACTERS = 8
 
 
-def hide_key(header: str) -> str:
+def redact_key(header: str) -> str:
     """Shorten a key that stands where its hash should.
 
     A report ends up on screens and in tickets. The key would be read there
@@ -18,7 +18,7 @@
     """
     kind, _, name = header.partition(' ')
     if kind == Section.KEY.value and name and not is_hash(name):
-        return f'{kind} {name[:SHOWN_LENGTH]}...'
+        return f'{kind} {name[:SHOWN_KEY_CHARACTERS]}...'
     return header
 
 
@@ -30,7 +30,7 @@
     `option` is empty where the mistake is the section itself.
     """
 
-    section: str = attrs.field(converter=hide_key)
+    section: str = attrs.field(converter=redact_key)
     option: str
     found: str
     remedy: str
--- a/packages/operator/dandelionyoke_operator/_repository.py
+++ b/packages/operator/dandelionyoke_operator/_repository.py
@@ -33,7 +33,7 @@
 )
 from dandelionyoke_operator._mistakes import ConfigurationMistakes
 from dandelionyoke_operator._platform import Store
-from dandelionyoke_operator._validation import core_mistakes
+from dandelionyoke_operator._validation import mistakes_from_problems
 
 _CALLS = (StoreGet, StoreList, StorePut, StoreDelete)
 
@@ -124,7 +124,7 @@
             case Committed() | Conflicted() as outcome:
                 return outcome
             case Rejected(problems):
-                raise ConfigurationMistakes(core_mistakes(problems))
+                raise ConfigurationMistakes(mistakes_from_problems(problems))
             case Unsettled(cause, may_have_happened):
                 raise _failure(cause, may_have_happened)
         raise _failure('no answer', may_have_happened=True)
--- a/packages/operator/dandelionyoke_operator/_schema.py
+++ b/packages/operator/dandelionyoke_operator/_schema.py
@@ -19,24 +19,24 @@
     Service,
 )
 from dandelionyoke_operator._value_types import (
-    CALLS,
-    COUNT,
+    CALL_PATTERNS,
+    FRACTION,
     HASH,
-    KIND,
     NAME,
     NAMES,
-    NUMBER,
+    NON_NEGATIVE_INTEGER,
     OPTIONAL_SECONDS,
+    POSITIVE_INTEGER,
+    POSITIVE_NUMBER,
     PRIORITY,
-    SHARE,
-    TARGETS,
+    SERVICE_KIND,
     TEXT,
-    Form,
+    ValueType,
 )
 
 
 @attrs.frozen
-class Option:
+class OptionSchema:
     """An option: its name in the file, the entity's field and its form.
 
     `refers_to` is the kind of section that the value has to name.
@@ -44,12 +44,12 @@
 
     name: str
     field: str
-    form: Form
+    value_type: ValueType
     refers_to: Section | None = None
 
 
 @attrs.frozen
-class Layout:
+class SectionSchema:
     """What a section of one kind may hold, and the entity it makes.
 
     The name in the section's header goes into `name_field`.
@@ -58,10 +58,10 @@
     section: Section
     entity_type: type[Any]
     name_field: str
-    name_form: Form
-    options: tuple[Option, ...]
+    name_type: ValueType
+    options: tuple[OptionSchema, ...]
 
-    def option(self, name: str) -> Option | None:
+    def option(self, name: str) -> OptionSchema | None:
         """Look an option up by its name in the file."""
         for option in self.options:
             if option.name == name:
@@ -78,61 +78,65 @@
         )
 
 
-_ORGANISATION = Layout(
+_ORGANISATION = SectionSchema(
     Section.ORGANISATION,
     Organisation,
     'organisation_id',
     NAME,
     (
-        Option('priority', 'priority', PRIORITY),
-        Option('weight', 'weight', COUNT),
-        Option('tokens_per_s', 'tokens_per_s', COUNT),
-        Option('requests_per_s', 'requests_per_s', NUMBER),
-        Option('concurrent_requests', 'concurrent_requests', COUNT),
-        Option(
+        OptionSchema('priority', 'priority', PRIORITY),
+        OptionSchema('weight', 'weight', POSITIVE_INTEGER),
+        OptionSchema('tokens_per_s', 'tokens_per_s', POSITIVE_INTEGER),
+        OptionSchema('requests_per_s', 'requests_per_s', POSITIVE_NUMBER),
+        OptionSchema(
+            'concurrent_requests', 'concurrent_requests', POSITIVE_INTEGER
+        ),
+        OptionSchema(
             'knowledge_age_limit_s',
             'knowledge_age_limit_s',
             OPTIONAL_SECONDS,
         ),
     ),
 )
-_KEY = Layout(
+_KEY = SectionSchema(
     Section.KEY,
     ApiKey,
     'key_hash',
     HASH,
     (
-        Option('organisation', 'organisation_id', NAME, Section.ORGANISATION),
-        Option('label', 'label', TEXT),
+        OptionSchema(
+            'organisation', 'organisation_id', NAME, Section.ORGANISATION
+        ),
+        OptionSchema('label', 'label', TEXT),
     ),
 )
-_SERVICE = Layout(
+_SERVICE = SectionSchema(
     Section.SERVICE,
     Service,
     'service_name',
     NAME,
     (
-        Option('kind', 'kind', KIND),
-        Option('reclaimable_share', 'reclaimable_share', SHARE),
-        Option('min_targets', 'min_targets', TARGETS),
-        Option('max_targets', 'max_targets', TARGETS),
-        Option('unrepeatable', 'unrepeatable', CALLS),
+        OptionSchema('kind', 'kind', SERVICE_KIND),
+        OptionSchema('reclaimable_share', 'reclaimable_share', FRACTION),
+        OptionSchema('min_targets', 'min_targets', NON_NEGATIVE_INTEGER),
+        OptionSchema('max_targets', 'max_targets', NON_NEGATIVE_INTEGER),
+        OptionSchema('unrepeatable', 'unrepeatable', CALL_PATTERNS),
     ),
 )
-_MODEL = Layout(
+_MODEL = SectionSchema(
     Section.MODEL,
     Model,
     'model_name',
     NAME,
     (
-        Option('service', 'service_name', NAME, Section.SERVICE),
-        Option('version', 'version', NAME),
-        Option('adapters', 'adapters', NAMES),
-        Option('context_tokens', 'context_tokens', COUNT),
+        OptionSchema('service', 'service_name', NAME, Section.SERVICE),
+        OptionSchema('version', 'version', NAME),
+        OptionSchema('adapters', 'adapters', NAMES),
+        OptionSchema('context_tokens', 'context_tokens', POSITIVE_INTEGER),
     ),
 )
 
-LAYOUTS: Mapping[Section, Layout] = MappingProxyType(
+SECTION_SCHEMAS: Mapping[Section, SectionSchema] = MappingProxyType(
     {
         layout.section: layout
         for layout in (_ORGANISATION, _KEY, _SERVICE, _MODEL)
@@ -140,9 +144,9 @@
 )
 
 
-def layout_of(entity: Entity) -> Layout:
+def schema_of(entity: Entity) -> SectionSchema:
     """Find the layout of an entity's section."""
-    for layout in LAYOUTS.values():
+    for layout in SECTION_SCHEMAS.values():
         if isinstance(entity, layout.entity_type):
             return layout
     raise TypeError(f'{entity!r} has no section')
@@ -150,9 +154,9 @@
 
 def entity_name(entity: Entity) -> str:
     """Tell the name that identifies an entity within its section."""
-    return str(getattr(entity, layout_of(entity).name_field))
+    return str(getattr(entity, schema_of(entity).name_field))
 
 
-def header(entity: Entity) -> str:
+def section_header(entity: Entity) -> str:
     """Tell the header of an entity's section, without brackets."""
-    return f'{layout_of(entity).section.value} {entity_name(entity)}'
+    return f'{schema_of(entity).section.value} {entity_name(entity)}'
--- a/packages/operator/dandelionyoke_operator/_snapshot.py
+++ b/packages/operator/dandelionyoke_operator/_snapshot.py
@@ -11,7 +11,7 @@
     Service,
     Snapshot,
 )
-from dandelionyoke_operator._schema import entity_name, layout_of
+from dandelionyoke_operator._schema import entity_name, schema_of
 
 
 def snapshot_of(entities: Iterable[Entity], revision: int) -> Snapshot:
@@ -38,7 +38,7 @@
     )
 
 
-def members_of(snapshot: Snapshot) -> Iterator[Entity]:
+def entities_of(snapshot: Snapshot) -> Iterator[Entity]:
     """List all entities of a snapshot."""
     yield from snapshot.organisations.values()
     yield from snapshot.keys.values()
@@ -46,16 +46,16 @@
     yield from snapshot.models.values()
 
 
-def place_of_entity(entity: Entity) -> tuple[Section, str]:
+def entity_reference(entity: Entity) -> tuple[Section, str]:
     """Tell the section and the name of an entity."""
-    return layout_of(entity).section, entity_name(entity)
+    return schema_of(entity).section, entity_name(entity)
 
 
 def find_entity(
     snapshot: Snapshot, section: Section, name: str
 ) -> Entity | None:
     """Look an entity up by its section and name."""
-    for entity in members_of(snapshot):
-        if place_of_entity(entity) == (section, name):
+    for entity in entities_of(snapshot):
+        if entity_reference(entity) == (section, name):
             return entity
     return None
--- a/packages/operator/dandelionyoke_operator/_undo.py
+++ b/packages/operator/dandelionyoke_operator/_undo.py
@@ -4,7 +4,10 @@
 
 from dandelionyoke_core import Change, Loaded, Operation, Put, Remove
 from dandelionyoke_operator._audit_trail import FIRST_REVISION
-from dandelionyoke_operator._difference import Place, place_of
+from dandelionyoke_operator._difference import (
+    EntityReference,
+    operation_reference,
+)
 from dandelionyoke_operator._errors import InvalidError
 
 
@@ -18,7 +21,9 @@
     undone = _find(loaded.changes, revision)
     earlier = [each for each in loaded.changes if each.revision < revision]
     later = [each for each in loaded.changes if each.revision > revision]
-    places = dict.fromkeys(place_of(each) for each in undone.operations)
+    places = dict.fromkeys(
+        operation_reference(each) for each in undone.operations
+    )
     _refuse_overlap(places, undone, later)
     return tuple(
         operation
@@ -38,10 +43,10 @@
 
 
 def _refuse_overlap(
-    places: Iterable[Place], undone: Change, later: Iterable[Change]
+    places: Iterable[EntityReference], undone: Change, later: Iterable[Change]
 ) -> None:
     touched = {
-        place_of(operation): change.revision
+        operation_reference(operation): change.revision
         for change in later
         for operation in change.operations
     }
@@ -58,7 +63,7 @@
 
 
 def _restore(
-    place: Place, undone: Change, earlier: list[Change]
+    place: EntityReference, undone: Change, earlier: list[Change]
 ) -> Iterator[Operation]:
     """Bring one entity back to what the last change before made of it."""
     section, name = place
@@ -78,11 +83,11 @@
 
 
 def _last_operation(
-    place: Place, changes: Iterable[Change]
+    place: EntityReference, changes: Iterable[Change]
 ) -> Operation | None:
     found = None
     for change in changes:
         for operation in change.operations:
-            if place_of(operation) == place:
+            if operation_reference(operation) == place:
                 found = operation
     return found
--- a/packages/operator/dandelionyoke_operator/_validation.py
+++ b/packages/operator/dandelionyoke_operator/_validation.py
@@ -14,28 +14,30 @@
 from dandelionyoke_operator._mistakes import Mistake
 from dandelionyoke_operator._schema import (
     entity_name,
-    header,
-    layout_of,
+    schema_of,
+    section_header,
 )
 from dandelionyoke_operator._snapshot import snapshot_of
-from dandelionyoke_operator._value_types import Form
+from dandelionyoke_operator._value_types import ValueType
 
 
 def find_mistakes(entities: Iterable[Entity]) -> tuple[Mistake, ...]:
     """Find every wrong name, value and reference."""
     listed = tuple(entities)
-    names = {(layout_of(each).section, entity_name(each)) for each in listed}
-    found = list(_repeated(listed))
+    names = {(schema_of(each).section, entity_name(each)) for each in listed}
+    found = list(_duplicate_sections(listed))
     for entity in listed:
-        found.extend(_wrong_values(entity))
-        found.extend(_dangling(entity, names))
+        found.extend(_invalid_values(entity))
+        found.extend(_dangling_references(entity, names))
     if found:
         return tuple(found)
     # What takes several options to judge, the core judges for all of us.
-    return core_mistakes(validate(snapshot_of(listed, Snapshot().revision)))
+    return mistakes_from_problems(
+        validate(snapshot_of(listed, Snapshot().revision))
+    )
 
 
-def core_mistakes(problems: Iterable[Problem]) -> tuple[Mistake, ...]:
+def mistakes_from_problems(problems: Iterable[Problem]) -> tuple[Mistake, ...]:
     """Tell the core's problems in the operator's form."""
     return tuple(
         Mistake(problem.subject, '', problem.detail, problem.remedy)
@@ -43,8 +45,8 @@
     )
 
 
-def _repeated(entities: Iterable[Entity]) -> Iterator[Mistake]:
-    counts = Counter(header(entity) for entity in entities)
+def _duplicate_sections(entities: Iterable[Entity]) -> Iterator[Mistake]:
+    counts = Counter(section_header(entity) for entity in entities)
     for title, count in counts.items():
         if count > 1:
             yield Mistake(
@@ -52,40 +54,43 @@
             )
 
 
-def _wrong_values(entity: Entity) -> Iterator[Mistake]:
-    layout = layout_of(entity)
-    if not _reads_back(layout.name_form, entity_name(entity)):
+def _invalid_values(entity: Entity) -> Iterator[Mistake]:
+    layout = schema_of(entity)
+    if not _round_trips(layout.name_type, entity_name(entity)):
         yield Mistake(
-            header(entity),
+            section_header(entity),
             '',
             'a name of another form',
-            layout.name_form.remedy,
+            layout.name_type.remedy,
         )
     for option in layout.options:
         found = getattr(entity, option.field)
-        if not _reads_back(option.form, found):
+        if not _round_trips(option.value_type, found):
             yield Mistake(
-                header(entity), option.name, repr(found), option.form.remedy
+                section_header(entity),
+                option.name,
+                repr(found),
+                option.value_type.remedy,
             )
 
 
-def _dangling(
+def _dangling_references(
     entity: Entity, names: set[tuple[Section, str]]
 ) -> Iterator[Mistake]:
-    for option in layout_of(entity).options:
+    for option in schema_of(entity).options:
         wanted = option.refers_to
         named = getattr(entity, option.field)
         if wanted is None or (wanted, named) in names:
             continue
         yield Mistake(
-            header(entity),
+            section_header(entity),
             option.name,
             f'{named!r}, which is not declared',
             f'Add [{wanted.value} {named}], or name one that is there',
         )
 
 
-def _reads_back(form: Form, found: Any) -> bool:
+def _round_trips(form: ValueType, found: Any) -> bool:
     """Tell whether a value reads back from its printed form.
 
     An object built in Python can hold what no file could: a text for a
--- a/packages/operator/dandelionyoke_operator/_value_types.py
+++ b/packages/operator/dandelionyoke_operator/_value_types.py
@@ -15,7 +15,7 @@
 
 _NAME = re.compile('[A-Za-z0-9][A-Za-z0-9._:/@+-]{0,127}')
 _HASH = re.compile('[0-9a-f]{64}')
-_CALL = re.compile(r'[A-Z]+ /\S*')
+_CALL_PATTERN = re.compile(r'[A-Z]+ /\S*')
 
 
 def is_hash(text: str) -> bool:
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Form:
+class ValueType:
     """A kind of value: how it is read, printed, and described.
 
     `read` raises ValueError for text that is no such value; `remedy` is
@@ -36,14 +36,14 @@
     remedy: str
 
 
-def _whole(minimum: int, maximum: int, remedy: str) -> Form:
+def _integer(minimum: int, maximum: int, remedy: str) -> ValueType:
     def read(text: str) -> int:
-        return _within(int(text), minimum, maximum)
+        return _check_range(int(text), minimum, maximum)
 
-    return Form(read, str, remedy)
+    return ValueType(read, str, remedy)
 
 
-def _within(number: int, minimum: int, maximum: int) -> int:
+def _check_range(number: int, minimum: int, maximum: int) -> int:
     if minimum <= number <= maximum:
         return number
     raise ValueError(number)
@@ -81,21 +81,23 @@
     return text
 
 
-def _matching(pattern: re.Pattern[str], remedy: str) -> Form:
+def _text_matching(pattern: re.Pattern[str], remedy: str) -> ValueType:
     def read(text: str) -> str:
         if pattern.fullmatch(text):
             return text
         raise ValueError(text)
 
-    return Form(read, str, remedy)
+    return ValueType(read, str, remedy)
 
 
-def _list_of(form: Form, remedy: str) -> Form:
+def _list_of(form: ValueType, remedy: str) -> ValueType:
     def read(text: str) -> tuple[str, ...]:
         lines = (line.strip() for line in text.split('\n'))
         return tuple(form.read(line) for line in lines if line)
 
-    return Form(read, _write_lines, f'{remedy}, each on its own line, indented')
+    return ValueType(
+        read, _write_lines, f'{remedy}, each on its own line, indented'
+    )
 
 
 def _write_lines(listed: tuple[str, ...]) -> str:
@@ -106,32 +108,36 @@
     return kind.value
 
 
-MOST = 10**12
+MAX_INTEGER = 10**12
 
-TEXT = Form(_read_text, str, 'Write a text on one line')
-NAME = _matching(
+TEXT = ValueType(_read_text, str, 'Write a text on one line')
+NAME = _text_matching(
     _NAME,
     'Write a name of at most 128 letters, digits and . _ : / @ + -, '
     'beginning with a letter or a digit',
 )
-HASH = _matching(
+HASH = _text_matching(
     _HASH,
     'Write the SHA-256 of the key in 64 lower-case hex digits, '
     'never the key itself',
 )
 NAMES = _list_of(NAME, 'Write names')
-CALLS = _list_of(
-    _matching(_CALL, ''),
+CALL_PATTERNS = _list_of(
+    _text_matching(_CALL_PATTERN, ''),
     'Write calls as METHOD /path; a path that ends in * covers all below it',
 )
-PRIORITY = _whole(0, 9, 'Write a whole number from 0 (lowest) to 9')
-COUNT = _whole(1, MOST, 'Write a whole number above 0')
-TARGETS = _whole(0, MOST, 'Write a whole number, 0 or above')
-NUMBER = Form(_read_positive, _write_float, 'Write a number above 0')
-SHARE = Form(_read_share, _write_float, 'Write a number from 0 to 1')
-OPTIONAL_SECONDS = Form(
+PRIORITY = _integer(0, 9, 'Write a whole number from 0 (lowest) to 9')
+POSITIVE_INTEGER = _integer(1, MAX_INTEGER, 'Write a whole number above 0')
+NON_NEGATIVE_INTEGER = _integer(
+    0, MAX_INTEGER, 'Write a whole number, 0 or above'
+)
+POSITIVE_NUMBER = ValueType(
+    _read_positive, _write_float, 'Write a number above 0'
+)
+FRACTION = ValueType(_read_share, _write_float, 'Write a number from 0 to 1')
+OPTIONAL_SECONDS = ValueType(
     _read_optional,
     _write_optional,
     f'Write a number of seconds above 0, or {NONE}',
 )
-KIND = Form(ServiceKind, _write_kind, 'Write engine or plain')
+SERVICE_KIND = ValueType(ServiceKind, _write_kind, 'Write engine or plain')
--- a/tests/operator/test_docs.py
+++ b/tests/operator/test_docs.py
@@ -17,7 +17,7 @@
     DECLARATIONS,
 )
 from dandelionyoke_operator._exit_status import ExitStatus
-from dandelionyoke_operator._schema import LAYOUTS
+from dandelionyoke_operator._schema import SECTION_SCHEMAS
 from dandelionyoke_operator._settings import load_settings
 from tests.operator.support import Desk
 
@@ -87,14 +87,14 @@
 class ConfigurationPageTest(testtools.TestCase):
     def test_each_option_is_there_with_its_default(self) -> None:
         page = (DOCS / 'CONFIGURATION.md').read_text()
-        for layout in LAYOUTS.values():
+        for layout in SECTION_SCHEMAS.values():
             _, _, part = page.partition(f'### `[{layout.section.value} ')
             table = part.partition('\n### ')[0]
             defaults = attrs.fields_dict(layout.entity_type)
             for option in layout.options:
                 default = defaults[option.field].default
                 known = default is not attrs.NOTHING
-                text = option.form.write(default) if known else ''
+                text = option.value_type.write(default) if known else ''
                 ending = f' | `{text}` |' if text else ' | |'
                 row = re.search(f'^\\| `{option.name}` .*$', table, re.M)
                 self.assertTrue(row and row.group().endswith(ending), option)
