--- a/packages/operator/dandelionyoke_operator/_application.py
+++ b/packages/operator/dandelionyoke_operator/_application.py
@@ -59,7 +59,7 @@
     def handle(self) -> int:
         writer = self._writer()
         try:
-            report = self._command_definition.work(self._invocation())
+            report = self._command_definition.handler(self._invocation())
         except DandelionyokeError as error:
             writer.write_error(error, self._environment.stderr)
             return exit_status_of(error)
--- a/packages/operator/dandelionyoke_operator/_audit_trail.py
+++ b/packages/operator/dandelionyoke_operator/_audit_trail.py
@@ -53,10 +53,10 @@
             author=change.author,
             reason=change.reason,
             committed_wall_s=change.committed_wall_s,
-            differences=tuple(map(self._take, change.operations)),
+            differences=tuple(map(self._describe, change.operations)),
         )
 
-    def _take(self, operation: Operation) -> SectionDifference:
+    def _describe(self, operation: Operation) -> SectionDifference:
         place = operation_reference(operation)
         known = self.is_complete or place in self._seen
         before = self._seen.get(place)
--- a/packages/operator/dandelionyoke_operator/_decision_log.py
+++ b/packages/operator/dandelionyoke_operator/_decision_log.py
@@ -54,13 +54,13 @@
     """
     found = [
         _decision(fields)
-        for fields in _records(logs)
+        for fields in _json_objects(logs)
         if fields.get('subject') == request_id
     ]
     return sorted(found, key=lambda line: line.at_s)
 
 
-def _records(logs: Iterable[str]) -> Iterator[dict[str, Any]]:
+def _json_objects(logs: Iterable[str]) -> Iterator[dict[str, Any]]:
     for line in logs:
         start = line.find('{')
         if start < 0:
--- a/packages/operator/dandelionyoke_operator/_environment.py
+++ b/packages/operator/dandelionyoke_operator/_environment.py
@@ -50,7 +50,7 @@
     variables: Mapping[str, str] = attrs.field(factory=lambda: os.environ)
     user: str = attrs.field(factory=current_user)
     connect: Callable[[str], Platform] = HttpPlatform
-    wall_s: Callable[[], float] = time.time
+    wall_clock_s: Callable[[], float] = time.time
     monotonic_s: Callable[[], float] = time.monotonic
     sleep: Callable[[float], None] = time.sleep
     new_key: Callable[[], str] = new_key
--- a/packages/operator/dandelionyoke_operator/_repository.py
+++ b/packages/operator/dandelionyoke_operator/_repository.py
@@ -115,7 +115,7 @@
                 base_revision=intent.base_revision,
                 author=intent.author,
                 reason=intent.reason,
-                committed_wall_s=self._environment.wall_s(),
+                committed_wall_s=self._environment.wall_clock_s(),
                 operations=intent.operations,
             )
         )
--- a/packages/operator/dandelionyoke_operator/_rollout.py
+++ b/packages/operator/dandelionyoke_operator/_rollout.py
@@ -36,7 +36,7 @@
     """
     give_up_s = environment.monotonic_s() + settings.wait_s
     rollout = read_rollout(platform, revision)
-    while not rollout.everywhere and environment.monotonic_s() < give_up_s:
+    while not rollout.is_complete and environment.monotonic_s() < give_up_s:
         environment.sleep(settings.poll_interval_s)
         rollout = _refresh_rollout(platform, rollout)
     return rollout
--- a/packages/operator/dandelionyoke_operator/commands/_change.py
+++ b/packages/operator/dandelionyoke_operator/commands/_change.py
@@ -64,7 +64,7 @@
     loaded = invocation.repository(platform).load(invocation.limit)
     intent = ChangeRequest(
         author=invocation.author,
-        reason=invocation.reason_or(f'undo revision {revision}'),
+        reason=invocation.reason_or_default(f'undo revision {revision}'),
         operations=inverse_operations(loaded, revision),
         base_revision=loaded.snapshot.revision,
     )
--- a/packages/operator/dandelionyoke_operator/commands/_key.py
+++ b/packages/operator/dandelionyoke_operator/commands/_key.py
@@ -77,7 +77,7 @@
 ) -> ChangeRequest:
     return ChangeRequest(
         author=invocation.author,
-        reason=invocation.reason_or(reason),
+        reason=invocation.reason_or_default(reason),
         operations=(operation,),
     )
 
--- a/packages/operator/dandelionyoke_operator/commands/_read.py
+++ b/packages/operator/dandelionyoke_operator/commands/_read.py
@@ -86,7 +86,7 @@
     ago = _RELATIVE_TIME.fullmatch(text)
     if ago:
         elapsed_s = int(ago.group(1)) * _UNITS_S[ago.group(2)]
-        return invocation.environment.wall_s() - elapsed_s
+        return invocation.environment.wall_clock_s() - elapsed_s
     try:
         moment = datetime.datetime.fromisoformat(text)
     except ValueError:
--- a/tests/operator/support.py
+++ b/tests/operator/support.py
@@ -198,7 +198,7 @@
                 variables=self.variables,
                 user=self.user,
                 connect=self._connect,
-                wall_s=lambda: self.now_s,
+                wall_clock_s=lambda: self.now_s,
                 monotonic_s=lambda: self.now_s,
                 sleep=self._sleep,
                 new_key=lambda: f'dy-{next(self.key_numbers)}',
