--- a/packages/operator/dandelionyoke_operator/_configuration.py
+++ b/packages/operator/dandelionyoke_operator/_configuration.py
@@ -1,4 +1,4 @@
-"""A whole configuration as the operator writes it."""
+"""A complete, validated configuration."""
 
 from collections.abc import Iterable
 
@@ -28,14 +28,15 @@
 
 @attrs.frozen
 class Configuration:
-    """Organisations, keys, services and models that hold together.
+    """Consistent set of organisations, keys, services and models.
 
-    Building one checks all of it and tells every mistake in one report.
-    `str()` of it is its INI form. `base_revision` is the revision that it
-    was read at; None where it was written from nothing.
+    The constructor validates all entities and reports every mistake at
+    once. `str()` returns the configuration as INI. `base_revision` is the
+    revision that the configuration was read at, or None if it is not based
+    on a stored configuration.
 
     Raises:
-        ConfigurationMistakes: a value, a name or a reference is wrong.
+        ConfigurationMistakes: a value, name or reference is invalid.
     """
 
     entities: tuple[Entity, ...] = attrs.field(converter=_sorted)
@@ -51,20 +52,20 @@
 
     @classmethod
     def of(cls, *entities: Entity) -> 'Configuration':
-        """Build a configuration from its parts, in any order."""
+        """Build a configuration from entities in any order."""
         return cls(entities)
 
     @classmethod
     def from_snapshot(cls, snapshot: Snapshot) -> 'Configuration':
-        """Take what is in force, to print it or to change it."""
+        """Build a configuration from a stored snapshot."""
         return cls(tuple(entities_of(snapshot)), snapshot.revision)
 
     @property
     def snapshot(self) -> Snapshot:
-        """This configuration as the core's snapshot."""
+        """Snapshot with the same entities, as used by the core package."""
         return snapshot_of(self.entities, self.base_revision or 0)
 
     @property
     def names_keys(self) -> bool:
-        """Tell whether any key is declared here."""
+        """Whether the configuration declares any key."""
         return any(isinstance(entity, ApiKey) for entity in self.entities)
--- a/packages/operator/dandelionyoke_operator/_difference.py
+++ b/packages/operator/dandelionyoke_operator/_difference.py
@@ -1,4 +1,4 @@
-"""Changes in the words of the INI form."""
+"""Describes operations as differences between INI sections."""
 
 from collections.abc import Iterable, Iterator
 
@@ -31,7 +31,7 @@
 def describe(
     operations: Iterable[Operation], before: Snapshot
 ) -> tuple[SectionDifference, ...]:
-    """Tell what operations would change in a snapshot."""
+    """Describe what operations would change in a snapshot."""
     return tuple(
         describe_operation(
             operation, find_entity(before, *operation_reference(operation))
@@ -41,7 +41,7 @@
 
 
 def operation_reference(operation: Operation) -> EntityReference:
-    """Tell which entity an operation is about."""
+    """Return the section and name of the entity that an operation changes."""
     if isinstance(operation, Remove):
         return operation.section, operation.name
     return entity_reference(operation.entity)
@@ -50,7 +50,7 @@
 def describe_operation(
     operation: Operation, before: Entity | None
 ) -> SectionDifference:
-    """Tell what an operation makes of what was there before."""
+    """Describe an operation, given the entity before it or None."""
     section, name = operation_reference(operation)
     after = operation.entity if isinstance(operation, Put) else None
     action = CHANGED
@@ -66,7 +66,7 @@
 
 
 def describe_without_previous(operation: Operation) -> SectionDifference:
-    """Tell of an operation where it is not known what was there before."""
+    """Describe an operation if the previous entity is not known."""
     section, name = operation_reference(operation)
     action = SET if isinstance(operation, Put) else REMOVED
     return SectionDifference(action, f'{section.value} {name}')
@@ -75,16 +75,16 @@
 def _option_differences(
     before: Entity | None, after: Entity | None
 ) -> Iterator[OptionDifference]:
-    either = after or before
-    if either is None:
+    entity = after or before
+    if entity is None:
         return
-    for option in schema_of(either).options:
-        old = None if before is None else _format_value(option, before)
-        new = None if after is None else _format_value(option, after)
-        if old != new:
-            yield OptionDifference(option.name, old, new)
+    for option in schema_of(entity).options:
+        old_value = None if before is None else _format_value(option, before)
+        new_value = None if after is None else _format_value(option, after)
+        if old_value != new_value:
+            yield OptionDifference(option.name, old_value, new_value)
 
 
 def _format_value(option: OptionSchema, entity: Entity) -> str:
-    text = option.value_type.write(getattr(entity, option.field))
+    text = option.value_type.format(getattr(entity, option.field))
     return ', '.join(line.strip() for line in text.strip().split('\n'))
--- a/packages/operator/dandelionyoke_operator/_ini.py
+++ b/packages/operator/dandelionyoke_operator/_ini.py
@@ -1,4 +1,4 @@
-"""A configuration read from INI, with every mistake in one report."""
+"""Parser of configuration files that reports all mistakes at once."""
 
 import difflib
 from collections.abc import Iterable, Iterator
@@ -24,28 +24,28 @@
 
 
 def parse_configuration(text: str) -> Configuration:
-    """Read a configuration from INI.
+    """Parse a configuration from INI text.
 
     Raises:
-        ConfigurationMistakes: the text is wrong; names each place.
+        ConfigurationMistakes: the text is invalid; lists each mistake.
     """
     ini = read_ini(text)
-    reading = _ConfigurationReader()
+    reader = _ConfigurationReader()
     for section in ini.sections():
-        reading.read_section(section)
+        reader.read_section(section)
     mistakes = (
         *ini.mistakes,
-        *reading.mistakes,
-        *find_mistakes(reading.entities),
+        *reader.mistakes,
+        *find_mistakes(reader.entities),
     )
     if mistakes:
         raise ConfigurationMistakes(mistakes)
-    return Configuration(reading.entities, reading.base_revision)
+    return Configuration(reader.entities, reader.base_revision)
 
 
 @attrs.define
 class _ConfigurationReader:
-    """What has been read so far, and what was wrong with it."""
+    """Entities and mistakes collected while reading sections."""
 
     entities: list[Entity] = attrs.field(factory=list)
     mistakes: list[Mistake] = attrs.field(factory=list)
@@ -57,8 +57,8 @@
             return
         kind, _, name = section.header.partition(' ')
         if kind in _KINDS and name.strip():
-            layout = SECTION_SCHEMAS[Section(kind)]
-            self._read_entity(section, layout, name.strip())
+            schema = SECTION_SCHEMAS[Section(kind)]
+            self._read_entity(section, schema, name.strip())
             return
         self._add_mistake(section.header, '', 'this section', _SECTION_REMEDY)
 
@@ -70,12 +70,12 @@
                 self._add_mistake(BASE_SECTION, name, repr(text), _BASE_REMEDY)
 
     def _read_entity(
-        self, section: IniSection, layout: SectionSchema, name: str
+        self, section: IniSection, schema: SectionSchema, name: str
     ) -> None:
-        fields = {layout.name_field: name}
-        fields.update(self._fields(section, layout))
-        missing = layout.required_fields() - fields.keys()
-        for option in layout.options:
+        fields = {schema.name_field: name}
+        fields.update(self._fields(section, schema))
+        missing = schema.required_fields() - fields.keys()
+        for option in schema.options:
             if option.field in missing and option.name not in section.options:
                 self._add_mistake(
                     section.header,
@@ -84,21 +84,21 @@
                     option.value_type.remedy,
                 )
         if not missing:
-            self.entities.append(layout.entity_type(**fields))
+            self.entities.append(schema.entity_type(**fields))
 
     def _fields(
-        self, section: IniSection, layout: SectionSchema
+        self, section: IniSection, schema: SectionSchema
     ) -> Iterator[tuple[str, Any]]:
         for name, text in section.options.items():
-            option = layout.option(name)
+            option = schema.option(name)
             if option is None:
-                remedy = _unknown_option_remedy(name, layout.options)
+                remedy = _unknown_option_remedy(name, schema.options)
                 self._add_mistake(
                     section.header, name, 'an unknown option', remedy
                 )
                 continue
             try:
-                yield option.field, option.value_type.read(text)
+                yield option.field, option.value_type.parse(text)
             except ValueError:
                 self._add_mistake(
                     section.header, name, repr(text), option.value_type.remedy
@@ -112,7 +112,7 @@
 
 def _unknown_option_remedy(name: str, options: Iterable[OptionSchema]) -> str:
     known = [option.name for option in options]
-    close = difflib.get_close_matches(name.lower(), known, n=1)
-    if close:
-        return f'Write {close[0]}'
+    similar = difflib.get_close_matches(name.lower(), known, n=1)
+    if similar:
+        return f'Write {similar[0]}'
     return f'Write one of {", ".join(known)}'
--- a/packages/operator/dandelionyoke_operator/_mistakes.py
+++ b/packages/operator/dandelionyoke_operator/_mistakes.py
@@ -1,4 +1,4 @@
-"""What is wrong in a configuration, told all at once."""
+"""Mistakes in a configuration, reported together."""
 
 from collections.abc import Iterable
 
@@ -11,10 +11,10 @@
 
 
 def redact_key(header: str) -> str:
-    """Shorten a key that stands where its hash should.
+    """Shorten a key that was written in place of its hash.
 
-    A report ends up on screens and in tickets. The key would be read there
-    by others, and nobody would notice that it has to be withdrawn.
+    Error reports are shown on screens and copied into tickets. A whole key
+    would leak there unnoticed and not be withdrawn.
     """
     kind, _, name = header.partition(' ')
     if kind == Section.KEY.value and name and not is_hash(name):
@@ -24,10 +24,11 @@
 
 @attrs.frozen
 class Mistake:
-    """One wrong place: the section, the option, what is there, the remedy.
+    """Mistake at one place in a configuration, with a remedy.
 
-    `section` is the header as it stands in the file, without brackets;
-    `option` is empty where the mistake is the section itself.
+    `section` is the section header as written in the file, without brackets.
+    `option` is empty if the mistake concerns the section itself. `found` is
+    the invalid text or its description.
     """
 
     section: str = attrs.field(converter=redact_key)
@@ -43,7 +44,7 @@
 
 
 class ConfigurationMistakes(ConfigurationError):
-    """Every mistake of one configuration, in one report."""
+    """All mistakes of one configuration."""
 
     def __init__(self, mistakes: Iterable[Mistake]) -> None:
         self.mistakes = tuple(mistakes)
--- a/packages/operator/dandelionyoke_operator/_parser.py
+++ b/packages/operator/dandelionyoke_operator/_parser.py
@@ -1,8 +1,8 @@
-"""INI text as sections of options, with every line that is no INI.
+"""INI parser that reports all syntax errors at once.
 
-`configparser` stops at the first fault of form. Here the faulty line is
-noted and replaced, and the text is read again, so that the operator gets
-all faults in one report instead of one for each attempt.
+`configparser` stops at the first syntax error. This parser records the
+faulty line, replaces it and parses the text again, so that the operator gets
+all errors in one report instead of one for each attempt.
 """
 
 import configparser
@@ -13,8 +13,8 @@
 from dandelionyoke_operator._mistakes import Mistake
 from dandelionyoke_operator._value_types import COMMENT_PREFIX
 
-# configparser copies a default section's options into all others. A header
-# cannot hold a line break, so no section of a file can become the default.
+# configparser copies the options of the default section into all others. A
+# section header cannot contain a line break, so this name disables that.
 _UNUSABLE_DEFAULT_SECTION = '\n'
 
 _LINE_REMEDY = 'Write [section name], option = value, or # and a comment'
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class IniSection:
-    """A section as it stands in the file."""
+    """Section header without brackets, and the options as text."""
 
     header: str
     options: dict[str, str]
@@ -30,14 +30,14 @@
 
 @attrs.define
 class LenientIniReader:
-    """Lines of INI text; faulty ones are replaced and noted."""
+    """Lines of INI text; faulty lines are recorded and replaced."""
 
     lines: list[str]
     mistakes: list[Mistake] = attrs.field(factory=list)
     _placeholders: set[str] = attrs.field(factory=set)
 
     def sections(self) -> tuple[IniSection, ...]:
-        """Read all sections that can be made out."""
+        """Parse all sections that have a valid header."""
         parser = self._parse()
         return tuple(
             IniSection(name, self._options(parser, name))
@@ -56,13 +56,13 @@
 
     def _parse(self) -> configparser.ConfigParser:
         parser = None
-        # Each round replaces a line at least, so the rounds are bounded.
+        # Each attempt replaces at least one line, so the loop terminates.
         while parser is None:
             parser = self._try_parse()
         return parser
 
     def _try_parse(self) -> configparser.ConfigParser | None:
-        parser = _new_parser()
+        parser = _create_parser()
         try:
             parser.read_string('\n'.join(self.lines))
         except configparser.DuplicateSectionError as error:
@@ -110,25 +110,25 @@
     def _add_repetition(
         self, section: str, option: str, found: str, line_number: int
     ) -> None:
-        place = f'{found} at line {line_number}'
+        description = f'{found} at line {line_number}'
         self.mistakes.append(
-            Mistake(section, option, place, 'Keep one of them')
+            Mistake(section, option, description, 'Keep one of them')
         )
 
 
 def read_ini(text: str) -> LenientIniReader:
-    """Take a text apart into lines."""
+    """Create a parser for a text."""
     return LenientIniReader(text.split('\n'))
 
 
-def _new_parser() -> configparser.ConfigParser:
+def _create_parser() -> configparser.ConfigParser:
     parser = configparser.ConfigParser(
         delimiters=('=',),
         comment_prefixes=(COMMENT_PREFIX,),
         interpolation=None,
         default_section=_UNUSABLE_DEFAULT_SECTION,
     )
-    # An option keeps its case: `Priority` is told as unknown, not guessed.
+    # Option names are case-sensitive: `Priority` is reported as unknown.
     parser.optionxform = str  # type: ignore[assignment, method-assign]
     return parser
 
--- a/packages/operator/dandelionyoke_operator/_schema.py
+++ b/packages/operator/dandelionyoke_operator/_schema.py
@@ -1,7 +1,7 @@
-"""What each section of the INI form may contain.
+"""Schemas of the sections in a configuration file.
 
-One table serves the reader and the printer, so that neither can know an
-option that the other does not.
+The parser and the formatter use the same schemas, so that both support the
+same options.
 """
 
 from collections.abc import Mapping
@@ -37,9 +37,9 @@
 
 @attrs.frozen
 class OptionSchema:
-    """An option: its name in the file, the entity's field and its form.
+    """Option of a section: its name, the entity's field and the value type.
 
-    `refers_to` is the kind of section that the value has to name.
+    `refers_to` is the kind of section that the value must be the name of.
     """
 
     name: str
@@ -50,9 +50,9 @@
 
 @attrs.frozen
 class SectionSchema:
-    """What a section of one kind may hold, and the entity it makes.
+    """Options of one kind of section, and the entity type it describes.
 
-    The name in the section's header goes into `name_field`.
+    The name in the section header is stored in the field `name_field`.
     """
 
     section: Section
@@ -62,14 +62,14 @@
     options: tuple[OptionSchema, ...]
 
     def option(self, name: str) -> OptionSchema | None:
-        """Look an option up by its name in the file."""
+        """Return the option with a name, or None."""
         for option in self.options:
             if option.name == name:
                 return option
         return None
 
     def required_fields(self) -> frozenset[str]:
-        """Name the entity's fields that have no default."""
+        """Return the names of the entity's fields without a default."""
         fields = attrs.fields_dict(self.entity_type)
         return frozenset(
             name
@@ -138,25 +138,25 @@
 
 SECTION_SCHEMAS: Mapping[Section, SectionSchema] = MappingProxyType(
     {
-        layout.section: layout
-        for layout in (_ORGANISATION, _KEY, _SERVICE, _MODEL)
+        schema.section: schema
+        for schema in (_ORGANISATION, _KEY, _SERVICE, _MODEL)
     }
 )
 
 
 def schema_of(entity: Entity) -> SectionSchema:
-    """Find the layout of an entity's section."""
-    for layout in SECTION_SCHEMAS.values():
-        if isinstance(entity, layout.entity_type):
-            return layout
-    raise TypeError(f'{entity!r} has no section')
+    """Return the schema of an entity's section."""
+    for schema in SECTION_SCHEMAS.values():
+        if isinstance(entity, schema.entity_type):
+            return schema
+    raise TypeError(f'no section schema for {entity!r}')
 
 
 def entity_name(entity: Entity) -> str:
-    """Tell the name that identifies an entity within its section."""
+    """Return the name that identifies an entity within its kind."""
     return str(getattr(entity, schema_of(entity).name_field))
 
 
 def section_header(entity: Entity) -> str:
-    """Tell the header of an entity's section, without brackets."""
+    """Return the header of an entity's section, without brackets."""
     return f'{schema_of(entity).section.value} {entity_name(entity)}'
--- a/packages/operator/dandelionyoke_operator/_validation.py
+++ b/packages/operator/dandelionyoke_operator/_validation.py
@@ -1,4 +1,4 @@
-"""Finds every mistake in the entities of a configuration."""
+"""Validation of the entities of a configuration."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -22,23 +22,25 @@
 
 
 def find_mistakes(entities: Iterable[Entity]) -> tuple[Mistake, ...]:
-    """Find every wrong name, value and reference."""
-    listed = tuple(entities)
-    names = {(schema_of(each).section, entity_name(each)) for each in listed}
-    found = list(_duplicate_sections(listed))
-    for entity in listed:
+    """Return a mistake for every invalid name, value and reference."""
+    entity_list = tuple(entities)
+    names = {
+        (schema_of(each).section, entity_name(each)) for each in entity_list
+    }
+    found = list(_duplicate_sections(entity_list))
+    for entity in entity_list:
         found.extend(_invalid_values(entity))
         found.extend(_dangling_references(entity, names))
     if found:
         return tuple(found)
-    # What takes several options to judge, the core judges for all of us.
+    # The core package validates rules that involve several options.
     return mistakes_from_problems(
-        validate(snapshot_of(listed, Snapshot().revision))
+        validate(snapshot_of(entity_list, Snapshot().revision))
     )
 
 
 def mistakes_from_problems(problems: Iterable[Problem]) -> tuple[Mistake, ...]:
-    """Tell the core's problems in the operator's form."""
+    """Convert problems reported by the core package to mistakes."""
     return tuple(
         Mistake(problem.subject, '', problem.detail, problem.remedy)
         for problem in problems
@@ -55,15 +57,15 @@
 
 
 def _invalid_values(entity: Entity) -> Iterator[Mistake]:
-    layout = schema_of(entity)
-    if not _round_trips(layout.name_type, entity_name(entity)):
+    schema = schema_of(entity)
+    if not _round_trips(schema.name_type, entity_name(entity)):
         yield Mistake(
             section_header(entity),
             '',
-            'a name of another form',
-            layout.name_type.remedy,
+            'an invalid name',
+            schema.name_type.remedy,
         )
-    for option in layout.options:
+    for option in schema.options:
         found = getattr(entity, option.field)
         if not _round_trips(option.value_type, found):
             yield Mistake(
@@ -78,25 +80,26 @@
     entity: Entity, names: set[tuple[Section, str]]
 ) -> Iterator[Mistake]:
     for option in schema_of(entity).options:
-        wanted = option.refers_to
-        named = getattr(entity, option.field)
-        if wanted is None or (wanted, named) in names:
+        target_section = option.refers_to
+        target_name = getattr(entity, option.field)
+        if target_section is None or (target_section, target_name) in names:
             continue
         yield Mistake(
             section_header(entity),
             option.name,
-            f'{named!r}, which is not declared',
-            f'Add [{wanted.value} {named}], or name one that is there',
+            f'{target_name!r}, which is not declared',
+            f'Add [{target_section.value} {target_name}], or name one that is there',
         )
 
 
-def _round_trips(form: ValueType, found: Any) -> bool:
-    """Tell whether a value reads back from its printed form.
+def _round_trips(value_type: ValueType, found: Any) -> bool:
+    """Return whether parsing the formatted value gives the same value.
 
-    An object built in Python can hold what no file could: a text for a
-    number, a line break. Printed, it would read back as something else.
+    An object built in Python can hold values that a file cannot, such as a
+    text in place of a number, or a line break. These would be printed as
+    INI that parses to something else.
     """
     try:
-        return bool(form.read(form.write(found)) == found)
+        return bool(value_type.parse(value_type.format(found)) == found)
     except (ValueError, TypeError, AttributeError):
         return False
--- a/packages/operator/dandelionyoke_operator/_value_types.py
+++ b/packages/operator/dandelionyoke_operator/_value_types.py
@@ -1,4 +1,4 @@
-"""Kinds of values: how each is read from INI and printed."""
+"""Types of option values: parsing from INI text and formatting."""
 
 import math
 import re
@@ -19,28 +19,28 @@
 
 
 def is_hash(text: str) -> bool:
-    """Tell whether a text is a SHA-256 in lower-case hex."""
+    """Return whether a text is a SHA-256 digest in lower-case hex."""
     return _HASH.fullmatch(text) is not None
 
 
 @attrs.frozen
 class ValueType:
-    """A kind of value: how it is read, printed, and described.
+    """Type of option values, with its parser and formatter.
 
-    `read` raises ValueError for text that is no such value; `remedy` is
-    the sentence that then tells what to write.
+    `parse` raises ValueError for invalid text. `remedy` is the sentence of
+    the error message that describes valid text.
     """
 
-    read: Callable[[str], Any]
-    write: Callable[[Any], str]
+    parse: Callable[[str], Any]
+    format: Callable[[Any], str]
     remedy: str
 
 
 def _integer(minimum: int, maximum: int, remedy: str) -> ValueType:
-    def read(text: str) -> int:
+    def parse(text: str) -> int:
         return _check_range(int(text), minimum, maximum)
 
-    return ValueType(read, str, remedy)
+    return ValueType(parse, str, remedy)
 
 
 def _check_range(number: int, minimum: int, maximum: int) -> int:
@@ -49,68 +49,68 @@
     raise ValueError(number)
 
 
-def _read_positive(text: str) -> float:
+def _parse_positive(text: str) -> float:
     number = float(text)
     if number > 0 and math.isfinite(number):
         return number
     raise ValueError(text)
 
 
-def _read_share(text: str) -> float:
-    share = float(text)
-    if 0 <= share <= 1:
-        return share
+def _parse_fraction(text: str) -> float:
+    fraction = float(text)
+    if 0 <= fraction <= 1:
+        return fraction
     raise ValueError(text)
 
 
-def _write_float(number: float) -> str:
+def _format_float(number: float) -> str:
     return repr(float(number)).removesuffix('.0')
 
 
-def _read_optional(text: str) -> float | None:
-    return None if text == NONE else _read_positive(text)
+def _parse_optional(text: str) -> float | None:
+    return None if text == NONE else _parse_positive(text)
 
 
-def _write_optional(number: float | None) -> str:
-    return NONE if number is None else _write_float(number)
+def _format_optional(number: float | None) -> str:
+    return NONE if number is None else _format_float(number)
 
 
-def _read_text(text: str) -> str:
+def _parse_text(text: str) -> str:
     if text != text.strip() or not text.isprintable():
         raise ValueError(text)
     return text
 
 
 def _text_matching(pattern: re.Pattern[str], remedy: str) -> ValueType:
-    def read(text: str) -> str:
+    def parse(text: str) -> str:
         if pattern.fullmatch(text):
             return text
         raise ValueError(text)
 
-    return ValueType(read, str, remedy)
+    return ValueType(parse, str, remedy)
 
 
-def _list_of(form: ValueType, remedy: str) -> ValueType:
-    def read(text: str) -> tuple[str, ...]:
+def _list_of(item_type: ValueType, remedy: str) -> ValueType:
+    def parse(text: str) -> tuple[str, ...]:
         lines = (line.strip() for line in text.split('\n'))
-        return tuple(form.read(line) for line in lines if line)
+        return tuple(item_type.parse(line) for line in lines if line)
 
     return ValueType(
-        read, _write_lines, f'{remedy}, each on its own line, indented'
+        parse, _format_lines, f'{remedy}, each on its own line, indented'
     )
 
 
-def _write_lines(listed: tuple[str, ...]) -> str:
-    return ''.join(f'{ITEM_INDENT}{each}' for each in listed)
+def _format_lines(items: tuple[str, ...]) -> str:
+    return ''.join(f'{ITEM_INDENT}{item}' for item in items)
 
 
-def _write_kind(kind: ServiceKind) -> str:
+def _format_service_kind(kind: ServiceKind) -> str:
     return kind.value
 
 
 MAX_INTEGER = 10**12
 
-TEXT = ValueType(_read_text, str, 'Write a text on one line')
+TEXT = ValueType(_parse_text, str, 'Write a text on one line')
 NAME = _text_matching(
     _NAME,
     'Write a name of at most 128 letters, digits and . _ : / @ + -, '
@@ -124,7 +124,7 @@
 NAMES = _list_of(NAME, 'Write names')
 CALL_PATTERNS = _list_of(
     _text_matching(_CALL_PATTERN, ''),
-    'Write calls as METHOD /path; a path that ends in * covers all below it',
+    'Write calls as METHOD /path; a path that ends in * matches every suffix',
 )
 PRIORITY = _integer(0, 9, 'Write a whole number from 0 (lowest) to 9')
 POSITIVE_INTEGER = _integer(1, MAX_INTEGER, 'Write a whole number above 0')
@@ -132,12 +132,16 @@
     0, MAX_INTEGER, 'Write a whole number, 0 or above'
 )
 POSITIVE_NUMBER = ValueType(
-    _read_positive, _write_float, 'Write a number above 0'
+    _parse_positive, _format_float, 'Write a number above 0'
+)
+FRACTION = ValueType(
+    _parse_fraction, _format_float, 'Write a number from 0 to 1'
 )
-FRACTION = ValueType(_read_share, _write_float, 'Write a number from 0 to 1')
 OPTIONAL_SECONDS = ValueType(
-    _read_optional,
-    _write_optional,
+    _parse_optional,
+    _format_optional,
     f'Write a number of seconds above 0, or {NONE}',
 )
-SERVICE_KIND = ValueType(ServiceKind, _write_kind, 'Write engine or plain')
+SERVICE_KIND = ValueType(
+    ServiceKind, _format_service_kind, 'Write engine or plain'
+)
--- a/tests/operator/test_docs.py
+++ b/tests/operator/test_docs.py
@@ -94,7 +94,7 @@
             for option in layout.options:
                 default = defaults[option.field].default
                 known = default is not attrs.NOTHING
-                text = option.value_type.write(default) if known else ''
+                text = option.value_type.format(default) if known else ''
                 ending = f' | `{text}` |' if text else ' | |'
                 row = re.search(f'^\\| `{option.name}` .*$', table, re.M)
                 self.assertTrue(row and row.group().endswith(ending), option)
