--- a/packages/operator/dandelionyoke_operator/_audit_filter.py
+++ b/packages/operator/dandelionyoke_operator/_audit_filter.py
@@ -1,4 +1,4 @@
-"""Questions that the audit trail answers."""
+"""Filters for the changes in the audit trail."""
 
 from collections.abc import Iterable
 
@@ -16,7 +16,7 @@
 def affects_organisation(
     change: Change, organisation: str, changes: Iterable[Change]
 ) -> bool:
-    """Tell whether a change is about an organisation or a key of its own."""
+    """Return whether a change affects an organisation or one of its keys."""
     hashes = key_hashes(organisation, changes)
     return any(
         _affects(operation, organisation, hashes)
@@ -25,7 +25,7 @@
 
 
 def key_hashes(organisation: str, changes: Iterable[Change]) -> frozenset[str]:
-    """Find the keys that an organisation has or had."""
+    """Return the hashes of all current and past keys of an organisation."""
     return frozenset(
         operation.entity.key_hash
         for change in changes
--- a/packages/operator/dandelionyoke_operator/_audit_trail.py
+++ b/packages/operator/dandelionyoke_operator/_audit_trail.py
@@ -1,4 +1,4 @@
-"""The audit trail, with what each change replaced."""
+"""Replays the audit trail to describe what each change replaced."""
 
 from collections.abc import Iterable, Sequence
 
@@ -17,16 +17,16 @@
 
 
 def replay_changes(changes: Iterable[Change]) -> tuple[ChangeRecord, ...]:
-    """Follow changes, given without a gap, from the oldest on."""
-    listed = tuple(changes)
-    replay = _Replay(_starts_at_first_revision(listed))
-    return tuple(replay.apply(change) for change in listed)
+    """Describe consecutive changes, given from the oldest to the newest."""
+    change_list = tuple(changes)
+    replay = _Replay(_starts_at_first_revision(change_list))
+    return tuple(replay.apply(change) for change in change_list)
 
 
 def merge_changes(
     some: Iterable[Change], more: Iterable[Change]
 ) -> tuple[Change, ...]:
-    """Put two stretches of the audit trail together, each change once."""
+    """Merge two ranges of changes, sorted by revision, without duplicates."""
     by_revision = {change.revision: change for change in (*some, *more)}
     return tuple(by_revision[revision] for revision in sorted(by_revision))
 
@@ -37,10 +37,10 @@
 
 @attrs.define
 class _Replay:
-    """The entities as far as the changes so far tell.
+    """Entities after the changes replayed so far.
 
-    `complete` says that the replay began with the first change, so that
-    what has not been seen was not there.
+    `is_complete` is true if the replay starts with the first revision, so
+    that an entity that has not been seen did not exist.
     """
 
     is_complete: bool
@@ -57,11 +57,11 @@
         )
 
     def _describe(self, operation: Operation) -> SectionDifference:
-        place = operation_reference(operation)
-        known = self.is_complete or place in self._seen
-        before = self._seen.get(place)
+        reference = operation_reference(operation)
+        is_known = self.is_complete or reference in self._seen
+        before = self._seen.get(reference)
         after = operation.entity if isinstance(operation, Put) else None
-        self._seen[place] = after
-        if known:
+        self._seen[reference] = after
+        if is_known:
             return describe_operation(operation, before)
         return describe_without_previous(operation)
--- a/packages/operator/dandelionyoke_operator/_decision_log.py
+++ b/packages/operator/dandelionyoke_operator/_decision_log.py
@@ -1,4 +1,4 @@
-"""The lines of nodes' logs that are about one request."""
+"""Reads the decisions about one request from the logs of nodes."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -6,7 +6,7 @@
 
 import attrs
 
-# What a log line says of itself, apart from the decision's inputs.
+# Fields of each log line that are not inputs of the decision.
 _STANDARD_FIELDS = frozenset(
     (
         'cause',
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Input:
-    """One fact that a decision rested on."""
+    """Input of a decision, as a field name and its text."""
 
     name: str
     text: str
@@ -32,9 +32,10 @@
 
 @attrs.frozen
 class DecisionLine:
-    """A decision about a request, as a node wrote it.
+    """Decision about a request, as logged by a node.
 
-    `left_out` is how many lines the node left out right before this one.
+    `left_out` is the number of lines that the node dropped immediately
+    before this one.
     """
 
     at_s: float
@@ -47,17 +48,18 @@
 
 
 def find_decisions(logs: Iterable[str], request_id: str) -> list[DecisionLine]:
-    """Find a request's lines in the logs of any nodes, in order of time.
+    """Return the decisions about a request, sorted by time.
 
-    Lines that are not JSON are passed over: a log may begin in the middle of
-    a line, and other programs may write to the same stream.
+    The lines may come from several nodes. Lines that are not JSON are
+    skipped: a log may begin in the middle of a line, and other programs may
+    write to the same stream.
     """
-    found = [
-        _decision(fields)
+    decisions = [
+        _parse_decision(fields)
         for fields in _json_objects(logs)
         if fields.get('subject') == request_id
     ]
-    return sorted(found, key=lambda line: line.at_s)
+    return sorted(decisions, key=lambda line: line.at_s)
 
 
 def _json_objects(logs: Iterable[str]) -> Iterator[dict[str, Any]]:
@@ -73,7 +75,7 @@
             yield fields
 
 
-def _decision(fields: dict[str, Any]) -> DecisionLine:
+def _parse_decision(fields: dict[str, Any]) -> DecisionLine:
     inputs = tuple(
         Input(name, str(fields[name]))
         for name in sorted(fields)
--- a/packages/operator/dandelionyoke_operator/_desired.py
+++ b/packages/operator/dandelionyoke_operator/_desired.py
@@ -1,4 +1,4 @@
-"""What a file asks for, seen from what is in force."""
+"""Computes the configuration that a file asks for."""
 
 from collections.abc import Iterable
 
@@ -21,44 +21,44 @@
 )
 
 
-def desired_snapshot(file: Configuration, present: Snapshot) -> Snapshot:
-    """Tell the configuration that a file asks for.
+def desired_snapshot(file: Configuration, current: Snapshot) -> Snapshot:
+    """Return the configuration that a file asks for.
 
-    A file that names no key says nothing about keys: those in force stay,
-    as long as their organisation does. Otherwise a file written before a
-    key was issued would withdraw that key unasked.
+    If a file declares no key, the keys in force are kept for organisations
+    that remain. Otherwise applying a file that was written before a key was
+    issued would withdraw that key unintentionally.
     """
-    wanted = attrs.evolve(file.snapshot, revision=present.revision)
+    desired = attrs.evolve(file.snapshot, revision=current.revision)
     if file.names_keys:
-        return wanted
+        return desired
     kept = {
         key_hash: key
-        for key_hash, key in present.keys.items()
-        if key.organisation_id in wanted.organisations
+        for key_hash, key in current.keys.items()
+        if key.organisation_id in desired.organisations
     }
-    return attrs.evolve(wanted, keys=kept)
+    return attrs.evolve(desired, keys=kept)
 
 
 def reject_withdrawn_keys(
     key_hashes: Iterable[str], changes: Iterable[Change]
 ) -> None:
-    """Refuse to bring a withdrawn key back by way of an old file.
+    """Reject keys that were withdrawn earlier.
 
-    A file that was printed before a withdrawal still lists the key. Applied
-    later for another reason it would let the holder of a leaked key in
-    again, and nobody would notice.
+    A file that was printed before a withdrawal still lists the key. Applying
+    it later for another reason would give the holder of a leaked key access
+    again without anyone noticing.
 
     Raises:
-        ConfigurationMistakes: names each such key.
+        ConfigurationMistakes: lists each such key.
     """
-    trail = tuple(changes)
+    change_list = tuple(changes)
     mistakes = []
     for key_hash in sorted(key_hashes):
-        revision = _withdrawal_revision(key_hash, trail)
+        revision = _withdrawal_revision(key_hash, change_list)
         if revision is not None:
-            title = f'{Section.KEY.value} {key_hash}'
+            header = f'{Section.KEY.value} {key_hash}'
             found = f'a key that revision {revision} withdrew'
-            mistakes.append(Mistake(title, '', found, _WITHDRAWN_REMEDY))
+            mistakes.append(Mistake(header, '', found, _WITHDRAWN_REMEDY))
     if mistakes:
         raise ConfigurationMistakes(mistakes)
 
--- a/packages/operator/dandelionyoke_operator/_platform.py
+++ b/packages/operator/dandelionyoke_operator/_platform.py
@@ -1,4 +1,4 @@
-"""The platform and the entries, as the operator's program meets them."""
+"""Clients of the platform and the entry instances."""
 
 import json
 from collections.abc import Mapping
@@ -35,12 +35,12 @@
     """The platform's key-value service."""
 
     def perform(self, action: Action) -> StoreResult:
-        """Carry out one store action and tell how it ended."""
+        """Perform one store action and return its result."""
 
 
 @attrs.frozen
 class EntryStatus:
-    """What an entry says of itself; None where it does not say."""
+    """Status reported by an entry; None for values that it left out."""
 
     instance_id: InstanceId
     domain: Domain
@@ -53,25 +53,25 @@
 
 
 class Platform(Protocol):
-    """All that the program reaches over the network."""
+    """Services that the program uses over the network."""
 
     @property
     def store(self) -> Store:
-        """The store that holds the configuration."""
+        """Store that holds the configuration."""
 
     def instances(self) -> tuple[Instance, ...]:
         """List the entry instances.
 
         Raises:
-            UnavailableError: the platform gave no list.
+            UnavailableError: the platform returned no valid list.
         """
 
     def entry_status(self, instance: Instance) -> EntryStatus | None:
-        """Ask an entry about itself; None: it does not answer."""
+        """Return the status of an entry, or None if it does not answer."""
 
 
 class HttpPlatform:
-    """The platform and the entries over HTTP."""
+    """Access to the platform and the entries over HTTP."""
 
     def __init__(self, base_url: str) -> None:
         self._base_url = _with_scheme(base_url).rstrip('/')
@@ -80,7 +80,7 @@
 
     @property
     def store(self) -> Store:
-        """The store that holds the configuration."""
+        """Store that holds the configuration."""
         return self._store
 
     def instances(self) -> tuple[Instance, ...]:
@@ -96,7 +96,7 @@
             ) from error
 
     def entry_status(self, instance: Instance) -> EntryStatus | None:
-        """Ask an entry about itself; None: it does not answer."""
+        """Return the status of an entry, or None if it does not answer."""
         url = f'{_with_scheme(instance.caller_address)}/status'
         try:
             return _parse_status(instance, self._get(url))
@@ -115,16 +115,16 @@
 
 
 def _parse_status(instance: Instance, body: Mapping[str, Any]) -> EntryStatus:
-    """Read an entry's answer; what it leaves out is unknown.
+    """Parse the status of an entry; absent values are None.
 
-    Another process may have taken over the address of an instance that the
-    lagging list still names. Its answer would count as the old instance's,
-    and a change would be told as in force where nobody knows it, so an
-    answer under another name counts as none.
+    The list of instances may be stale, and another process may have taken
+    over the address of an instance in it. Its status would then be taken for
+    that of the old instance, and a change reported as in force where it is
+    not known. A status with another instance id is therefore rejected.
     """
     if body.get('instance_id') != instance.instance_id:
         raise CodecError(
-            f'{instance.caller_address} answers under another name',
+            f'{instance.caller_address} answers with another instance id',
             'Wait until the list of instances has caught up',
         )
     return record_from_json(
--- a/packages/operator/dandelionyoke_operator/_reports.py
+++ b/packages/operator/dandelionyoke_operator/_reports.py
@@ -1,4 +1,4 @@
-"""What commands report; the output modules write it as text or JSON."""
+"""Reports of the commands; the output modules write them as text or JSON."""
 
 from typing import ClassVar
 
@@ -11,19 +11,19 @@
 
 @attrs.frozen
 class Report:
-    """Base of what a command reports."""
+    """Base of the reports of all commands."""
 
     status: ClassVar[ExitStatus] = ExitStatus.SUCCESS
 
     @property
     def exit_status(self) -> ExitStatus:
-        """How the program ends after this report."""
+        """Exit status of the program after this report."""
         return self.status
 
 
 @attrs.frozen
 class CheckReport(Report):
-    """A configuration is right; how much it holds."""
+    """Numbers of entities in a valid configuration."""
 
     organisations: int
     keys: int
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class ShowReport(Report):
-    """The configuration in the store."""
+    """Configuration in the store."""
 
     revision: int
     text: str
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class OptionDifference:
-    """An option's printed value before and after; None: there is none."""
+    """Formatted value of an option before and after; None if absent."""
 
     option: str
     before: str | None
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class SectionDifference:
-    """A section that a change adds, changes or removes."""
+    """Section that a change adds, changes or removes."""
 
     action: str
     section: str
@@ -60,9 +60,9 @@
 
 @attrs.frozen
 class PlanReport(Report):
-    """What a file would change in the configuration in force.
+    """Differences between a file and the configuration in force.
 
-    `file_revision` is the revision that the file was written against.
+    `file_revision` is the base revision of the file.
     """
 
     base_revision: int
@@ -72,7 +72,7 @@
 
 @attrs.frozen
 class InstanceRevision:
-    """How far an entry instance is; revision None: it did not answer."""
+    """Status of an entry instance; `revision` is None if it did not answer."""
 
     instance_id: InstanceId
     domain: str
@@ -86,10 +86,11 @@
 
 @attrs.frozen
 class RolloutReport(Report):
-    """Where a revision is in force.
+    """Entry instances and the revisions that they have in force.
 
-    `revision` is None where the store does not tell it. `listed` is False where the platform gave no list of instances, so that
-    nobody can be asked.
+    `revision` is the expected one, or None if the store did not answer.
+    `listed` is False if the platform returned no list of instances, so that
+    none could be queried.
     """
 
     revision: int | None
@@ -98,12 +99,12 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether each entry that stays has the revision in force."""
+        """Whether all entries that are not leaving have the revision in force."""
         return self.listed and self.revision is not None and not self.lagging
 
     @property
     def lagging(self) -> tuple[InstanceRevision, ...]:
-        """Entries that stay and are behind, or have not answered."""
+        """Entries that are behind or did not answer, except leaving ones."""
         return tuple(
             each
             for each in self.instances
@@ -111,14 +112,14 @@
         )
 
     def is_in_force(self, instance: InstanceRevision) -> bool:
-        """Tell whether an entry has this revision in force."""
+        """Return whether an entry has this revision in force."""
         if self.revision is None or instance.revision is None:
             return False
         return instance.revision >= self.revision
 
     @property
     def exit_status(self) -> ExitStatus:
-        """Success only when it is in force everywhere."""
+        """Success only if the revision is in force everywhere."""
         if self.is_complete:
             return ExitStatus.SUCCESS
         return ExitStatus.NOT_EVERYWHERE
@@ -126,7 +127,7 @@
 
 @attrs.frozen
 class CommitReport(Report):
-    """A change was committed; None as rollout: nothing had to change."""
+    """Result of a commit; `rollout` is None if there was nothing to change."""
 
     revision: int
     differences: tuple[SectionDifference, ...]
@@ -135,7 +136,7 @@
 
     @property
     def exit_status(self) -> ExitStatus:
-        """How far the change has spread."""
+        """Exit status of the rollout."""
         if self.rollout is None:
             return ExitStatus.SUCCESS
         return self.rollout.exit_status
@@ -143,7 +144,7 @@
 
 @attrs.frozen
 class KeyReport(Report):
-    """A key was issued; this is the only time that it is seen."""
+    """Issued key; this report is the only place where it is shown."""
 
     key: str
     key_hash: str
@@ -151,13 +152,13 @@
 
     @property
     def exit_status(self) -> ExitStatus:
-        """How far the key has spread."""
+        """Exit status of the rollout of the key."""
         return self.commit.exit_status
 
 
 @attrs.frozen
 class ChangeRecord:
-    """A change of the audit trail."""
+    """Change in the audit trail."""
 
     revision: int
     change_id: str
@@ -169,7 +170,7 @@
 
 @attrs.frozen
 class ConflictReport(Report):
-    """Another change came first; nothing was done."""
+    """Conflict with a change committed earlier; nothing was changed."""
 
     status: ClassVar[ExitStatus] = ExitStatus.CONFLICT
 
@@ -180,20 +181,20 @@
 
 @attrs.frozen
 class HistoryReport(Report):
-    """Changes of the audit trail, newest first."""
+    """Changes in the audit trail, newest first."""
 
     changes: tuple[ChangeRecord, ...]
 
 
 @attrs.frozen
 class StatusReport(Report):
-    """The configuration's revision, and each entry's."""
+    """Revision in the store and that of each entry."""
 
     rollout: RolloutReport
 
     @property
     def exit_status(self) -> ExitStatus:
-        """Success only when all entries are up to date."""
+        """Success only if the store answers and all entries are up to date."""
         if self.rollout.revision is None:
             return ExitStatus.UNAVAILABLE
         return self.rollout.exit_status
@@ -201,12 +202,12 @@
 
 @attrs.frozen
 class ExplainReport(Report):
-    """The decisions about a request, in the order of events."""
+    """Decisions about a request, sorted by time."""
 
     request_id: str
     lines: tuple[DecisionLine, ...]
 
     @property
     def exit_status(self) -> ExitStatus:
-        """Whether the logs hold anything about the request."""
+        """Success only if the logs contain the request."""
         return ExitStatus.SUCCESS if self.lines else ExitStatus.INVALID
--- a/packages/operator/dandelionyoke_operator/_repository.py
+++ b/packages/operator/dandelionyoke_operator/_repository.py
@@ -1,4 +1,4 @@
-"""The configuration in the platform's store: read whole, changed by one."""
+"""Reads and changes the configuration in the platform's store."""
 
 from collections import deque
 from typing import Protocol
@@ -39,30 +39,31 @@
 
 RETRY_DELAY_S = 0.2
 
-# The loader starts at a snapshot that is a few changes old. Were it held to
-# fewer changes than lie between, it would find a gap and read nothing.
+# The loader starts from a snapshot that is a few changes old. With a limit
+# below the number of changes since then it would find a gap and read nothing.
 MIN_CHANGES_TO_READ = 64
 
 
 class StoreStateMachine(Protocol):
-    """A state machine of the core that works through the store."""
+    """State machine of the core package that performs store actions."""
 
     def begin(self) -> list[Action]:
-        """Say what to do first."""
+        """Return the first actions."""
 
     def handle(self, event: StoreAnswered, now_s: float) -> list[Action]:
-        """Take an answer and say what to do next."""
+        """Process an answer and return the next actions."""
 
     @property
     def outcome(self) -> object | None:
-        """How it ended; None while it goes on."""
+        """Final result, or None while in progress."""
 
 
 @attrs.frozen
 class ChangeRequest:
-    """A change as the operator means it.
+    """Change requested by the operator.
 
-    `base_revision` is what it was planned on; None: it fits after any.
+    `base_revision` is the revision that the change was planned on, or None
+    if it can be applied to any revision.
     """
 
     author: str
@@ -72,17 +73,20 @@
 
 
 class Repository:
-    """Reads and changes the configuration in the store."""
+    """Access to the configuration in the store."""
 
     def __init__(self, store: Store, environment: Environment) -> None:
         self._store = store
         self._environment = environment
 
     def load(self, history_limit: int = 0) -> Loaded:
-        """Read the configuration, and at least its last changes.
+        """Read the configuration and its most recent changes.
+
+        `history_limit` is the number of changes to read. More may be read,
+        as far as the loader needs them.
 
         Raises:
-            UnavailableError: the store gave no whole answer.
+            UnavailableError: the configuration could not be read in full.
         """
         loader = ConfigurationLoader(
             history_from=1 if history_limit else None,
@@ -102,12 +106,12 @@
         raise UnavailableError('The store gave no answer', 'Try again')
 
     def commit(self, intent: ChangeRequest) -> Committed | Conflicted:
-        """Make one change.
+        """Commit one change.
 
         Raises:
-            ConfigurationMistakes: it would leave the configuration wrong.
-            UnavailableError: the store did not answer; nothing changed.
-            UnsettledError: it is not known whether it took effect.
+            ConfigurationMistakes: the result would be invalid.
+            UnavailableError: the store did not answer; nothing was changed.
+            UnknownOutcomeError: it is not known whether it took effect.
         """
         committer = Committer(
             Proposal(
@@ -130,18 +134,18 @@
         raise _commit_error('no answer', may_have_happened=True)
 
     def _run(self, machine: StoreStateMachine) -> None:
-        waiting = deque(machine.begin())
-        while waiting and machine.outcome is None:
-            action = waiting.popleft()
+        pending = deque(machine.begin())
+        while pending and machine.outcome is None:
+            action = pending.popleft()
             if not isinstance(action, _STORE_ACTIONS):
-                raise TypeError(f'{type(action).__name__} is not expected')
+                raise TypeError(f'unexpected action: {type(action).__name__}')
             result = self._store.perform(action)
             if isinstance(result, StoreFailed):
-                # A store that is down refuses at once; without a pause all
-                # attempts would be over before it had time to come back.
+                # A store that is down refuses immediately. Without a delay
+                # all attempts would be used up before it could recover.
                 self._environment.sleep(RETRY_DELAY_S)
             answered = StoreAnswered(action.operation_id, result)
-            waiting.extend(
+            pending.extend(
                 machine.handle(answered, self._environment.monotonic_s())
             )
 
--- a/packages/operator/dandelionyoke_operator/_rollout.py
+++ b/packages/operator/dandelionyoke_operator/_rollout.py
@@ -1,4 +1,4 @@
-"""Follows a revision until it is in force in every entry."""
+"""Tracks the rollout of a revision to all entries."""
 
 from collections.abc import Iterable
 
@@ -15,7 +15,7 @@
 
 
 def read_rollout(platform: Platform, revision: int | None) -> RolloutReport:
-    """Ask every entry once which revision it has in force."""
+    """Query every entry once for the revision that it has in force."""
     try:
         listed = platform.instances()
     except UnavailableError:
@@ -29,14 +29,14 @@
     settings: Settings,
     environment: Environment,
 ) -> RolloutReport:
-    """Ask until the revision is in force everywhere or the wait is over.
+    """Poll until the revision is in force everywhere or the wait times out.
 
-    An entry never goes back to an older revision, so one that has this one
-    is not asked again.
+    An entry never goes back to an older revision, so an entry that has this
+    revision is not queried again.
     """
-    give_up_s = environment.monotonic_s() + settings.wait_s
+    deadline_s = environment.monotonic_s() + settings.wait_s
     rollout = read_rollout(platform, revision)
-    while not rollout.is_complete and environment.monotonic_s() < give_up_s:
+    while not rollout.is_complete and environment.monotonic_s() < deadline_s:
         environment.sleep(settings.poll_interval_s)
         rollout = _refresh_rollout(platform, rollout)
     return rollout
@@ -49,31 +49,32 @@
         listed = platform.instances()
     except UnavailableError:
         return rollout
-    settled = {
+    up_to_date = {
         each.instance_id: each
         for each in rollout.instances
         if rollout.is_in_force(each)
     }
-    unsettled = [each for each in listed if each.instance_id not in settled]
-    still_listed = {each.instance_id for each in listed}
+    remaining = [each for each in listed if each.instance_id not in up_to_date]
+    listed_ids = {each.instance_id for each in listed}
     kept = [
         each
-        for instance_id, each in settled.items()
-        if instance_id in still_listed
+        for instance_id, each in up_to_date.items()
+        if instance_id in listed_ids
     ]
-    asked = _query_all(platform, unsettled)
+    answers = _query_all(platform, remaining)
     return RolloutReport(
-        rollout.revision, tuple(sorted((*kept, *asked), key=_sort_key))
+        rollout.revision, tuple(sorted((*kept, *answers), key=_sort_key))
     )
 
 
 def _query_all(
     platform: Platform, instances: Iterable[Instance]
 ) -> tuple[InstanceRevision, ...]:
-    # One silent entry would hold up all others' answers by its timeout.
+    # Query concurrently: an entry that does not answer would otherwise delay
+    # the other answers by its timeout.
     pool = eventlet.GreenPool(MAX_CONCURRENT_REQUESTS)
-    asked = pool.imap(lambda instance: _query(platform, instance), instances)
-    return tuple(sorted(asked, key=_sort_key))
+    answers = pool.imap(lambda instance: _query(platform, instance), instances)
+    return tuple(sorted(answers, key=_sort_key))
 
 
 def _query(platform: Platform, instance: Instance) -> InstanceRevision:
--- a/packages/operator/dandelionyoke_operator/_undo.py
+++ b/packages/operator/dandelionyoke_operator/_undo.py
@@ -1,4 +1,4 @@
-"""Works out how to undo a change, from the audit trail."""
+"""Computes the inverse of a change from the audit trail."""
 
 from collections.abc import Iterable, Iterator
 
@@ -12,23 +12,23 @@
 
 
 def inverse_operations(loaded: Loaded, revision: int) -> tuple[Operation, ...]:
-    """Tell the operations that undo one change and leave all later ones.
+    """Return operations that undo one change and keep all later ones.
 
     Raises:
-        InvalidError: the revision is unknown, or a later change is about
-            the same section, so that undoing one would undo both.
+        InvalidError: the revision is unknown, or a later change affects the
+            same section, so that undoing this one would undo both.
     """
     undone = _find_change(loaded.changes, revision)
     earlier = [each for each in loaded.changes if each.revision < revision]
     later = [each for each in loaded.changes if each.revision > revision]
-    places = dict.fromkeys(
+    references = dict.fromkeys(
         operation_reference(each) for each in undone.operations
     )
-    _reject_overlap(places, undone, later)
+    _reject_overlap(references, undone, later)
     return tuple(
         operation
-        for place in places
-        for operation in _restore_entity(place, undone, earlier)
+        for reference in references
+        for operation in _restore_entity(reference, undone, earlier)
     )
 
 
@@ -43,51 +43,53 @@
 
 
 def _reject_overlap(
-    places: Iterable[EntityReference], undone: Change, later: Iterable[Change]
+    references: Iterable[EntityReference],
+    undone: Change,
+    later: Iterable[Change],
 ) -> None:
-    touched = {
+    later_revisions = {
         operation_reference(operation): change.revision
         for change in later
         for operation in change.operations
     }
-    for place in places:
-        if place not in touched:
+    for reference in references:
+        if reference not in later_revisions:
             continue
-        section, name = place
+        section, name = reference
         raise InvalidError(
-            f'Revision {touched[place]} changed [{section.value} {name}] '
+            f'Revision {later_revisions[reference]} changed [{section.value} {name}] '
             f'after revision {undone.revision}',
-            f'Undo revision {touched[place]} first, or edit what `show` '
+            f'Undo revision {later_revisions[reference]} first, or edit what `show` '
             'prints and apply it',
         )
 
 
 def _restore_entity(
-    place: EntityReference, undone: Change, earlier: list[Change]
+    reference: EntityReference, undone: Change, earlier: list[Change]
 ) -> Iterator[Operation]:
-    """Bring one entity back to what the last change before made of it."""
-    section, name = place
-    before = _last_operation(place, earlier)
-    first = (*earlier, undone)[0].revision
+    """Yield the operation that restores an entity's state before a change."""
+    section, name = reference
+    before = _last_operation(reference, earlier)
+    first_read = (*earlier, undone)[0].revision
     if isinstance(before, Put):
         yield before
         return
-    if before is None and first > FIRST_REVISION:
+    if before is None and first_read > FIRST_REVISION:
         raise InvalidError(
             f'What [{section.value} {name}] was before lies further back '
-            f'than revision {first}',
+            f'than revision {first_read}',
             'Read more changes with --limit',
         )
-    if isinstance(_last_operation(place, [undone]), Put):
+    if isinstance(_last_operation(reference, [undone]), Put):
         yield Remove(section, name)
 
 
 def _last_operation(
-    place: EntityReference, changes: Iterable[Change]
+    reference: EntityReference, changes: Iterable[Change]
 ) -> Operation | None:
-    found = None
+    last = None
     for change in changes:
         for operation in change.operations:
-            if operation_reference(operation) == place:
-                found = operation
-    return found
+            if operation_reference(operation) == reference:
+                last = operation
+    return last
