--- a/packages/operator/dandelionyoke_operator/__init__.py
+++ b/packages/operator/dandelionyoke_operator/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's library: typed objects that print a configuration."""
+"""Library for operators: typed objects that build and print a configuration."""
 
 from dandelionyoke_core import (
     ApiKey as ApiKey,
--- a/packages/operator/dandelionyoke_operator/__main__.py
+++ b/packages/operator/dandelionyoke_operator/__main__.py
@@ -1,10 +1,10 @@
-"""The binary `dandelionyoke`."""
+"""Entry point of the `dandelionyoke` command."""
 
 import sys
 import warnings
 
-# eventlet announces on import that it is only maintained; docs/DESIGN.md
-# says why it is used. An operator would get that notice with each command.
+# eventlet emits a deprecation warning on import, which an operator would see
+# with each command. docs/DESIGN.md gives the reason for using eventlet.
 warnings.filterwarnings('ignore', message=r'\s*Eventlet is deprecated')
 
 import eventlet  # noqa: E402 - see above
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Run the program in this process."""
+    """Run the command line program and exit with its status."""
     sys.exit(run(Environment(tuple(sys.argv[1:]))))
 
 
--- a/packages/operator/dandelionyoke_operator/_application.py
+++ b/packages/operator/dandelionyoke_operator/_application.py
@@ -1,4 +1,4 @@
-"""Runs one command of the program in an environment."""
+"""The command line application: parses arguments and runs one command."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -39,7 +39,7 @@
 
 
 class _CleoCommand(Command):
-    """Meets cleo for a declaration, and does none of its work."""
+    """Adapter that exposes a command definition as a cleo command."""
 
     def __init__(
         self, declaration: CommandDefinition, environment: Environment
@@ -51,8 +51,8 @@
         super().__init__()
 
     def configure(self) -> None:
-        for taken in self._command_definition.arguments:
-            self._definition.add_argument(taken)
+        for argument in self._command_definition.arguments:
+            self._definition.add_argument(argument)
         for option in self._options():
             self._definition.add_option(option)
 
@@ -72,12 +72,13 @@
         return (*self._command_definition.options, *COMMON_OPTIONS)
 
     def _writer(self) -> Writer:
-        chosen = str(self.option('format'))
-        writer = _WRITERS.get(chosen)
+        format_name = str(self.option('format'))
+        writer = _WRITERS.get(format_name)
         if writer:
             return writer
         raise UsageError(
-            f'--format is {chosen!r}', f'Write one of {", ".join(_WRITERS)}'
+            f'--format is {format_name!r}',
+            f'Write one of {", ".join(_WRITERS)}',
         )
 
     def _invocation(self) -> Invocation:
@@ -86,8 +87,8 @@
             for option in self._options()
         }
         arguments = {
-            taken.name: _optional_text(self.argument(taken.name))
-            for taken in self._command_definition.arguments
+            argument.name: _optional_text(self.argument(argument.name))
+            for argument in self._command_definition.arguments
         }
         settings = load_settings(
             options['settings'], self._environment.variables
@@ -101,7 +102,7 @@
 
 
 def run(environment: Environment) -> ExitStatus:
-    """Run the command that the arguments name and tell how it ended."""
+    """Run the command given by the arguments and return its exit status."""
     application = Application(PROGRAM)
     application.auto_exits(False)
     application.catch_exceptions(False)
@@ -113,8 +114,8 @@
             StreamOutput(environment.stdout),
             StreamOutput(environment.stderr),
         )
-    except CleoError as bad:
-        message = ' '.join(str(bad).split())
+    except CleoError as cleo_error:
+        message = ' '.join(str(cleo_error).split())
         text_writer.write_error(
             UsageError(
                 message.removesuffix('.'), f'See {PROGRAM} help COMMAND'
@@ -137,5 +138,5 @@
     return attrs.evolve(settings, platform_url=platform_url, wait_s=wait_s)
 
 
-def _optional_text(found: Any) -> str | None:
-    return None if found is None else str(found)
+def _optional_text(parsed: Any) -> str | None:
+    return None if parsed is None else str(parsed)
--- a/packages/operator/dandelionyoke_operator/_command_definitions.py
+++ b/packages/operator/dandelionyoke_operator/_command_definitions.py
@@ -1,4 +1,4 @@
-"""The commands that the program offers, apart from their work."""
+"""Names, arguments and options of all commands."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class CommandDefinition:
-    """A command: what it is called, what it takes and who does the work."""
+    """Command line interface of a command, and the function that runs it."""
 
     name: str
     description: str
@@ -33,7 +33,7 @@
 COMMON_OPTIONS = (
     option(
         'format',
-        description='How to write the report: text or json.',
+        description='Format of the report: text or json.',
         flag=False,
         default=TEXT_FORMAT,
     ),
@@ -42,18 +42,20 @@
 )
 
 _FILE = argument('file', 'A configuration file; - is standard input.')
-_AUTHOR = _value_option('author', 'Who makes the change; by default the user.')
-_REASON = _value_option('reason', 'Why, for the audit trail.')
+_AUTHOR = _value_option(
+    'author', 'Author of the change; by default the current user.'
+)
+_REASON = _value_option('reason', 'Reason of the change, for the audit trail.')
 _WAIT = _value_option(
-    'wait', 'How long to wait until it is in force, in seconds.'
+    'wait', 'Maximum wait until the change is in force, in seconds.'
 )
-_LIMIT = _value_option('limit', 'How many of the last changes to read.')
-_CHANGE = (_AUTHOR, _REASON, _WAIT)
+_LIMIT = _value_option('limit', 'Number of most recent changes to read.')
+_CHANGE_OPTIONS = (_AUTHOR, _REASON, _WAIT)
 
 COMMANDS = (
     CommandDefinition(
         'check',
-        'Check a file, without reaching the platform.',
+        'Validate a file without connecting to the platform.',
         commands.check,
         (_FILE,),
     ),
@@ -64,18 +66,18 @@
     ),
     CommandDefinition(
         'plan',
-        'Tell what a file would change.',
+        'Show what a file would change.',
         commands.plan,
         (_FILE,),
         (_LIMIT,),
     ),
     CommandDefinition(
         'apply',
-        'Make a file the configuration in force.',
+        'Apply a file as the configuration in force.',
         commands.apply,
         (_FILE,),
         (
-            *_CHANGE,
+            *_CHANGE_OPTIONS,
             _LIMIT,
             _value_option(
                 'base', 'The revision that the file was written against.'
@@ -84,10 +86,10 @@
     ),
     CommandDefinition(
         'undo',
-        'Undo one change by a new one.',
+        'Undo one change by committing its inverse.',
         commands.undo,
         (argument('revision', 'The revision of the change to undo.'),),
-        (*_CHANGE, _LIMIT),
+        (*_CHANGE_OPTIONS, _LIMIT),
     ),
     CommandDefinition(
         'history',
@@ -96,51 +98,57 @@
         options=(
             _LIMIT,
             _value_option(
-                'organisation', 'Only what is about this organisation.'
+                'organisation', 'Only changes that affect this organisation.'
             ),
             _value_option(
-                'since', 'Only from this time on: ISO 8601, or 2h ago.'
+                'since',
+                'Only changes from this time on: ISO 8601, or an age such as 2h.',
             ),
             _value_option(
-                'until', 'Only up to this time: ISO 8601, or 2h ago.'
+                'until',
+                'Only changes up to this time: ISO 8601, or an age such as 2h.',
             ),
         ),
     ),
     CommandDefinition(
         'key issue',
-        'Issue a key; it is printed this once.',
+        'Issue a key; it is printed only once.',
         commands.issue_key,
-        (argument('organisation', 'Whose key it is.'),),
-        (*_CHANGE, _value_option('label', 'What the key is for.')),
+        (
+            argument(
+                'organisation', 'The organisation that the key belongs to.'
+            ),
+        ),
+        (*_CHANGE_OPTIONS, _value_option('label', 'What the key is used for.')),
     ),
     CommandDefinition(
         'key withdraw',
-        'Withdraw a key; its callers are refused within seconds.',
+        'Withdraw a key; calls with it are refused within seconds.',
         commands.withdraw_key,
         (
             argument(
                 'key',
-                'The beginning of its hash; - reads the key itself from '
+                'A prefix of its hash; - reads the key itself from '
                 'standard input.',
             ),
         ),
-        _CHANGE,
+        _CHANGE_OPTIONS,
     ),
     CommandDefinition(
         'explain',
-        'Tell what became of a request, from the logs of nodes.',
+        'List the decisions about a request, from the logs of nodes.',
         commands.explain,
         (argument('request', 'The id of the request.'),),
         (
             _value_option(
                 'logs',
-                'Log files, parted by commas; by default standard input.',
+                'Comma-separated log files; by default standard input.',
             ),
         ),
     ),
     CommandDefinition(
         'status',
-        'Tell how far each entry instance is.',
+        'Show the revision that each entry instance has in force.',
         commands.status,
     ),
 )
--- a/packages/operator/dandelionyoke_operator/_environment.py
+++ b/packages/operator/dandelionyoke_operator/_environment.py
@@ -1,4 +1,4 @@
-"""The process around the program, passed whole to whatever runs in it."""
+"""Process environment: arguments, streams, clocks and random values."""
 
 import getpass
 import os
@@ -18,17 +18,17 @@
 
 
 def new_key() -> str:
-    """Make a key for an organisation's callers."""
+    """Generate a random API key."""
     return f'{KEY_PREFIX}{secrets.token_urlsafe(KEY_BYTES)}'
 
 
 def new_change_id() -> str:
-    """Make an id that no other change has."""
+    """Generate a unique change id."""
     return uuid.uuid4().hex
 
 
 def current_user() -> str:
-    """Tell who runs this process; empty where nobody knows."""
+    """Return the name of the current user, or an empty text if unknown."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -37,10 +37,10 @@
 
 @attrs.frozen
 class Environment:
-    """Arguments, streams, clocks and randomness of one run.
+    """Arguments, streams, clocks and generators of one run of the program.
 
-    A test builds one with its own streams, clock and platform, and runs the
-    whole program in its own process.
+    Tests pass their own streams, clock and platform to run the whole program
+    within the test process.
     """
 
     arguments: tuple[str, ...]
--- a/packages/operator/dandelionyoke_operator/_errors.py
+++ b/packages/operator/dandelionyoke_operator/_errors.py
@@ -1,4 +1,4 @@
-"""What the operator's program raises, each kind with its exit status."""
+"""Errors of the operator's program and their exit statuses."""
 
 from typing import ClassVar
 
@@ -11,37 +11,37 @@
 
 
 class OperatorError(DandelionyokeError):
-    """Base of what ends a command."""
+    """Base of the errors that end a command."""
 
     status: ClassVar[ExitStatus] = ExitStatus.INTERNAL
 
 
 class UsageError(OperatorError):
-    """An argument, an option or a setting is missing or wrong."""
+    """An argument, option or setting is missing or invalid."""
 
     status = ExitStatus.USAGE
 
 
 class InvalidError(OperatorError):
-    """What is asked for does not fit the configuration."""
+    """The request does not match the configuration."""
 
     status = ExitStatus.INVALID
 
 
 class UnavailableError(OperatorError):
-    """The platform gave no answer; nothing was changed."""
+    """The platform did not answer; nothing was changed."""
 
     status = ExitStatus.UNAVAILABLE
 
 
 class UnknownOutcomeError(OperatorError):
-    """It is not known whether a change took effect."""
+    """The outcome of a change is unknown."""
 
     status = ExitStatus.UNSETTLED
 
 
 def exit_status_of(error: DandelionyokeError) -> ExitStatus:
-    """Tell the exit status that an error ends the program with."""
+    """Return the exit status for an error."""
     if isinstance(error, OperatorError):
         return error.status
     if isinstance(error, ConfigurationError):
--- a/packages/operator/dandelionyoke_operator/_exit_status.py
+++ b/packages/operator/dandelionyoke_operator/_exit_status.py
@@ -1,11 +1,11 @@
-"""How the program ends, for scripts that call it."""
+"""Exit statuses, for scripts that call the program."""
 
 import enum
 
 
 @enum.unique
 class ExitStatus(enum.IntEnum):
-    """The exit statuses; docs/COMMANDS.md tells what to do after each."""
+    """Exit statuses; docs/COMMANDS.md describes how to react to each."""
 
     SUCCESS = 0
     INTERNAL = 1
--- a/packages/operator/dandelionyoke_operator/_invocation.py
+++ b/packages/operator/dandelionyoke_operator/_invocation.py
@@ -1,4 +1,4 @@
-"""One call of the program: its command's arguments, typed, and its world."""
+"""Invocation of a command: its environment, settings and typed arguments."""
 
 import pathlib
 from collections.abc import Iterator, Mapping
@@ -15,14 +15,14 @@
 
 STANDARD_INPUT = '-'
 
-# Each change that left the head costs a read of its own, a millisecond or
-# two; this many are read in a fraction of a second.
+# Default for --limit. Each change that is no longer in the head record costs
+# a separate read of 1 or 2 ms, so this many take a fraction of a second.
 HISTORY_LIMIT = 256
 
 
 @attrs.frozen
 class Invocation:
-    """What a command works with."""
+    """Environment, settings, arguments and options of a command."""
 
     environment: Environment
     settings: Settings
@@ -30,15 +30,15 @@
     options: Mapping[str, str | None]
 
     def argument(self, name: str) -> str:
-        """Give an argument that its declaration requires."""
+        """Return a required argument."""
         return self.arguments.get(name) or ''
 
     def option(self, name: str) -> str | None:
-        """Give an option's value, or None."""
+        """Return the value of an option, or None."""
         return self.options.get(name)
 
     def log_lines(self) -> Iterator[str]:
-        """Read the logs that the command names, or standard input.
+        """Yield the lines of the files given by --logs, or of standard input.
 
         Raises:
             UsageError: a file cannot be read.
@@ -51,19 +51,19 @@
             yield from _read_lines(name)
 
     def revision(self) -> int:
-        """Give the revision that the command names.
+        """Return the argument REVISION.
 
         Raises:
-            UsageError: it is none.
+            UsageError: it is not a whole number.
         """
         return _parse_whole_number(self.argument('revision'), 'REVISION')
 
     @property
     def author(self) -> str:
-        """Who stands for a change in the audit trail.
+        """Author of a change, for the audit trail.
 
         Raises:
-            UsageError: nobody is named.
+            UsageError: no author is known.
         """
         author = (
             self.option('author')
@@ -72,11 +72,11 @@
         )
         if author:
             return _require_one_line(author, '--author')
-        raise UsageError('Nobody is named as the author', 'Give --author NAME')
+        raise UsageError('No author is given', 'Give --author NAME')
 
     @property
     def reason(self) -> str:
-        """Why a change is made, for the audit trail.
+        """Reason of a change, for the audit trail.
 
         Raises:
             UsageError: no reason is given.
@@ -89,36 +89,36 @@
         )
 
     def reason_or_default(self, default: str) -> str:
-        """Why a change is made; a default where nobody says."""
+        """Return the reason of a change, or a default if none is given."""
         return _require_one_line(self.option('reason') or default, '--reason')
 
     @property
     def base_revision(self) -> int | None:
-        """The revision that the operator says a file was written against."""
+        """Revision given by --base, or None."""
         text = self.option('base')
         return None if text is None else _parse_whole_number(text, '--base')
 
     @property
     def limit(self) -> int:
-        """How many of the last changes to read."""
+        """Number of most recent changes to read."""
         text = self.option('limit')
         return _parse_whole_number(text, '--limit') if text else HISTORY_LIMIT
 
     def configuration(self) -> Configuration:
-        """Read the file that the command names; `-` is standard input.
+        """Parse the file given as argument; `-` is standard input.
 
         Raises:
             UsageError: the file cannot be read.
-            ConfigurationMistakes: its content is wrong.
+            ConfigurationMistakes: its content is invalid.
         """
         return parse_configuration(self._read_file(self.argument('file')))
 
     def platform(self) -> Platform:
-        """Connect to the platform."""
+        """Return a client of the platform."""
         return self.environment.connect(self.settings.require_platform())
 
     def repository(self, platform: Platform) -> Repository:
-        """Reach the configuration in the platform's store."""
+        """Return the repository of the configuration in the platform's store."""
         return Repository(platform.store, self.environment)
 
     def _read_file(self, path: str) -> str:
@@ -133,23 +133,24 @@
             ) from error
 
 
-def _require_one_line(text: str, place: str) -> str:
+def _require_one_line(text: str, source: str) -> str:
     if text.isprintable():
         return text
-    raise UsageError(f'{place} is {text!r}', 'Write a text on one line')
+    raise UsageError(f'{source} is {text!r}', 'Write a text on one line')
 
 
-def _parse_whole_number(text: str, place: str) -> int:
+def _parse_whole_number(text: str, source: str) -> int:
     if text.isdecimal():
         return int(text)
-    raise UsageError(f'{place} is {text!r}', 'Write a whole number')
+    raise UsageError(f'{source} is {text!r}', 'Write a whole number')
 
 
 def _read_lines(name: str) -> Iterator[str]:
     try:
         text = pathlib.Path(name).read_text(errors='replace')
-    except OSError as bad:
+    except OSError as error:
         raise UsageError(
-            f'{name} cannot be read: {bad.strerror}', 'Name log files'
-        ) from bad
+            f'{name} cannot be read: {error.strerror}',
+            'Name readable log files',
+        ) from error
     yield from text.splitlines()
--- a/packages/operator/dandelionyoke_operator/_settings.py
+++ b/packages/operator/dandelionyoke_operator/_settings.py
@@ -1,4 +1,4 @@
-"""Where the program finds the platform, and how long it waits."""
+"""Settings of the operator's program."""
 
 import configparser
 import pathlib
@@ -21,7 +21,7 @@
 class Settings:
     """Settings of one run.
 
-    `wait_s` bounds the wait until a change is in force everywhere.
+    `wait_s` is the maximum wait until a change is in force everywhere.
     """
 
     platform_url: str = ''
@@ -30,10 +30,10 @@
     poll_interval_s: float = DEFAULT_POLL_INTERVAL_S
 
     def require_platform(self) -> str:
-        """Tell the platform's address.
+        """Return the URL of the platform.
 
         Raises:
-            UsageError: no setting names it.
+            UsageError: it is not set.
         """
         if self.platform_url:
             return self.platform_url
@@ -45,13 +45,15 @@
 
 
 def load_settings(path: str | None, variables: Mapping[str, str]) -> Settings:
-    """Read the settings file, if there is one, and the variables.
+    """Load the settings from the settings file and environment variables.
 
     Raises:
-        SettingsError: the file cannot be read or holds a wrong value.
+        SettingsError: the file cannot be read or has an invalid value.
     """
-    chosen = path or variables.get(SETTINGS_VARIABLE)
-    settings = _read_file(pathlib.Path(chosen)) if chosen else Settings()
+    settings_path = path or variables.get(SETTINGS_VARIABLE)
+    settings = (
+        _read_file(pathlib.Path(settings_path)) if settings_path else Settings()
+    )
     platform_url = variables.get(PLATFORM_VARIABLE)
     if platform_url:
         settings = attrs.evolve(settings, platform_url=platform_url)
@@ -70,7 +72,7 @@
     if not parser.has_section(SECTION):
         raise SettingsError(
             f'The settings file {path} has no section [{SECTION}]',
-            'Add it',
+            'Add this section',
         )
     return _parse_section(parser[SECTION])
 
@@ -80,20 +82,20 @@
     unknown = sorted(set(section) - set(fields))
     if unknown:
         raise SettingsError(
-            f'[{SECTION}] {unknown[0]} is no setting',
+            f'[{SECTION}] {unknown[0]} is not a known setting',
             f'Write one of {", ".join(fields)}',
         )
     return Settings(
         platform_url=section.get('platform_url', ''),
         author=section.get('author', ''),
-        wait_s=_seconds(section, 'wait_s', DEFAULT_WAIT_S),
-        poll_interval_s=_seconds(
+        wait_s=_read_seconds(section, 'wait_s', DEFAULT_WAIT_S),
+        poll_interval_s=_read_seconds(
             section, 'poll_interval_s', DEFAULT_POLL_INTERVAL_S
         ),
     )
 
 
-def _seconds(
+def _read_seconds(
     section: configparser.SectionProxy, name: str, default_s: float
 ) -> float:
     text = section.get(name)
@@ -102,11 +104,11 @@
     return parse_seconds(f'[{SECTION}] {name}', text)
 
 
-def parse_seconds(place: str, text: str) -> float:
-    """Read a duration.
+def parse_seconds(source: str, text: str) -> float:
+    """Parse a duration in seconds.
 
     Raises:
-        SettingsError: it is no number, or a negative one.
+        SettingsError: it is not a number, negative or not finite.
     """
     try:
         duration_s = float(text)
@@ -115,5 +117,5 @@
     if 0 <= duration_s < float('inf'):
         return duration_s
     raise SettingsError(
-        f'{place} is {text!r}', 'Write a number of seconds, 0 or above'
+        f'{source} is {text!r}', 'Write a number of seconds, 0 or above'
     )
--- a/packages/operator/dandelionyoke_operator/commands/__init__.py
+++ b/packages/operator/dandelionyoke_operator/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The work of each command: an invocation in, a report out."""
+"""Command functions: each takes an invocation and returns a report."""
 
 from dandelionyoke_operator.commands._change import (
     apply as apply,
--- a/packages/operator/dandelionyoke_operator/commands/_change.py
+++ b/packages/operator/dandelionyoke_operator/commands/_change.py
@@ -1,4 +1,4 @@
-"""Plans, applies and undoes changes of the whole configuration."""
+"""Commands that plan, apply and undo changes of the configuration."""
 
 from dandelionyoke_core import Snapshot, difference
 from dandelionyoke_operator._configuration import Configuration
@@ -19,75 +19,75 @@
 
 
 def plan(invocation: Invocation) -> PlanReport:
-    """Tell what a file would change."""
+    """Report what a file would change."""
     file = invocation.configuration()
     repository = invocation.repository(invocation.platform())
-    present = repository.load().snapshot
-    wanted = desired_snapshot(file, present)
-    _reject_withdrawn_keys(invocation, repository, wanted, present)
-    operations = difference(present, wanted)
+    current = repository.load().snapshot
+    desired = desired_snapshot(file, current)
+    _reject_withdrawn_keys(invocation, repository, desired, current)
+    operations = difference(current, desired)
     return PlanReport(
-        base_revision=present.revision,
-        differences=describe(operations, present),
+        base_revision=current.revision,
+        differences=describe(operations, current),
         file_revision=file.base_revision,
     )
 
 
 def apply(invocation: Invocation) -> CommitReport | ConflictReport:
-    """Make a file the configuration in force.
+    """Commit a file as the configuration in force.
 
-    A file is written against the revision that it was read at. When another
-    change came since, the file does not hold it and would quietly undo it;
-    the committer then refuses, and the operator gets to see that change.
+    A file is based on the revision that it was read at. If another change
+    was committed since, the file does not contain it and would silently undo
+    it. The committer then reports a conflict with that change.
     """
     file = invocation.configuration()
     platform = invocation.platform()
     repository = invocation.repository(platform)
-    present = repository.load().snapshot
-    base = _base_revision(invocation, file, present)
-    wanted = desired_snapshot(file, present)
-    if base == present.revision:
-        _reject_withdrawn_keys(invocation, repository, wanted, present)
-    intent = ChangeRequest(
+    current = repository.load().snapshot
+    base_revision = _base_revision(invocation, file, current)
+    desired = desired_snapshot(file, current)
+    if base_revision == current.revision:
+        _reject_withdrawn_keys(invocation, repository, desired, current)
+    change = ChangeRequest(
         author=invocation.author,
         reason=invocation.reason,
-        operations=difference(present, wanted),
-        base_revision=base,
+        operations=difference(current, desired),
+        base_revision=base_revision,
     )
-    return commit(invocation, platform, intent, present)
+    return commit(invocation, platform, change, current)
 
 
 def undo(invocation: Invocation) -> CommitReport | ConflictReport:
-    """Undo one change by a new one."""
+    """Undo one change by committing its inverse."""
     revision = invocation.revision()
     platform = invocation.platform()
     loaded = invocation.repository(platform).load(invocation.limit)
-    intent = ChangeRequest(
+    change = ChangeRequest(
         author=invocation.author,
         reason=invocation.reason_or_default(f'undo revision {revision}'),
         operations=inverse_operations(loaded, revision),
         base_revision=loaded.snapshot.revision,
     )
-    return commit(invocation, platform, intent, loaded.snapshot)
+    return commit(invocation, platform, change, loaded.snapshot)
 
 
 def _base_revision(
-    invocation: Invocation, file: Configuration, present: Snapshot
+    invocation: Invocation, file: Configuration, current: Snapshot
 ) -> int:
-    for base in (invocation.base_revision, file.base_revision):
-        if base is not None:
-            return base
-    return present.revision
+    for base_revision in (invocation.base_revision, file.base_revision):
+        if base_revision is not None:
+            return base_revision
+    return current.revision
 
 
 def _reject_withdrawn_keys(
     invocation: Invocation,
     repository: Repository,
-    wanted: Snapshot,
-    present: Snapshot,
+    desired: Snapshot,
+    current: Snapshot,
 ) -> None:
-    """Read the audit trail only where a file brings a key."""
-    brought = wanted.keys.keys() - present.keys
-    if brought:
+    """Reject withdrawn keys; read the audit trail only if a file adds keys."""
+    added_keys = desired.keys.keys() - current.keys
+    if added_keys:
         loaded = repository.load(invocation.limit)
-        reject_withdrawn_keys(brought, loaded.changes)
+        reject_withdrawn_keys(added_keys, loaded.changes)
--- a/packages/operator/dandelionyoke_operator/commands/_commit.py
+++ b/packages/operator/dandelionyoke_operator/commands/_commit.py
@@ -1,4 +1,4 @@
-"""Commits a change and follows it until it is in force."""
+"""Commits a change and waits until it is in force."""
 
 import contextlib
 
@@ -16,26 +16,26 @@
 def commit(
     invocation: Invocation,
     platform: Platform,
-    intent: ChangeRequest,
+    change_request: ChangeRequest,
     before: Snapshot,
 ) -> CommitReport | ConflictReport:
-    """Commit a change that was planned on a snapshot."""
-    if not intent.operations:
+    """Commit a change that was planned on the snapshot `before`."""
+    if not change_request.operations:
         return CommitReport(before.revision, (), None)
     repository = invocation.repository(platform)
-    outcome = repository.commit(intent)
+    outcome = repository.commit(change_request)
     if isinstance(outcome, Conflicted):
-        earlier = _load_history(repository, invocation.limit)
-        return _conflict(outcome, intent.base_revision or 0, earlier)
+        history = _load_history(repository, invocation.limit)
+        return _conflict(outcome, change_request.base_revision or 0, history)
     revision = outcome.change.revision
-    # Said before the wait: whoever breaks it off has to know that the
-    # change is made, or they make it again.
+    # Print this before the wait: an operator who interrupts the wait must
+    # know that the change is committed, to avoid making it again.
     invocation.environment.stderr.write(
         f'Committed as revision {revision}; waiting for the entries.\n'
     )
     return CommitReport(
         revision=revision,
-        differences=describe(intent.operations, before),
+        differences=describe(change_request.operations, before),
         rollout=await_rollout(
             platform, revision, invocation.settings, invocation.environment
         ),
@@ -44,22 +44,22 @@
 
 
 def _load_history(repository: Repository, limit: int) -> tuple[Change, ...]:
-    """Read what tells what the conflicting changes replaced, if it can be."""
+    """Read the history before the conflicting changes, if the store answers."""
     with contextlib.suppress(UnavailableError):
         return repository.load(limit).changes
     return ()
 
 
 def _conflict(
-    conflict: Conflicted, base_revision: int, earlier: tuple[Change, ...]
+    conflict: Conflicted, base_revision: int, history: tuple[Change, ...]
 ) -> ConflictReport:
-    trail = replay_changes(merge_changes(earlier, conflict.changes_since))
+    records = replay_changes(merge_changes(history, conflict.changes_since))
     return ConflictReport(
         base_revision=base_revision,
         present_revision=conflict.present_revision,
         changes_since=tuple(
             record
-            for record in trail
+            for record in records
             if base_revision < record.revision <= conflict.present_revision
         ),
     )
--- a/packages/operator/dandelionyoke_operator/commands/_explain.py
+++ b/packages/operator/dandelionyoke_operator/commands/_explain.py
@@ -1,4 +1,4 @@
-"""Explains what became of a request, from the logs alone."""
+"""Command that explains the handling of a request from the logs."""
 
 from dandelionyoke_operator._decision_log import find_decisions
 from dandelionyoke_operator._invocation import Invocation
@@ -6,7 +6,7 @@
 
 
 def explain(invocation: Invocation) -> ExplainReport:
-    """List the decisions about a request in the order of events."""
+    """List the decisions about a request, sorted by time."""
     request_id = invocation.argument('request')
-    lines = find_decisions(invocation.log_lines(), request_id)
-    return ExplainReport(request_id, tuple(lines))
+    decisions = find_decisions(invocation.log_lines(), request_id)
+    return ExplainReport(request_id, tuple(decisions))
--- a/packages/operator/dandelionyoke_operator/commands/_key.py
+++ b/packages/operator/dandelionyoke_operator/commands/_key.py
@@ -1,7 +1,7 @@
-"""Issues and withdraws keys.
+"""Commands that issue and withdraw keys.
 
-A change of one key is right on top of any other change, so it names no base
-revision: an operator who issues a key does not lose a race against another.
+A change of one key can be applied to any revision, so it has no base
+revision. Issuing a key therefore never conflicts with a concurrent change.
 """
 
 from dandelionyoke_core import (
@@ -31,10 +31,10 @@
 
 
 def issue_key(invocation: Invocation) -> KeyReport | ConflictReport:
-    """Make a key, keep its hash, and give the key out this once.
+    """Generate a key, store its hash, and return the key once.
 
-    The key is shown only after the change is known to be in the store: a
-    key that the operator reads to a customer must not be one that was lost.
+    The key is shown only after the change is known to be in the store, so
+    that the operator never gives a customer a key that was not stored.
     """
     platform = invocation.platform()
     before = invocation.repository(platform).load().snapshot
@@ -45,31 +45,31 @@
         organisation_id=organisation.organisation_id,
         label=invocation.option('label') or '',
     )
-    # A label that no file can hold would make the configuration in force
-    # one that `show` cannot print.
+    # With a label that is not valid in a file, `show` could no longer print
+    # the configuration in force.
     mistakes = find_mistakes((organisation, key))
     if mistakes:
         raise ConfigurationMistakes(mistakes)
     reason = f'issue a key for {organisation.organisation_id}'
-    intent = _change_request(invocation, reason, Put(key))
-    report = commit(invocation, platform, intent, before)
+    change = _change_request(invocation, reason, Put(key))
+    report = commit(invocation, platform, change, before)
     if isinstance(report, ConflictReport):
         return report
     return KeyReport(bearer_key, key.key_hash, report)
 
 
 def withdraw_key(invocation: Invocation) -> CommitReport | ConflictReport:
-    """Withdraw a key, named by the beginning of its hash or by itself."""
+    """Withdraw a key, given by a prefix of its hash or the key itself."""
     platform = invocation.platform()
     before = invocation.repository(platform).load().snapshot
-    wanted = invocation.argument('key')
-    if wanted == STANDARD_INPUT:
-        wanted = invocation.environment.stdin.readline().strip()
-    key = _find_key(wanted, before)
+    key_or_prefix = invocation.argument('key')
+    if key_or_prefix == STANDARD_INPUT:
+        key_or_prefix = invocation.environment.stdin.readline().strip()
+    key = _find_key(key_or_prefix, before)
     reason = f'withdraw a key of {key.organisation_id}'
     removal = Remove(Section.KEY, key.key_hash)
-    intent = _change_request(invocation, reason, removal)
-    return commit(invocation, platform, intent, before)
+    change = _change_request(invocation, reason, removal)
+    return commit(invocation, platform, change, before)
 
 
 def _change_request(
@@ -96,12 +96,12 @@
     )
 
 
-def _find_key(wanted: str, before: Snapshot) -> ApiKey:
-    own_hash = hash_key(wanted)
+def _find_key(key_or_prefix: str, before: Snapshot) -> ApiKey:
+    full_hash = hash_key(key_or_prefix)
     matching = [
         key
         for key_hash, key in before.keys.items()
-        if key_hash == own_hash or _is_prefix(wanted, key_hash)
+        if key_hash == full_hash or _is_prefix(key_or_prefix, key_hash)
     ]
     if len(matching) == 1:
         return matching[0]
@@ -115,6 +115,6 @@
     )
 
 
-def _is_prefix(wanted: str, key_hash: str) -> bool:
-    long_enough = len(wanted) >= MIN_PREFIX_LENGTH
-    return long_enough and key_hash.startswith(wanted)
+def _is_prefix(key_or_prefix: str, key_hash: str) -> bool:
+    long_enough = len(key_or_prefix) >= MIN_PREFIX_LENGTH
+    return long_enough and key_hash.startswith(key_or_prefix)
--- a/packages/operator/dandelionyoke_operator/commands/_read.py
+++ b/packages/operator/dandelionyoke_operator/commands/_read.py
@@ -1,4 +1,4 @@
-"""Commands that only read."""
+"""Commands that do not change the configuration."""
 
 import contextlib
 import datetime
@@ -23,7 +23,7 @@
 
 
 def check(invocation: Invocation) -> CheckReport:
-    """Check a file without reaching the platform."""
+    """Validate a file without connecting to the platform."""
     snapshot = invocation.configuration().snapshot
     return CheckReport(
         organisations=len(snapshot.organisations),
@@ -52,7 +52,7 @@
     until_s = _parse_time(invocation, 'until')
     organisation = invocation.option('organisation')
     changes = loaded.changes
-    chosen = [
+    matching = [
         record
         for change, record in zip(changes, replay_changes(changes), strict=True)
         if (since_s is None or change.committed_wall_s >= since_s)
@@ -62,14 +62,14 @@
             or affects_organisation(change, organisation, changes)
         )
     ]
-    return HistoryReport(tuple(reversed(chosen)))
+    return HistoryReport(tuple(reversed(matching)))
 
 
 def status(invocation: Invocation) -> StatusReport:
-    """Tell how far each entry is, also while the store is down.
+    """Report the status of each entry, also during an outage of the store.
 
-    Entries serve on through an outage of the store, and that is when the
-    operator has to know how old their knowledge is.
+    Entries continue to serve during an outage of the store, and the operator
+    then needs to know how stale their configuration is.
     """
     platform = invocation.platform()
     revision = None
@@ -83,17 +83,17 @@
     text = invocation.option(name)
     if text is None:
         return None
-    ago = _RELATIVE_TIME.fullmatch(text)
-    if ago:
-        elapsed_s = int(ago.group(1)) * _UNITS_S[ago.group(2)]
+    relative = _RELATIVE_TIME.fullmatch(text)
+    if relative:
+        elapsed_s = int(relative.group(1)) * _UNITS_S[relative.group(2)]
         return invocation.environment.wall_clock_s() - elapsed_s
     try:
-        moment = datetime.datetime.fromisoformat(text)
+        time = datetime.datetime.fromisoformat(text)
     except ValueError:
         raise UsageError(
             f'--{name} is {text!r}',
-            'Write a time such as 2026-12-03T18:30, or 90m, 2h, 3d ago',
+            'Write a time such as 2026-12-03T18:30, or an age such as 90m, 2h, 3d',
         ) from None
-    if moment.tzinfo is None:
-        moment = moment.replace(tzinfo=datetime.UTC)
-    return moment.timestamp()
+    if time.tzinfo is None:
+        time = time.replace(tzinfo=datetime.UTC)
+    return time.timestamp()
--- a/packages/operator/dandelionyoke_operator/output/_audit_trail.py
+++ b/packages/operator/dandelionyoke_operator/output/_audit_trail.py
@@ -1,4 +1,4 @@
-"""Changes of the audit trail as text."""
+"""Formats changes in the audit trail as text."""
 
 import datetime
 from collections.abc import Iterator
@@ -10,17 +10,17 @@
 
 
 def change_lines(change: ChangeRecord) -> Iterator[str]:
-    """Write one change: when, who, why, and what it touched."""
-    moment = datetime.datetime.fromtimestamp(
+    """Yield the time, author, reason and sections of a change."""
+    committed_at = datetime.datetime.fromtimestamp(
         change.committed_wall_s, datetime.UTC
     )
-    when = moment.strftime('%Y-%m-%d %H:%M:%S UTC')
-    yield f'revision {change.revision}  {when}  {change.author}'
+    timestamp = committed_at.strftime('%Y-%m-%d %H:%M:%S UTC')
+    yield f'revision {change.revision}  {timestamp}  {change.author}'
     yield f'    {change.reason}'
     for section in change.differences:
         yield f'    {title_line(section)}'
-        # What was added or removed is told in full by `show` and `plan`;
-        # a key's section alone does not tell whose it was.
+        # `show` and `plan` print added or removed sections in full. For a
+        # key, the header alone does not identify its organisation.
         if section.action == CHANGED or _is_key(section):
             yield from (f'        {line}' for line in option_lines(section))
 
--- a/packages/operator/dandelionyoke_operator/output/_difference.py
+++ b/packages/operator/dandelionyoke_operator/output/_difference.py
@@ -1,4 +1,4 @@
-"""Differences between configurations as text."""
+"""Formats differences between configurations as text."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator, Sequence
@@ -10,38 +10,40 @@
     SectionDifference,
 )
 
-_MARKS = MappingProxyType({ADDED: '+', CHANGED: '~', REMOVED: '-', SET: '='})
+_ACTION_MARKS = MappingProxyType(
+    {ADDED: '+', CHANGED: '~', REMOVED: '-', SET: '='}
+)
 _EMPTY_VALUE = '(nothing)'
 
 
 def difference_lines(
     differences: Iterable[SectionDifference],
 ) -> Iterator[str]:
-    """Write each section that differs, and its options."""
+    """Yield the lines for each section that differs and its options."""
     for section in differences:
         yield title_line(section)
         yield from (f'    {line}' for line in option_lines(section))
 
 
 def title_line(section: SectionDifference) -> str:
-    """Write what happens to a section."""
-    return f'{_MARKS[section.action]} [{section.section}]'
+    """Return the line with the action and header of a section."""
+    return f'{_ACTION_MARKS[section.action]} [{section.section}]'
 
 
 def option_lines(section: SectionDifference) -> Iterator[str]:
-    """Write each option that differs."""
-    return map(_option, section.options)
+    """Return a line for each option that differs."""
+    return map(_option_line, section.options)
 
 
 def count_differences(differences: Sequence[SectionDifference]) -> str:
-    """Sum up in one line."""
+    """Return the number of sections for each action, in one line."""
     counts = Counter(section.action for section in differences)
     return ', '.join(
         f'{counts[action]} {action}' for action in (ADDED, CHANGED, REMOVED)
     )
 
 
-def _option(option: OptionDifference) -> str:
+def _option_line(option: OptionDifference) -> str:
     before = option.before or _EMPTY_VALUE
     after = option.after or _EMPTY_VALUE
     if option.before is None:
--- a/packages/operator/dandelionyoke_operator/output/_json.py
+++ b/packages/operator/dandelionyoke_operator/output/_json.py
@@ -1,4 +1,4 @@
-"""Reports as JSON: one object, with stable names."""
+"""Writes reports as one JSON object with stable field names."""
 
 import json
 from typing import Any, TextIO
@@ -12,20 +12,20 @@
 
 
 class _JsonWriter:
-    """Writes JSON."""
+    """Writer of JSON."""
 
     def write(self, report: Report, stream: TextIO) -> None:
-        """Write a report's fields and how the program ends."""
+        """Write the fields of a report and the exit status."""
         fields = json.loads(record_to_json(report))
         fields['exit_status'] = int(report.exit_status)
-        _dump(fields, stream)
+        _write_object(fields, stream)
 
     def write_error(self, error: DandelionyokeError, stream: TextIO) -> None:
-        """Write the problem, the remedy and each mistake."""
+        """Write the problem, the remedy, each mistake and the exit status."""
         mistakes: tuple[Any, ...] = ()
         if isinstance(error, ConfigurationMistakes):
             mistakes = error.mistakes
-        _dump(
+        _write_object(
             {
                 'problem': error.problem,
                 'remedy': error.remedy,
@@ -36,7 +36,7 @@
         )
 
 
-def _dump(fields: dict[str, Any], stream: TextIO) -> None:
+def _write_object(fields: dict[str, Any], stream: TextIO) -> None:
     stream.write(json.dumps(fields, indent=INDENT, sort_keys=True))
     stream.write('\n')
 
--- a/packages/operator/dandelionyoke_operator/output/_rollout.py
+++ b/packages/operator/dandelionyoke_operator/output/_rollout.py
@@ -1,45 +1,45 @@
-"""Where a revision is in force, as text."""
+"""Formats the rollout of a revision as text."""
 
 import itertools
 from collections.abc import Iterator
 
 from dandelionyoke_operator._reports import InstanceRevision, RolloutReport
 
-_UNLISTED = (
+_LIST_UNAVAILABLE = (
     'The platform gave no list of instances, so it is not known where this '
     'is in force. Try `status` again in a while.'
 )
-_NONE_LISTED = 'The platform lists no entry instance that could be asked.'
+_NO_INSTANCES = 'The platform lists no entry instance that could be asked.'
 
 
 def rollout_lines(rollout: RolloutReport) -> Iterator[str]:
-    """Tell for each failure domain how many entries have the revision."""
+    """Yield the number of entries with the revision in each failure domain."""
     if not rollout.listed:
-        yield _UNLISTED
+        yield _LIST_UNAVAILABLE
         return
     if not rollout.instances:
-        yield _NONE_LISTED
+        yield _NO_INSTANCES
     for domain, members in _by_domain(rollout):
-        staying = [each for each in members if not each.leaving]
-        there = [each for each in staying if rollout.is_in_force(each)]
-        count = f'{len(there)} of {len(staying)} instances'
+        remaining = [each for each in members if not each.leaving]
+        up_to_date = [each for each in remaining if rollout.is_in_force(each)]
+        count = f'{len(up_to_date)} of {len(remaining)} instances'
         yield f'  {domain}: in force in {count}'
-        for each in staying:
+        for each in remaining:
             if not rollout.is_in_force(each):
                 yield f'    {each.instance_id} {_revision_text(each)}'
 
 
 def status_lines(rollout: RolloutReport) -> Iterator[str]:
-    """Tell each entry's revision, age of knowledge, work and duties."""
+    """Yield the revision, confirmation age, load and duties of each entry."""
     if rollout.revision is None:
         yield 'The store does not answer; this is what the entries say.'
     else:
         yield f'Revision {rollout.revision} is in the store.'
     if not rollout.listed:
-        yield _UNLISTED
+        yield _LIST_UNAVAILABLE
         return
     if not rollout.instances:
-        yield _NONE_LISTED
+        yield _NO_INSTANCES
     for domain, members in _by_domain(rollout):
         yield f'{domain}:'
         for each in members:
@@ -61,15 +61,15 @@
 
 
 def _instance_text(instance: InstanceRevision) -> str:
-    facts = [_revision_text(instance)]
+    parts = [_revision_text(instance)]
     if instance.knowledge_age_s is not None:
-        facts.append(f'confirmed {instance.knowledge_age_s:.1f} s ago')
+        parts.append(f'confirmed {instance.knowledge_age_s:.1f} s ago')
     if instance.in_progress is not None:
-        facts.append(f'{instance.in_progress} in progress')
+        parts.append(f'{instance.in_progress} in progress')
     if instance.usable_targets is not None:
-        facts.append(f'{instance.usable_targets} targets usable')
+        parts.append(f'{instance.usable_targets} targets usable')
     if instance.duties:
-        facts.append(f'duties {", ".join(instance.duties)}')
+        parts.append(f'duties {", ".join(instance.duties)}')
     if instance.leaving:
-        facts.append('leaving')
-    return ', '.join(facts)
+        parts.append('leaving')
+    return ', '.join(parts)
--- a/packages/operator/dandelionyoke_operator/output/_text.py
+++ b/packages/operator/dandelionyoke_operator/output/_text.py
@@ -1,4 +1,4 @@
-"""Reports as text for people."""
+"""Writes reports as plain text."""
 
 import functools
 from collections.abc import Iterator
@@ -33,10 +33,10 @@
 
 
 class _TextWriter:
-    """Writes plain text."""
+    """Writer of plain text."""
 
     def write(self, report: Report, stream: TextIO) -> None:
-        """Write what a command reports."""
+        """Write the report of a command."""
         for line in report_lines(report):
             stream.write(f'{line}\n')
 
@@ -51,8 +51,8 @@
 
 @functools.singledispatch
 def report_lines(report: Report) -> Iterator[str]:
-    """Write a report line by line."""
-    raise TypeError(f'{type(report).__name__} has no text form')
+    """Yield the lines of a report."""
+    raise TypeError(f'{type(report).__name__} has no text format')
 
 
 @report_lines.register
@@ -135,13 +135,16 @@
             'all entries in the domain, from before the request on.'
         )
         return
-    began_s = report.lines[0].at_s
+    start_s = report.lines[0].at_s
     for line in report.lines:
-        after_ms = (line.at_s - began_s) * MILLISECONDS
-        words = [f'{after_ms:8.1f} ms', line.instance_id, line.decision]
-        words.extend(filter(None, (line.outcome, line.cause)))
-        yield '  '.join(words)
-        inputs = ', '.join(f'{one.name} {one.text}' for one in line.inputs)
+        elapsed_ms = (line.at_s - start_s) * MILLISECONDS
+        columns = [f'{elapsed_ms:8.1f} ms', line.instance_id, line.decision]
+        columns.extend(filter(None, (line.outcome, line.cause)))
+        yield '  '.join(columns)
+        inputs = ', '.join(
+            f'{decision_input.name} {decision_input.text}'
+            for decision_input in line.inputs
+        )
         if inputs:
             yield f'{INPUT_INDENT}{inputs}'
         if line.left_out:
--- a/packages/operator/dandelionyoke_operator/output/_writer.py
+++ b/packages/operator/dandelionyoke_operator/output/_writer.py
@@ -1,4 +1,4 @@
-"""What every kind of output can do."""
+"""Interface of the output formats."""
 
 from typing import Protocol, TextIO
 
@@ -7,10 +7,10 @@
 
 
 class Writer(Protocol):
-    """Writes one kind of output."""
+    """Writer of reports and errors in one format."""
 
     def write(self, report: Report, stream: TextIO) -> None:
-        """Write what a command reports."""
+        """Write the report of a command."""
 
     def write_error(self, error: DandelionyokeError, stream: TextIO) -> None:
-        """Write why a command came to nothing."""
+        """Write the error that ended a command."""
--- a/tests/operator/test_settings.py
+++ b/tests/operator/test_settings.py
@@ -38,7 +38,7 @@
         for text, problem in (
             ('platform_url = x', 'cannot be read'),
             ('[entry]', 'no section [operator]'),
-            ('[operator]\nplatform = x', 'platform is no setting'),
+            ('[operator]\nplatform = x', 'platform is not a known setting'),
             ('[operator]\nwait_s = soon', "wait_s is 'soon'"),
             ('[operator]\nwait_s = -1', "wait_s is '-1'"),
         ):
