--- a/packages/operator/dandelionyoke_operator/_configuration.py
+++ b/packages/operator/dandelionyoke_operator/_configuration.py
@@ -5,15 +5,15 @@
 import attrs
 
 from dandelionyoke_core import ApiKey, Entity, Snapshot
-from dandelionyoke_operator._formatter import format_entities
+from dandelionyoke_operator._mistake_finder import find_mistakes
 from dandelionyoke_operator._mistakes import ConfigurationMistakes
-from dandelionyoke_operator._schema import (
+from dandelionyoke_operator._options import (
     SECTION_SCHEMAS,
     entity_name,
     schema_of,
 )
+from dandelionyoke_operator._printer import format_entities
 from dandelionyoke_operator._snapshot import entities_of, snapshot_of
-from dandelionyoke_operator._validation import find_mistakes
 
 _SECTION_ORDER = tuple(SECTION_SCHEMAS)
 
--- a/packages/operator/dandelionyoke_operator/_difference.py
+++ b/packages/operator/dandelionyoke_operator/_difference.py
@@ -10,14 +10,14 @@
     Section,
     Snapshot,
 )
+from dandelionyoke_operator._options import (
+    OptionSchema,
+    schema_of,
+)
 from dandelionyoke_operator._reports import (
     OptionDifference,
     SectionDifference,
 )
-from dandelionyoke_operator._schema import (
-    OptionSchema,
-    schema_of,
-)
 from dandelionyoke_operator._snapshot import entity_reference, find_entity
 
 ADDED = 'added'
--- a/packages/operator/dandelionyoke_operator/_ini.py
+++ b/packages/operator/dandelionyoke_operator/_ini.py
@@ -8,15 +8,15 @@
 
 from dandelionyoke_core import Entity, Section
 from dandelionyoke_operator._configuration import Configuration
-from dandelionyoke_operator._formatter import BASE_OPTION, BASE_SECTION
+from dandelionyoke_operator._mistake_finder import find_mistakes
 from dandelionyoke_operator._mistakes import ConfigurationMistakes, Mistake
-from dandelionyoke_operator._parser import IniSection, read_ini
-from dandelionyoke_operator._schema import (
+from dandelionyoke_operator._options import (
     SECTION_SCHEMAS,
     OptionSchema,
     SectionSchema,
 )
-from dandelionyoke_operator._validation import find_mistakes
+from dandelionyoke_operator._parser import IniSection, read_ini
+from dandelionyoke_operator._printer import BASE_OPTION, BASE_SECTION
 
 _KINDS = tuple(section.value for section in Section)
 _SECTION_REMEDY = f'Write [KIND NAME] with one of the kinds {", ".join(_KINDS)}'
--- a/packages/operator/dandelionyoke_operator/_validation.py
+++ b/packages/operator/dandelionyoke_operator/_mistake_finder.py
@@ -11,14 +11,14 @@
     Snapshot,
     validate,
 )
+from dandelionyoke_operator._forms import ValueType
 from dandelionyoke_operator._mistakes import Mistake
-from dandelionyoke_operator._schema import (
+from dandelionyoke_operator._options import (
     entity_name,
     schema_of,
     section_header,
 )
 from dandelionyoke_operator._snapshot import snapshot_of
-from dandelionyoke_operator._value_types import ValueType
 
 
 def find_mistakes(entities: Iterable[Entity]) -> tuple[Mistake, ...]:
--- a/packages/operator/dandelionyoke_operator/_mistakes.py
+++ b/packages/operator/dandelionyoke_operator/_mistakes.py
@@ -5,7 +5,7 @@
 import attrs
 
 from dandelionyoke_core import ConfigurationError, Section
-from dandelionyoke_operator._value_types import is_hash
+from dandelionyoke_operator._forms import is_hash
 
 SHOWN_KEY_CHARACTERS = 8
 
--- a/packages/operator/dandelionyoke_operator/_schema.py
+++ b/packages/operator/dandelionyoke_operator/_options.py
@@ -18,7 +18,7 @@
     Section,
     Service,
 )
-from dandelionyoke_operator._value_types import (
+from dandelionyoke_operator._forms import (
     CALL_PATTERNS,
     FRACTION,
     HASH,
--- a/packages/operator/dandelionyoke_operator/_parser.py
+++ b/packages/operator/dandelionyoke_operator/_parser.py
@@ -10,8 +10,8 @@
 
 import attrs
 
+from dandelionyoke_operator._forms import COMMENT_PREFIX
 from dandelionyoke_operator._mistakes import Mistake
-from dandelionyoke_operator._value_types import COMMENT_PREFIX
 
 # configparser copies the options of the default section into all others. A
 # section header cannot contain a line break, so this name disables that.
--- a/packages/operator/dandelionyoke_operator/_formatter.py
+++ b/packages/operator/dandelionyoke_operator/_printer.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from dandelionyoke_core import Entity
-from dandelionyoke_operator._schema import (
+from dandelionyoke_operator._options import (
     OptionSchema,
     schema_of,
     section_header,
--- a/packages/operator/dandelionyoke_operator/_repository.py
+++ b/packages/operator/dandelionyoke_operator/_repository.py
@@ -31,9 +31,9 @@
     UnavailableError,
     UnknownOutcomeError,
 )
+from dandelionyoke_operator._mistake_finder import mistakes_from_problems
 from dandelionyoke_operator._mistakes import ConfigurationMistakes
 from dandelionyoke_operator._platform import Store
-from dandelionyoke_operator._validation import mistakes_from_problems
 
 _STORE_ACTIONS = (StoreGet, StoreList, StorePut, StoreDelete)
 
@@ -138,7 +138,7 @@
         while pending and machine.outcome is None:
             action = pending.popleft()
             if not isinstance(action, _STORE_ACTIONS):
-                raise TypeError(f'unexpected action: {type(action).__name__}')
+                raise TypeError(f'{type(action).__name__} is unexpected')
             result = self._store.perform(action)
             if isinstance(result, StoreFailed):
                 # A store that is down refuses immediately. Without a delay
--- a/packages/operator/dandelionyoke_operator/_snapshot.py
+++ b/packages/operator/dandelionyoke_operator/_snapshot.py
@@ -11,7 +11,7 @@
     Service,
     Snapshot,
 )
-from dandelionyoke_operator._schema import entity_name, schema_of
+from dandelionyoke_operator._options import entity_name, schema_of
 
 
 def snapshot_of(entities: Iterable[Entity], revision: int) -> Snapshot:
--- a/packages/operator/dandelionyoke_operator/_undo.py
+++ b/packages/operator/dandelionyoke_operator/_undo.py
@@ -47,19 +47,19 @@
     undone: Change,
     later: Iterable[Change],
 ) -> None:
-    later_revisions = {
+    changed_at = {
         operation_reference(operation): change.revision
         for change in later
         for operation in change.operations
     }
     for reference in references:
-        if reference not in later_revisions:
+        if reference not in changed_at:
             continue
         section, name = reference
         raise InvalidError(
-            f'Revision {later_revisions[reference]} changed [{section.value} {name}] '
+            f'Revision {changed_at[reference]} changed [{section.value} {name}] '
             f'after revision {undone.revision}',
-            f'Undo revision {later_revisions[reference]} first, or edit what `show` '
+            f'Undo revision {changed_at[reference]} first, or edit what `show` '
             'prints and apply it',
         )
 
--- a/packages/operator/dandelionyoke_operator/commands/_key.py
+++ b/packages/operator/dandelionyoke_operator/commands/_key.py
@@ -17,6 +17,7 @@
 )
 from dandelionyoke_operator._errors import InvalidError
 from dandelionyoke_operator._invocation import STANDARD_INPUT, Invocation
+from dandelionyoke_operator._mistake_finder import find_mistakes
 from dandelionyoke_operator._mistakes import ConfigurationMistakes
 from dandelionyoke_operator._reports import (
     CommitReport,
@@ -24,7 +25,6 @@
     KeyReport,
 )
 from dandelionyoke_operator._repository import ChangeRequest
-from dandelionyoke_operator._validation import find_mistakes
 from dandelionyoke_operator.commands._commit import commit
 
 MIN_PREFIX_LENGTH = 8
--- a/tests/operator/test_docs.py
+++ b/tests/operator/test_docs.py
@@ -17,7 +17,7 @@
     COMMON_OPTIONS,
 )
 from dandelionyoke_operator._exit_status import ExitStatus
-from dandelionyoke_operator._schema import SECTION_SCHEMAS
+from dandelionyoke_operator._options import SECTION_SCHEMAS
 from dandelionyoke_operator._settings import load_settings
 from tests.operator.support import Desk
 
