--- a/packages/operator/dandelionyoke_operator/_command_definitions.py
+++ b/packages/operator/dandelionyoke_operator/_command_definitions.py
@@ -102,11 +102,11 @@
             ),
             _value_option(
                 'since',
-                'Only changes from this time on: ISO 8601, or an age such as 2h.',
+                'Only changes since this time: ISO 8601, or an age such as 2h.',
             ),
             _value_option(
                 'until',
-                'Only changes up to this time: ISO 8601, or an age such as 2h.',
+                'Only changes until this time: ISO 8601, or an age such as 2h.',
             ),
         ),
     ),
--- a/packages/operator/dandelionyoke_operator/_invocation.py
+++ b/packages/operator/dandelionyoke_operator/_invocation.py
@@ -118,7 +118,7 @@
         return self.environment.connect(self.settings.require_platform())
 
     def repository(self, platform: Platform) -> Repository:
-        """Return the repository of the configuration in the platform's store."""
+        """Return the configuration repository in the platform's store."""
         return Repository(platform.store, self.environment)
 
     def _read_file(self, path: str) -> str:
--- a/packages/operator/dandelionyoke_operator/_mistake_finder.py
+++ b/packages/operator/dandelionyoke_operator/_mistake_finder.py
@@ -88,7 +88,8 @@
             section_header(entity),
             option.name,
             f'{target_name!r}, which is not declared',
-            f'Add [{target_section.value} {target_name}], or name one that is there',
+            f'Add [{target_section.value} {target_name}], '
+            'or name one that is there',
         )
 
 
--- a/packages/operator/dandelionyoke_operator/_reports.py
+++ b/packages/operator/dandelionyoke_operator/_reports.py
@@ -99,7 +99,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether all entries that are not leaving have the revision in force."""
+        """Whether all entries but leaving ones have the revision in force."""
         return self.listed and self.revision is not None and not self.lagging
 
     @property
--- a/packages/operator/dandelionyoke_operator/_undo.py
+++ b/packages/operator/dandelionyoke_operator/_undo.py
@@ -57,8 +57,8 @@
             continue
         section, name = reference
         raise InvalidError(
-            f'Revision {changed_at[reference]} changed [{section.value} {name}] '
-            f'after revision {undone.revision}',
+            f'Revision {changed_at[reference]} changed '
+            f'[{section.value} {name}] after revision {undone.revision}',
             f'Undo revision {changed_at[reference]} first, or edit what `show` '
             'prints and apply it',
         )
--- a/packages/operator/dandelionyoke_operator/commands/_read.py
+++ b/packages/operator/dandelionyoke_operator/commands/_read.py
@@ -92,7 +92,7 @@
     except ValueError:
         raise UsageError(
             f'--{name} is {text!r}',
-            'Write a time such as 2026-12-03T18:30, or an age such as 90m, 2h, 3d',
+            'Write a time such as 2026-12-03T18:30, or an age: 90m, 2h, 3d',
         ) from None
     if time.tzinfo is None:
         time = time.replace(tzinfo=datetime.UTC)
