--- a/packages/entry/dandelionyoke_entry/_command.py
+++ b/packages/entry/dandelionyoke_entry/_command.py
@@ -30,7 +30,7 @@
     def handle(self) -> int:
         """Check the settings; run unless only the check was asked for."""
         try:
-            settings = _load(self.option('settings'))
+            settings = _load_settings(self.option('settings'))
         except SettingsError as error:
             self.line_error(str(error))
             return ExitStatus.BAD_SETTINGS
@@ -40,7 +40,7 @@
         return Process(settings).run()
 
 
-def _load(path: str | None) -> EntrySettings:
+def _load_settings(path: str | None) -> EntrySettings:
     if path is None:
         raise SettingsError('No settings are given', 'Add --settings FILE')
     try:
--- a/packages/entry/dandelionyoke_entry/_log.py
+++ b/packages/entry/dandelionyoke_entry/_log.py
@@ -17,46 +17,46 @@
 
 from dandelionyoke_core import InstanceId, WriteLog
 
-REQUEST_FIRST = 'request.admitted'
-REQUEST_LAST = frozenset(('request.finished', 'request.refused'))
+FIRST_REQUEST_EVENT = 'request.admitted'
+LAST_REQUEST_EVENTS = frozenset(('request.finished', 'request.refused'))
 REQUEST_ACTION = 'request'
 
 # A request whose end never came must not hold memory for good.
 MAX_OPEN_ACTIONS = 8192
 
 
-class Log:
+class JsonLog:
     """Writes records to a stream as JSON lines."""
 
     def __init__(self, stream: TextIO, instance_id: InstanceId) -> None:
         self._instance_id = instance_id
-        self._open: OrderedDict[str, Action] = OrderedDict()
+        self._open_actions: OrderedDict[str, Action] = OrderedDict()
         add_destinations(FileDestination(file=stream))
 
     def write(self, record: WriteLog) -> None:
         """Write one record."""
-        if record.kind == REQUEST_FIRST:
+        if record.kind == FIRST_REQUEST_EVENT:
             self._begin(record.subject)
-        action = self._open.get(record.subject)
+        action = self._open_actions.get(record.subject)
         if action is None:
-            self._message(record)
+            self._write_message(record)
             return
         with action.context():
-            self._message(record)
-        if record.kind in REQUEST_LAST:
-            self._open.pop(record.subject).finish()
+            self._write_message(record)
+        if record.kind in LAST_REQUEST_EVENTS:
+            self._open_actions.pop(record.subject).finish()
 
     def _begin(self, request_id: str) -> None:
-        if len(self._open) >= MAX_OPEN_ACTIONS:
-            _, oldest = self._open.popitem(last=False)
+        if len(self._open_actions) >= MAX_OPEN_ACTIONS:
+            _, oldest = self._open_actions.popitem(last=False)
             oldest.finish()
-        self._open[request_id] = start_task(
+        self._open_actions[request_id] = start_task(
             action_type=REQUEST_ACTION,
             request_id=request_id,
             instance_id=self._instance_id,
         )
 
-    def _message(self, record: WriteLog) -> None:
+    def _write_message(self, record: WriteLog) -> None:
         log_message(
             message_type=record.kind,
             instance_id=self._instance_id,
--- a/packages/entry/dandelionyoke_entry/_process.py
+++ b/packages/entry/dandelionyoke_entry/_process.py
@@ -26,7 +26,7 @@
     WriteLog,
 )
 from dandelionyoke_entry._exit_status import ExitStatus
-from dandelionyoke_entry._log import Log
+from dandelionyoke_entry._log import JsonLog
 from dandelionyoke_entry._settings import Endpoint, EntrySettings
 from dandelionyoke_links import PeerSettings
 from dandelionyoke_wire import (
@@ -44,11 +44,11 @@
 # The server would else hold tokens back until it has 4096 bytes of them.
 MIN_CHUNK_BYTES = 1
 MAX_URL_BYTES = 8192
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 
 # Answers that the node has ended are written out within this time.
-LAST_WRITES_S = 10.0
-WRITE_CHECK_S = 0.01
+FLUSH_TIMEOUT_S = 10.0
+FLUSH_CHECK_INTERVAL_S = 0.01
 
 
 class Process:
@@ -56,9 +56,9 @@
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
-        self._status = green_event.Event()
+        self._exit_status = green_event.Event()
         self._metrics = Metrics()
-        self._log = Log(sys.stderr, settings.instance_id)
+        self._log = JsonLog(sys.stderr, settings.instance_id)
         self._inbox = Inbox()
         self._mailboxes = Mailboxes()
         self._performer = Performer(
@@ -87,9 +87,9 @@
         spawn_n(self._performer.peers.serve, self._peers)
         spawn_n(self._serve_callers)
         self._inbox.put(Started(time.time()))
-        self._announce()
-        status: ExitStatus = self._status.wait()
-        self._finish_writing()
+        self._print_addresses()
+        status: ExitStatus = self._exit_status.wait()
+        self._flush_answers()
         return status
 
     def record(self, action: Action) -> None:
@@ -104,7 +104,7 @@
             case StopProcess():
                 self._stop(ExitStatus.OK if action.clean else ExitStatus.CUT)
 
-    def _announce(self) -> None:
+    def _print_addresses(self) -> None:
         """Tell whoever started the process that it listens, and where."""
         sys.stdout.write(f'READY {_url("http", self._callers)}\n')
         sys.stdout.write(f'PEERS {_url("ws", self._peers)}\n')
@@ -138,7 +138,7 @@
         wsgi.server(
             self._callers,
             self._app,
-            log=_quiet_logger(),
+            log=_silent_logger(),
             log_output=False,
             debug=False,
             max_size=self._settings.max_calls,
@@ -155,19 +155,19 @@
             self._inbox.put(ShutdownRequested())
 
     def _stop(self, status: ExitStatus) -> None:
-        if not self._status.ready():
-            self._status.send(status)
+        if not self._exit_status.ready():
+            self._exit_status.send(status)
 
-    def _finish_writing(self) -> None:
-        checks = int(LAST_WRITES_S / WRITE_CHECK_S)
+    def _flush_answers(self) -> None:
+        checks = int(FLUSH_TIMEOUT_S / FLUSH_CHECK_INTERVAL_S)
         for _ in range(checks):
             if not self._app.open_answers:
                 return
-            sleep(WRITE_CHECK_S)
+            sleep(FLUSH_CHECK_INTERVAL_S)
 
 
 def _listen(endpoint: Endpoint) -> socket.socket:
-    return listen((endpoint.host, endpoint.port), backlog=BACKLOG)
+    return listen((endpoint.host, endpoint.port), backlog=LISTEN_BACKLOG)
 
 
 def _url(scheme: str, listener: socket.socket) -> str:
@@ -175,7 +175,7 @@
     return f'{scheme}://{host}:{port}'
 
 
-def _quiet_logger() -> logging.Logger:
+def _silent_logger() -> logging.Logger:
     """Keep the server's own lines out of the JSON log."""
     logger = logging.getLogger('dandelionyoke.http')
     logger.addHandler(logging.NullHandler())
--- a/packages/entry/dandelionyoke_entry/_settings.py
+++ b/packages/entry/dandelionyoke_entry/_settings.py
@@ -42,38 +42,38 @@
     max_calls: int
 
 
-class _Reader:
+class _OptionReader:
     """Reads options and gathers every mistake instead of the first."""
 
     def __init__(self, parser: configparser.ConfigParser) -> None:
         self._parser = parser
-        self._known: set[tuple[str, str]] = set()
+        self._known_options: set[tuple[str, str]] = set()
         self.mistakes: list[str] = []
 
     def read(
         self,
         section: str,
         option: str,
-        check: Callable[[str], Setting],
+        parse: Callable[[str], Setting],
         fallback: str | None = None,
     ) -> Setting | None:
         """Check one option; None after a mistake."""
-        self._known.add((section, option))
+        self._known_options.add((section, option))
         found = self._parser.get(section, option, fallback=fallback)
         if found is None:
             self.mistakes.append(f'[{section}] {option} is missing. Add it.')
             return None
         try:
-            return check(found)
+            return parse(found)
         except ValueError as bad:
             self.mistakes.append(f'[{section}] {option}: {bad}')
         return None
 
-    def refuse_unknown(self) -> None:
+    def reject_unknown(self) -> None:
         """Name the options that nothing reads, which are often misspelt."""
         for section in self._parser.sections():
             for option in self._parser.options(section):
-                if (section, option) not in self._known:
+                if (section, option) not in self._known_options:
                     self.mistakes.append(
                         f'[{section}] {option} is not known. Remove it.'
                     )
@@ -93,9 +93,9 @@
             f'The settings are not INI: {bad.message}',
             'Write [section] lines and option = value lines',
         ) from bad
-    reader = _Reader(parser)
-    options = _options(reader)
-    reader.refuse_unknown()
+    reader = _OptionReader(parser)
+    options = _read_options(reader)
+    reader.reject_unknown()
     if reader.mistakes:
         raise SettingsError(
             '\n'.join(reader.mistakes).removesuffix('.'),
@@ -104,34 +104,40 @@
     return EntrySettings(**options)  # type: ignore[arg-type]
 
 
-def _options(reader: _Reader) -> Mapping[str, object]:
+def _read_options(reader: _OptionReader) -> Mapping[str, object]:
     return {
-        'instance_id': reader.read('entry', 'instance_id', _name),
-        'domain': reader.read('entry', 'domain', _name),
+        'instance_id': reader.read('entry', 'instance_id', _parse_name),
+        'domain': reader.read('entry', 'domain', _parse_name),
         'callers': reader.read(
-            'entry', 'caller_address', _endpoint, LOOPBACK_ANY_PORT
+            'entry', 'caller_address', _parse_endpoint, LOOPBACK_ANY_PORT
         ),
         'peers': reader.read(
-            'entry', 'peer_address', _endpoint, LOOPBACK_ANY_PORT
+            'entry', 'peer_address', _parse_endpoint, LOOPBACK_ANY_PORT
         ),
-        'platform_url': reader.read('platform', 'url', _url),
-        'secret': reader.read('peers', 'secret', _secret),
+        'platform_url': reader.read('platform', 'url', _parse_url),
+        'secret': reader.read('peers', 'secret', _parse_secret),
         'balancer_notice_s': reader.read(
             'shutdown',
             'balancer_notice_s',
-            _seconds,
+            _parse_seconds,
             str(DEFAULT_BALANCER_NOTICE_S),
         ),
         'max_body_bytes': reader.read(
-            'limits', 'max_body_bytes', _count, str(DEFAULT_MAX_BODY_BYTES)
+            'limits',
+            'max_body_bytes',
+            _parse_positive_integer,
+            str(DEFAULT_MAX_BODY_BYTES),
         ),
         'max_calls': reader.read(
-            'limits', 'max_calls', _count, str(DEFAULT_MAX_CALLS)
+            'limits',
+            'max_calls',
+            _parse_positive_integer,
+            str(DEFAULT_MAX_CALLS),
         ),
     }
 
 
-def _name(found: str) -> str:
+def _parse_name(found: str) -> str:
     if not found or not found.replace('-', '').replace('.', '').isalnum():
         raise ValueError(
             f'{found!r} is no name. Use letters, digits, "-" and ".".'
@@ -139,21 +145,21 @@
     return found
 
 
-def _endpoint(found: str) -> Endpoint:
+def _parse_endpoint(found: str) -> Endpoint:
     host, _, port = found.rpartition(':')
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise ValueError(f'{found!r} is no HOST:PORT. Write 10.0.0.5:8080.')
     return Endpoint(host, int(port))
 
 
-def _url(found: str) -> str:
+def _parse_url(found: str) -> str:
     parts = urlsplit(found)
     if parts.scheme != 'http' or not parts.hostname:
         raise ValueError(f'{found!r} is no URL. Write http://HOST:PORT.')
     return found.rstrip('/')
 
 
-def _secret(found: str) -> bytes:
+def _parse_secret(found: str) -> bytes:
     secret = found.encode()
     if len(secret) < MIN_SECRET_BYTES:
         raise ValueError(
@@ -162,7 +168,7 @@
     return secret
 
 
-def _seconds(found: str) -> float:
+def _parse_seconds(found: str) -> float:
     try:
         seconds = float(found)
     except ValueError:
@@ -172,7 +178,7 @@
     return seconds
 
 
-def _count(found: str) -> int:
+def _parse_positive_integer(found: str) -> int:
     if not found.isdecimal() or int(found) == 0:
         raise ValueError(f'{found!r} is no whole number above 0. Write one.')
     return int(found)
