--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -24,7 +24,7 @@
 LOGS = ROOT / '.logs'
 READY_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 30.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 SECRET = 'loopback-only-secret-of-the-demo'
 
 ENTRY_SETTINGS = """\
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class Running:
+class RunningProcess:
     """One process that this module started, and its first lines."""
 
     name: str
@@ -53,7 +53,7 @@
         factory=queue.SimpleQueue, repr=False
     )
     address: str = ''
-    second_address: str = ''
+    secondary_address: str = ''
     service: str = ''
     domain: str = ''
     kind: str = ''
@@ -72,7 +72,7 @@
             if not line:
                 raise RuntimeError(f'{self.name} ended; see .logs/')
 
-    def lines_until_end(self) -> Iterator[str]:
+    def remaining_lines(self) -> Iterator[str]:
         """Yield each line of output until the process ends it."""
         while line := self.lines.get():
             yield line
@@ -107,7 +107,7 @@
     plain_services: Sequence[str] = ('crate-ledger',)
     entries: int = 2
     engine_options: Sequence[str] = ()
-    linked: Collection[str] = ()
+    targets_behind_links: Collection[str] = ()
 
 
 class Fleet:
@@ -115,11 +115,11 @@
 
     def __init__(self, balancer_notice_s: float = 0.2) -> None:
         self._balancer_notice_s = balancer_notice_s
-        self.running: list[Running] = []
+        self.running: list[RunningProcess] = []
         self.platform_url = ''
-        self.entries: list[Running] = []
+        self.entries: list[RunningProcess] = []
         self.targets: list[dict[str, object]] = []
-        self.links: dict[str, Running] = {}
+        self.links: dict[str, RunningProcess] = {}
         self._pool = urllib3.PoolManager(timeout=READY_TIMEOUT_S)
         LOGS.mkdir(exist_ok=True)
         # A folder of its own: two fleets at once would start entries with
@@ -131,41 +131,45 @@
         platform = self.start_standin('platform', 'platform', '--lag-s', '0.2')
         # All begin before the first is waited for: each start takes a second.
         targets = [
-            self._begin_engine(service, number, deployment)
+            self._start_engine(service, number, deployment)
             for service, count in deployment.engines.items()
             for number in range(count)
         ]
         targets.extend(
-            self._begin_plain(service, deployment.domains[0])
+            self._start_plain_service(service, deployment.domains[0])
             for service in deployment.plain_services
         )
         self.platform_url = platform.await_ready()
         entries = [
-            self._begin_entry(
+            self._launch_entry(
                 f'entry-{number + 1}',
                 deployment.domains[number % len(deployment.domains)],
             )
             for number in range(deployment.entries)
         ]
         for target in targets:
-            self._note_target(target, deployment)
-        self.list_targets()
+            self._add_target(target, deployment)
+        self.publish_targets()
         for entry in entries:
-            self._list_entry(entry)
+            self._register_entry(entry)
 
-    def start_entry(self, instance_id: str, domain: str) -> Running:
+    def start_entry(self, instance_id: str, domain: str) -> RunningProcess:
         """Start an entry and list it at the platform."""
-        running = self._begin_entry(instance_id, domain)
-        self._list_entry(running)
-        return running
+        processes = self._launch_entry(instance_id, domain)
+        self._register_entry(processes)
+        return processes
 
-    def start_standin(self, name: str, kind: str, *options: str) -> Running:
+    def start_standin(
+        self, name: str, kind: str, *options: str
+    ) -> RunningProcess:
         """Start a stand-in."""
-        return self._start(name, 'dandelionyoke_standins', kind, *options)
+        return self._start_process(
+            name, 'dandelionyoke_standins', kind, *options
+        )
 
-    def _begin_engine(
+    def _start_engine(
         self, service: str, number: int, deployment: Deployment
-    ) -> Running:
+    ) -> RunningProcess:
         name = f'{service}-{number}'
         model = deployment.models[service]
         running = self.start_standin(
@@ -182,14 +186,14 @@
         running.kind = 'engine'
         return running
 
-    def _begin_plain(self, service: str, domain: str) -> Running:
+    def _start_plain_service(self, service: str, domain: str) -> RunningProcess:
         running = self.start_standin(f'{service}-0', 'plain')
         running.service = service
         running.domain = domain
         running.kind = 'plain'
         return running
 
-    def _begin_entry(self, instance_id: str, domain: str) -> Running:
+    def _launch_entry(self, instance_id: str, domain: str) -> RunningProcess:
         settings = self.logs / f'{instance_id}.ini'
         settings.write_text(
             ENTRY_SETTINGS.format(
@@ -200,13 +204,13 @@
                 balancer_notice_s=self._balancer_notice_s,
             )
         )
-        running = self._start(
+        running = self._start_process(
             instance_id, 'dandelionyoke_entry', '--settings', str(settings)
         )
         running.domain = domain
         return running
 
-    def _list_entry(self, running: Running) -> None:
+    def _register_entry(self, running: RunningProcess) -> None:
         running.await_ready()
         running.second_address = running.await_line('PEERS ')
         self.post(
@@ -221,17 +225,19 @@
         )
         self.entries.append(running)
 
-    def start_link(self, to: str) -> Running:
+    def start_link(self, to: str) -> RunningProcess:
         """Start a link; its second address takes its commands."""
         there = urlsplit(to)
         link = self.start_standin(
             f'link-{there.port}', 'link', '--to', there.netloc
         )
         link.await_ready()
-        link.second_address = link.await_line('CONTROL ')
+        link.secondary_address = link.await_line('CONTROL ')
         return link
 
-    def _note_target(self, running: Running, deployment: Deployment) -> None:
+    def _add_target(
+        self, running: RunningProcess, deployment: Deployment
+    ) -> None:
         address = running.await_ready()
         if running.name in deployment.linked:
             link = self.start_link(address)
@@ -249,20 +255,24 @@
             }
         )
 
-    def start_load(self, *options: str) -> Running:
+    def start_load(self, *options: str) -> RunningProcess:
         """Start the load driver."""
-        return self._start('load', 'dandelionyoke_standins', 'load', *options)
+        return self._start_process(
+            'load', 'dandelionyoke_standins', 'load', *options
+        )
 
     def configure(self, text: str, reason: str = 'set up') -> None:
         """Put a configuration in force by the operator's command."""
         file = self.logs / 'configuration.ini'
         file.write_text(text)
-        self.operate('check', str(file))
-        self.operate(
+        self.run_operator('check', str(file))
+        self.run_operator(
             'apply', str(file), '--reason', reason, '--author', 'launcher'
         )
 
-    def operate(self, *arguments: str, statuses: Sequence[int] = (0,)) -> str:
+    def run_operator(
+        self, *arguments: str, statuses: Sequence[int] = (0,)
+    ) -> str:
         """Run the operator's command; return what it printed."""
         program = pathlib.Path(sys.executable).parent / 'dandelionyoke'
         ended = subprocess.run(  # noqa: S603 - our own program
@@ -284,12 +294,12 @@
             while self._usable_targets(entry) < len(self.targets):
                 if time.monotonic() > deadline_s:
                     raise RuntimeError(f'{entry.name} sees too few targets')
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
 
-    def _usable_targets(self, entry: Running) -> int:
+    def _usable_targets(self, entry: RunningProcess) -> int:
         return int(self.get(f'{entry.address}/status')['usable_targets'])
 
-    def list_targets(self) -> None:
+    def publish_targets(self) -> None:
         """Tell the platform's stand-in which targets there are."""
         self.post(
             f'{self.platform_url}/standin/targets', {'targets': self.targets}
@@ -314,17 +324,19 @@
                 running.signal(signal.SIGCONT)
                 running.signal(signal.SIGTERM)
             for running in group:
-                self._end(running)
+                self._await_end(running)
         self.running.clear()
 
-    def _end(self, running: Running) -> None:
+    def _await_end(self, running: RunningProcess) -> None:
         try:
             running.wait()
         except subprocess.TimeoutExpired:
             running.process.kill()
             running.wait()
 
-    def _start(self, name: str, module: str, *arguments: str) -> Running:
+    def _start_process(
+        self, name: str, module: str, *arguments: str
+    ) -> RunningProcess:
         with (self.logs / f'{name}.log').open('w') as log:
             process = subprocess.Popen(  # noqa: S603 - our own modules
                 [sys.executable, '-W', 'ignore', '-m', module, *arguments],
@@ -333,13 +345,15 @@
                 text=True,
                 start_new_session=True,
             )
-        running = Running(name, process)
+        running = RunningProcess(name, process)
         self.running.append(running)
-        threading.Thread(target=_pump, args=(running,), daemon=True).start()
+        threading.Thread(
+            target=_collect_output, args=(running,), daemon=True
+        ).start()
         return running
 
 
-def _pump(running: Running) -> None:
+def _collect_output(running: RunningProcess) -> None:
     stdout = running.process.stdout
     if stdout is not None:
         for line in stdout:
--- a/scripts/measure_path.py
+++ b/scripts/measure_path.py
@@ -15,7 +15,7 @@
 import attrs
 import urllib3
 from demo_configuration import DemoKeys, demo_configuration
-from fleet import Deployment, Fleet, Running
+from fleet import Deployment, Fleet, RunningProcess
 
 TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 KIB_PER_MIB = 1024
@@ -62,39 +62,39 @@
         )
         fleet.configure(str(demo_configuration(keys)))
         fleet.await_targets()
-        _report_idle(fleet)
-        short, long = (_cost_s(fleet, keys, load) for load in LOADS)
-        _report(short, long, _usage(fleet.entries[0]).memory_mib)
+        _print_idle_usage(fleet)
+        short, long = (_processor_time_s(fleet, keys, load) for load in LOADS)
+        _print_costs(short, long, _usage(fleet.entries[0]).memory_mib)
     return 0
 
 
-def _report_idle(fleet: Fleet) -> None:
+def _print_idle_usage(fleet: Fleet) -> None:
     """Print what the entry uses while nobody calls."""
     before_s = _usage(fleet.entries[0]).processor_s
     time.sleep(IDLE_S)
     used_s = _usage(fleet.entries[0]).processor_s - before_s
     share = used_s / IDLE_S
     targets = len(fleet.targets)
-    _print(f'idle with {targets} targets: {share:.2%} of a core')
+    _print_line(f'idle with {targets} targets: {share:.2%} of a core')
 
 
-def _report(short_s: float, long_s: float, memory_mib: float) -> None:
+def _print_costs(short_s: float, long_s: float, memory_mib: float) -> None:
     """Solve calls * a + tokens * b = time for both loads."""
     calls = [STREAMS * load.calls for load in LOADS]
     tokens = [STREAMS * load.calls * load.tokens for load in LOADS]
     determinant = calls[0] * tokens[1] - calls[1] * tokens[0]
     token_s = (calls[0] * long_s - calls[1] * short_s) / determinant
     call_s = (short_s - tokens[0] * token_s) / calls[0]
-    _print(f'a call costs {call_s * 1000:.2f} ms of the entry')
-    _print(f'a token costs {token_s * 1_000_000:.0f} us of the entry')
-    _print(f'one core passes {1 / token_s:.0f} tokens a second')
-    _print(f'memory {memory_mib:.0f} MiB')
+    _print_line(f'a call costs {call_s * 1000:.2f} ms of the entry')
+    _print_line(f'a token costs {token_s * 1_000_000:.0f} us of the entry')
+    _print_line(f'one core passes {1 / token_s:.0f} tokens a second')
+    _print_line(f'memory {memory_mib:.0f} MiB')
 
 
-def _cost_s(fleet: Fleet, keys: DemoKeys, load: Load) -> float:
+def _processor_time_s(fleet: Fleet, keys: DemoKeys, load: Load) -> float:
     before = _usage(fleet.entries[0])
     streams = [
-        threading.Thread(target=_stream, args=(fleet, keys, load, number))
+        threading.Thread(target=_run_stream, args=(fleet, keys, load, number))
         for number in range(STREAMS)
     ]
     for stream in streams:
@@ -104,7 +104,7 @@
     return _usage(fleet.entries[0]).processor_s - before.processor_s
 
 
-def _stream(fleet: Fleet, keys: DemoKeys, load: Load, number: int) -> None:
+def _run_stream(fleet: Fleet, keys: DemoKeys, load: Load, number: int) -> None:
     http = urllib3.PoolManager(timeout=TIMEOUT_S)
     for call in range(load.calls):
         prompt = f'{number} {call}: answer {load.tokens} tokens'
@@ -118,7 +118,7 @@
             raise RuntimeError(f'not whole: {answer.data[-200:]!r}')
 
 
-def _usage(entry: Running) -> Usage:
+def _usage(entry: RunningProcess) -> Usage:
     process = pathlib.Path('/proc') / str(entry.process.pid)
     # The fields after the name, which may itself hold blanks.
     fields = (process / 'stat').read_text().rpartition(')')[2].split()
@@ -130,7 +130,7 @@
     return Usage(ticks / TICKS_PER_S, int(resident.split()[1]) / KIB_PER_MIB)
 
 
-def _print(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
 
 
--- a/tests/entry/test_planned.py
+++ b/tests/entry/test_planned.py
@@ -334,7 +334,7 @@
 
     deployment = Deployment(
         engines={'route-assistant': 2},
-        linked=('route-assistant-0', 'route-assistant-1'),
+        targets_behind_links=('route-assistant-0', 'route-assistant-1'),
     )
 
     def test_open_connections_go_silent_for_good(self) -> None:
