--- a/tests/operator/support.py
+++ b/tests/operator/support.py
@@ -32,7 +32,7 @@
 
 NOON_S = 1_796_299_200.0
 
-FLEET = """\
+CONFIGURATION = """\
 [organisation duka-routes]
 priority = 7
 
@@ -72,7 +72,7 @@
             self.outage_calls -= 1
             return StoreFailed('503', may_have_happened=False)
         if isinstance(action, StoreGet):
-            return self._present(action.key)
+            return self._current_item(action.key)
         if self.refuses_writes:
             return StoreFailed('429', may_have_happened=False)
         if isinstance(action, StoreDelete):
@@ -84,7 +84,7 @@
         return self._put(action)
 
     def _put(self, action: StorePut) -> StoreResult:
-        present = self._present(action.key)
+        present = self._current_item(action.key)
         if present.revision != action.expected_revision:
             return StoreConflict(present)
         self.revision += 1
@@ -97,14 +97,14 @@
         return StoreWritten(action.key, self.revision)
 
     def _delete(self, action: StoreDelete) -> StoreResult:
-        present = self._present(action.key)
+        present = self._current_item(action.key)
         if present.revision != action.expected_revision:
             return StoreConflict(present)
         self.revision += 1
         self.content.pop(action.key, None)
         return StoreWritten(action.key, self.revision)
 
-    def _present(self, key: str) -> StoreItem:
+    def _current_item(self, key: str) -> StoreItem:
         return self.content.get(key, StoreItem(key, 0, None))
 
 
@@ -113,39 +113,40 @@
     """Entries that follow the store, but for those that lag or are silent."""
 
     store: MemoryStore = attrs.field(factory=MemoryStore)
-    behind: dict[str, int] = attrs.field(factory=dict)
+    polls_behind: dict[str, int] = attrs.field(factory=dict)
     silent: set[str] = attrs.field(factory=set)
     leaving: set[str] = attrs.field(factory=set)
     listed: bool = True
-    names: tuple[str, ...] = ('kurasini-1', 'kurasini-2', 'ubungo-1')
-    asked: int = 0
+    instance_names: tuple[str, ...] = ('kurasini-1', 'kurasini-2', 'ubungo-1')
+    status_requests: int = 0
 
     def instances(self) -> tuple[Instance, ...]:
         if not self.listed:
             raise UnavailableError('no list', 'Try again')
         return tuple(
-            _instance(name, name in self.leaving) for name in self.names
+            _instance(name, name in self.leaving)
+            for name in self.instance_names
         )
 
     def entry_status(self, instance: Instance) -> EntryStatus | None:
-        self.asked += 1
+        self.status_requests += 1
         name = instance.instance_id
         if name in self.silent:
             return None
-        lag = self.behind.get(name, 0)
+        lag = self.polls_behind.get(name, 0)
         if lag:
-            self.behind[name] = lag - 1
+            self.polls_behind[name] = lag - 1
         return EntryStatus(
             instance.instance_id,
             instance.domain,
-            revision=self._head() - (1 if lag else 0),
+            revision=self._head_revision() - (1 if lag else 0),
             knowledge_age_s=0.5,
             in_progress=4,
             usable_targets=13,
             duties=('control',) if name == 'ubungo-1' else (),
         )
 
-    def _head(self) -> int:
+    def _head_revision(self) -> int:
         reader = Repository(self.store, Environment(()))
         return reader.load().snapshot.revision
 
@@ -161,7 +162,7 @@
 
 
 @attrs.frozen
-class Ended:
+class CommandResult:
     """How a run ended and what it wrote."""
 
     status: ExitStatus
@@ -174,8 +175,8 @@
 
 
 @attrs.define
-class Desk:
-    """An operator's desk: runs commands in this process, in virtual time."""
+class OperatorConsole:
+    """An operator's console: runs commands in this process, in virtual time."""
 
     platform: MemoryPlatform = attrs.field(factory=MemoryPlatform)
     now_s: float = NOON_S
@@ -187,7 +188,7 @@
     key_numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
     change_numbers: Iterator[int] = attrs.field(factory=itertools.count)
 
-    def run(self, *arguments: str, stdin: str = '') -> Ended:
+    def run(self, *arguments: str, stdin: str = '') -> CommandResult:
         out, err = io.StringIO(), io.StringIO()
         status = run(
             Environment(
@@ -205,9 +206,9 @@
                 new_change_id=lambda: f'change-{next(self.change_numbers)}',
             )
         )
-        return Ended(status, out.getvalue(), err.getvalue())
+        return CommandResult(status, out.getvalue(), err.getvalue())
 
-    def apply(self, text: str, *options: str) -> Ended:
+    def apply(self, text: str, *options: str) -> CommandResult:
         return self.run('apply', '-', '--reason', 'call', *options, stdin=text)
 
     def _connect(self, url: str) -> MemoryPlatform:
--- a/tests/operator/test_changes.py
+++ b/tests/operator/test_changes.py
@@ -6,14 +6,14 @@
 from tests.operator.test_commands import RAISED, DeskTest
 
 # The head, a snapshot, and the changes between that the head has lost.
-MOST_CALLS = 20
+MAX_STORE_CALLS = 20
 
 
 class ApplyTest(DeskTest):
     def test_apply_waits_until_all_entries_have_it(self) -> None:
-        self.platform.behind['ubungo-1'] = 3
+        self.platform.polls_behind['ubungo-1'] = 3
         self._ended(
-            self.desk.apply(FLEET),
+            self.console.apply(FLEET),
             ExitStatus.SUCCESS,
             'Revision 1:',
             'kurasini: in force in 2 of 2 instances',
@@ -25,9 +25,9 @@
         is committed; the operator reads which entry has not answered.
         """
         self.platform.silent.add('ubungo-1')
-        self.platform.behind['kurasini-1'] = 10**6
+        self.platform.polls_behind['kurasini-1'] = 10**6
         self.platform.leaving.add('kurasini-2')
-        ended = self.desk.apply(FLEET, '--wait', '3')
+        ended = self.console.apply(FLEET, '--wait', '3')
         self._ended(
             ended,
             ExitStatus.NOT_EVERYWHERE,
@@ -54,7 +54,7 @@
 
         self.platform.entry_status = break_off
         self._ended(
-            self.desk.apply(FLEET),
+            self.console.apply(FLEET),
             ExitStatus.INTERRUPTED,
             'Committed as revision 1',
         )
@@ -67,7 +67,7 @@
         """
         self.platform.listed = False
         self._ended(
-            self.desk.apply(FLEET, '--wait', '1'),
+            self.console.apply(FLEET, '--wait', '1'),
             ExitStatus.NOT_EVERYWHERE,
             'not known where',
         )
@@ -76,20 +76,22 @@
         """Two operators plan on the same revision and both apply. The second
         one gets the first one's change to read, and has changed nothing.
         """
-        self.desk.apply(FLEET)
-        mine = self.desk.run('show').output.replace('= 7', '= 3')
-        self.desk.user = 'baraka'
-        self.desk.apply(RAISED)
-        self.desk.user = 'amina'
+        self.console.apply(FLEET)
+        mine = self.console.run('show').output.replace('= 7', '= 3')
+        self.console.user = 'baraka'
+        self.console.apply(RAISED)
+        self.console.user = 'amina'
         self._ended(
-            self.desk.apply(mine),
+            self.console.apply(mine),
             ExitStatus.CONFLICT,
             'revision 2 is in force, and this was written against 1',
             'baraka',
             '~ [organisation duka-routes]\n        priority: 7 -> 9',
         )
-        self.assertIn('priority = 9', self.desk.run('show').output)
-        self._ended(self.desk.apply(FLEET, '--base', '1'), ExitStatus.CONFLICT)
+        self.assertIn('priority = 9', self.console.run('show').output)
+        self._ended(
+            self.console.apply(FLEET, '--base', '1'), ExitStatus.CONFLICT
+        )
 
     def test_a_race_between_reading_and_writing_is_a_conflict_too(
         self,
@@ -97,19 +99,19 @@
         """The other change lands after this command has read the
         configuration and before it writes. It is told all the same.
         """
-        self.desk.apply(FLEET)
-        self.store.before_put = lambda: self.desk.apply(RAISED)
+        self.console.apply(FLEET)
+        self.store.before_put = lambda: self.console.apply(RAISED)
         lowered = FLEET.replace('= 7', '= 1')
-        self._ended(self.desk.apply(lowered), ExitStatus.CONFLICT)
-        self.assertIn('priority = 9', self.desk.run('show').output)
+        self._ended(self.console.apply(lowered), ExitStatus.CONFLICT)
+        self.assertIn('priority = 9', self.console.run('show').output)
 
     def test_a_lost_answer_is_settled_by_reading(self) -> None:
         """The store takes the write and its answer is lost. The operator
         sees the change committed, and the audit trail holds it once.
         """
         self.store.lost_answers = 1
-        self._ended(self.desk.apply(FLEET), ExitStatus.SUCCESS)
-        trail = self.desk.run('history', '--format', 'json').fields
+        self._ended(self.console.apply(FLEET), ExitStatus.SUCCESS)
+        trail = self.console.run('history', '--format', 'json').fields
         self.assertEqual(1, len(trail['changes']))
 
     def test_a_change_whose_end_is_not_known_is_said_to_be_so(self) -> None:
@@ -123,7 +125,10 @@
 
         self.store.before_put = go_down
         self._ended(
-            self.desk.apply(FLEET), ExitStatus.UNSETTLED, 'history', 'not known'
+            self.console.apply(FLEET),
+            ExitStatus.UNSETTLED,
+            'history',
+            'not known',
         )
 
     def test_a_short_outage_is_waited_out_and_a_long_one_is_told(self) -> None:
@@ -132,15 +137,15 @@
         command says so.
         """
         self.store.outage_calls = 3
-        self._ended(self.desk.apply(FLEET), ExitStatus.SUCCESS)
+        self._ended(self.console.apply(FLEET), ExitStatus.SUCCESS)
         self.store.outage_calls = 100
         self._ended(
-            self.desk.apply(RAISED), ExitStatus.UNAVAILABLE, 'cannot be read'
+            self.console.apply(RAISED), ExitStatus.UNAVAILABLE, 'cannot be read'
         )
         self.store.outage_calls = 0
         self.store.refuses_writes = True
         self._ended(
-            self.desk.apply(RAISED),
+            self.console.apply(RAISED),
             ExitStatus.UNAVAILABLE,
             'Nothing was changed',
         )
@@ -151,55 +156,57 @@
         """
         crowded = FLEET.replace('reclaimable', 'min_targets = 99\nreclaimable')
         self._ended(
-            self.desk.apply(crowded),
+            self.console.apply(crowded),
             ExitStatus.INVALID,
             '[service route-assistant]',
         )
 
     def test_a_reason_an_author_and_a_platform_are_asked_for(self) -> None:
         self._ended(
-            self.desk.run('apply', '-', stdin=FLEET),
+            self.console.run('apply', '-', stdin=FLEET),
             ExitStatus.USAGE,
             'Give --reason TEXT',
         )
-        self.desk.user = ''
-        self._ended(self.desk.apply(FLEET), ExitStatus.USAGE, '--author')
-        self.desk.variables.clear()
-        self._ended(self.desk.run('show'), ExitStatus.USAGE, '--platform URL')
+        self.console.user = ''
+        self._ended(self.console.apply(FLEET), ExitStatus.USAGE, '--author')
+        self.console.variables.clear()
+        self._ended(
+            self.console.run('show'), ExitStatus.USAGE, '--platform URL'
+        )
 
 
 class UndoTest(DeskTest):
     def test_undo_restores_what_one_change_replaced(self) -> None:
-        self.desk.apply(FLEET)
+        self.console.apply(FLEET)
         without = RAISED.replace('[organisation mbezi-shops]', '')
-        self.desk.apply(without)
-        self.desk.apply(f'{without}\n[organisation aforo]\n')
+        self.console.apply(without)
+        self.console.apply(f'{without}\n[organisation aforo]\n')
         self._ended(
-            self.desk.run('undo', '2'),
+            self.console.run('undo', '2'),
             ExitStatus.SUCCESS,
             'Revision 4:',
             'priority: 9 -> 7',
             '+ [organisation mbezi-shops]',
         )
-        shown = self.desk.run('show').output
+        shown = self.console.run('show').output
         self.assertIn('[organisation aforo]', shown)
-        self._ended(self.desk.run('undo', '3'), ExitStatus.SUCCESS, '- [')
-        self.assertNotIn('aforo', self.desk.run('show').output)
+        self._ended(self.console.run('undo', '3'), ExitStatus.SUCCESS, '- [')
+        self.assertNotIn('aforo', self.console.run('show').output)
 
     def test_undo_does_not_undo_a_later_change_with_it(self) -> None:
         """A later change is about the same organisation. Undoing the earlier
         one would take the later one back unasked, so it is refused.
         """
-        self.desk.apply(FLEET)
-        self.desk.apply(RAISED)
-        self.desk.apply(RAISED.replace('= 9', '= 8'))
+        self.console.apply(FLEET)
+        self.console.apply(RAISED)
+        self.console.apply(RAISED.replace('= 9', '= 8'))
         self._ended(
-            self.desk.run('undo', '2'),
+            self.console.run('undo', '2'),
             ExitStatus.INVALID,
             'Revision 3 changed [organisation duka-routes]',
         )
-        self._ended(self.desk.run('undo', '9'), ExitStatus.INVALID, 'limit')
-        self._ended(self.desk.run('undo', 'x'), ExitStatus.USAGE)
+        self._ended(self.console.run('undo', '9'), ExitStatus.INVALID, 'limit')
+        self._ended(self.console.run('undo', 'x'), ExitStatus.USAGE)
 
     def test_undo_that_would_leave_a_model_without_service_is_refused(
         self,
@@ -208,12 +215,12 @@
         would bring a model back that nothing carries; the committer refuses
         it and names the model.
         """
-        self.desk.apply(FLEET)
+        self.console.apply(FLEET)
         without_model = FLEET.partition('[model')[0]
-        self.desk.apply(without_model)
-        self.desk.apply(without_model.partition('[service')[0])
+        self.console.apply(without_model)
+        self.console.apply(without_model.partition('[service')[0])
         self._ended(
-            self.desk.run('undo', '2'),
+            self.console.run('undo', '2'),
             ExitStatus.INVALID,
             '[model crate-lm]',
             'route-assistant',
@@ -223,26 +230,26 @@
         """The value before the change was set long ago. Without reading that
         far, undoing would remove the section; it asks for more instead.
         """
-        self.desk.apply(FLEET)
+        self.console.apply(FLEET)
         for priority in range(80):
-            self.desk.apply(FLEET.replace('= 7', f'= {priority % 2}'))
+            self.console.apply(FLEET.replace('= 7', f'= {priority % 2}'))
         removed = FLEET.replace('[organisation mbezi-shops]', '')
-        self.desk.apply(removed.replace('= 7', '= 1'))
+        self.console.apply(removed.replace('= 7', '= 1'))
         self.store.calls = 0
-        self.desk.run('plan', '-', stdin=FLEET)
-        self.assertLess(self.store.calls, MOST_CALLS)
+        self.console.run('plan', '-', stdin=FLEET)
+        self.assertLess(self.store.calls, MAX_STORE_CALLS)
         self._ended(
-            self.desk.run('undo', '82', '--limit', '1'),
+            self.console.run('undo', '82', '--limit', '1'),
             ExitStatus.INVALID,
             '[organisation mbezi-shops] was before lies further back',
         )
         self._ended(
-            self.desk.run('history', '--limit', '1'),
+            self.console.run('history', '--limit', '1'),
             ExitStatus.SUCCESS,
             '= [organisation duka-routes]',
         )
         self._ended(
-            self.desk.run('undo', '82'),
+            self.console.run('undo', '82'),
             ExitStatus.SUCCESS,
             '+ [organisation mbezi-shops]',
         )
@@ -251,19 +258,21 @@
 class KeyTest(DeskTest):
     def setUp(self) -> None:
         super().setUp()
-        self.desk.apply(FLEET)
+        self.console.apply(FLEET)
 
     def test_a_key_is_printed_once_and_kept_as_a_hash(self) -> None:
-        ended = self.desk.run('key', 'issue', 'duka-routes', '--label', 'van 3')
+        ended = self.console.run(
+            'key', 'issue', 'duka-routes', '--label', 'van 3'
+        )
         self._ended(ended, ExitStatus.SUCCESS, 'key: dy-1\n')
         stored = ''.join(str(item) for item in self.store.content.values())
         self.assertIn(hash_key('dy-1'), stored)
         self.assertNotIn('dy-1', stored)
         for wrong in (('--label', 'two\nlines'), ('--reason', 'two\nlines')):
-            ended = self.desk.run('key', 'issue', 'duka-routes', *wrong)
+            ended = self.console.run('key', 'issue', 'duka-routes', *wrong)
             self.assertIn('on one line', ended.errors)
         self._ended(
-            self.desk.run('key', 'issue', 'nobody'),
+            self.console.run('key', 'issue', 'nobody'),
             ExitStatus.INVALID,
             'duka-routes, mbezi-shops',
         )
@@ -278,7 +287,7 @@
 
         self.store.lost_answers = 1
         self.store.before_put = go_down
-        ended = self.desk.run('key', 'issue', 'duka-routes')
+        ended = self.console.run('key', 'issue', 'duka-routes')
         self._ended(ended, ExitStatus.UNSETTLED)
         self.assertNotIn('dy-1', ended.output + ended.errors)
 
@@ -286,16 +295,16 @@
         """Another operator's change lands while a key is issued. One key
         fits after any change, so the command goes on by itself.
         """
-        self.store.before_put = lambda: self.desk.apply(RAISED)
+        self.store.before_put = lambda: self.console.apply(RAISED)
         self._ended(
-            self.desk.run('key', 'issue', 'duka-routes'), ExitStatus.SUCCESS
+            self.console.run('key', 'issue', 'duka-routes'), ExitStatus.SUCCESS
         )
-        withdrawn = self.desk.run('key', 'withdraw', '-', stdin='dy-1\n')
+        withdrawn = self.console.run('key', 'withdraw', '-', stdin='dy-1\n')
         self._ended(
             withdrawn, ExitStatus.SUCCESS, f'- [key {hash_key("dy-1")}]'
         )
         self._ended(
-            self.desk.run('key', 'withdraw', hash_key('dy-1')),
+            self.console.run('key', 'withdraw', hash_key('dy-1')),
             ExitStatus.INVALID,
             'No key in force matches',
         )
@@ -304,23 +313,23 @@
         """A key leaks and is withdrawn. A file printed before still lists
         it; applied for another reason it must not let the holder in again.
         """
-        self.desk.run('key', 'issue', 'duka-routes')
-        old = self.desk.run('show').output
-        self.desk.run('key', 'withdraw', hash_key('dy-1'))
-        self._ended(self.desk.apply(old), ExitStatus.CONFLICT)
+        self.console.run('key', 'issue', 'duka-routes')
+        old = self.console.run('show').output
+        self.console.run('key', 'withdraw', hash_key('dy-1'))
+        self._ended(self.console.apply(old), ExitStatus.CONFLICT)
         rebased = old.replace('base_revision = 2', 'base_revision = 3')
         self._ended(
-            self.desk.apply(rebased),
+            self.console.apply(rebased),
             ExitStatus.INVALID,
             'revision 3 withdrew',
         )
-        self._ended(self.desk.run('undo', '3'), ExitStatus.SUCCESS, '+ [key')
+        self._ended(self.console.run('undo', '3'), ExitStatus.SUCCESS, '+ [key')
 
     def test_a_file_without_keys_leaves_them_alone(self) -> None:
-        self.desk.run('key', 'issue', 'duka-routes')
-        self.desk.run('key', 'issue', 'mbezi-shops')
+        self.console.run('key', 'issue', 'duka-routes')
+        self.console.run('key', 'issue', 'mbezi-shops')
         smaller = RAISED.replace('[organisation mbezi-shops]', '')
-        self.desk.apply(smaller)
-        shown = self.desk.run('show').output
+        self.console.apply(smaller)
+        shown = self.console.run('show').output
         self.assertIn(f'[key {hash_key("dy-1")}]', shown)
         self.assertNotIn(hash_key('dy-2'), shown)
--- a/tests/operator/test_commands.py
+++ b/tests/operator/test_commands.py
@@ -10,33 +10,35 @@
 from dandelionyoke_operator._exit_status import ExitStatus
 from tests.operator.support import FLEET, Desk, Ended
 
-RAISED = FLEET.replace('priority = 7', 'priority = 9')
+RAISED_PRIORITY = FLEET.replace('priority = 7', 'priority = 9')
 
 
-class DeskTest(testtools.TestCase):
+class ConsoleTestCase(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.desk = Desk()
-        self.platform = self.desk.platform
+        self.console = Desk()
+        self.platform = self.console.platform
         self.store = self.platform.store
 
-    def _ended(self, ended: Ended, status: ExitStatus, *texts: str) -> None:
+    def _assert_result(
+        self, ended: Ended, status: ExitStatus, *texts: str
+    ) -> None:
         written = ended.output + ended.errors
         self.assertEqual(status, ended.status, written)
         for text in texts:
             self.assertIn(text, written)
 
 
-class ReadTest(DeskTest):
+class ReadTest(ConsoleTestCase):
     def test_check_counts_what_a_right_file_holds(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'fleet.ini')
             path.write_text(FLEET)
-            ended = self.desk.run('check', str(path), '--format', 'json')
+            ended = self.console.run('check', str(path), '--format', 'json')
         self.assertEqual(2, ended.fields['organisations'])
-        self.assertEqual([], self.desk.connected)
-        self._ended(
-            self.desk.run('check', str(path)),
+        self.assertEqual([], self.console.connected)
+        self._assert_result(
+            self.console.run('check', str(path)),
             ExitStatus.USAGE,
             f'The file {path} cannot be read',
         )
@@ -46,31 +48,33 @@
         The operator sees the section, the option, the value and a remedy.
         """
         wrong = FLEET.replace('= 7', '= 17').replace('crate-lm', '-')
-        ended = self.desk.run('check', '-', stdin=wrong)
-        self._ended(
+        ended = self.console.run('check', '-', stdin=wrong)
+        self._assert_result(
             ended,
             ExitStatus.INVALID,
             "[organisation duka-routes] priority: found '17'. "
             'Write a whole number from 0 (lowest) to 9.',
             'letter or a digit',
         )
-        as_json = self.desk.run(
+        as_json = self.console.run(
             'check', '-', '--format', 'json', stdin=wrong
         ).fields
         self.assertEqual(2, len(as_json['mistakes']))
 
     def test_show_prints_what_apply_would_take_without_a_change(self) -> None:
-        self.desk.apply(FLEET)
-        shown = self.desk.run('show').output
+        self.console.apply(FLEET)
+        shown = self.console.run('show').output
         self.assertIn('base_revision = 1', shown)
-        self._ended(self.desk.apply(shown), ExitStatus.SUCCESS, 'No difference')
+        self._assert_result(
+            self.console.apply(shown), ExitStatus.SUCCESS, 'No difference'
+        )
 
     def test_plan_shows_each_option_that_differs(self) -> None:
-        self.desk.apply(FLEET)
-        changed = RAISED.replace('[organisation mbezi-shops]', '')
+        self.console.apply(FLEET)
+        changed = RAISED_PRIORITY.replace('[organisation mbezi-shops]', '')
         changed += '\n[organisation aforo]\n'
-        self._ended(
-            self.desk.run('plan', '-', stdin=changed),
+        self._assert_result(
+            self.console.run('plan', '-', stdin=changed),
             ExitStatus.SUCCESS,
             'Against revision 1',
             '~ [organisation duka-routes]\n    priority: 7 -> 9',
@@ -80,11 +84,13 @@
         )
 
     def test_history_can_be_narrowed(self) -> None:
-        self.desk.apply(FLEET)
-        self.desk.now_s += 3600
-        self.desk.run('key', 'issue', 'mbezi-shops')
-        self.desk.run('key', 'withdraw', hash_key('dy-1')[:8])
-        whole = self.desk.run('history', '--format', 'json').fields['changes']
+        self.console.apply(FLEET)
+        self.console.now_s += 3600
+        self.console.run('key', 'issue', 'mbezi-shops')
+        self.console.run('key', 'withdraw', hash_key('dy-1')[:8])
+        whole = self.console.run('history', '--format', 'json').fields[
+            'changes'
+        ]
         self.assertEqual([3, 2, 1], [each['revision'] for each in whole])
         for options, revisions in (
             (('--organisation', 'mbezi-shops'), [3, 2, 1]),
@@ -94,19 +100,19 @@
             (('--limit', '9', '--since', '2026-12-03T12:30'), [3, 2]),
             (('--since', '2027-01-01'), []),
         ):
-            ended = self.desk.run('history', *options, '--format', 'json')
+            ended = self.console.run('history', *options, '--format', 'json')
             found = [each['revision'] for each in ended.fields['changes']]
             self.assertEqual(revisions, found, options)
-        self._ended(
-            self.desk.run('history'),
+        self._assert_result(
+            self.console.run('history'),
             ExitStatus.SUCCESS,
             'revision 1  2026-12-03 12:00:00 UTC  amina\n    call\n',
         )
 
     def test_status_shows_each_entry(self) -> None:
         self.platform.leaving.add('kurasini-2')
-        self._ended(
-            self.desk.run('status'),
+        self._assert_result(
+            self.console.run('status'),
             ExitStatus.SUCCESS,
             'ubungo:\n  ubungo-1 has revision 0, confirmed 0.5 s ago, '
             '4 in progress, 13 targets usable, duties control\n',
@@ -120,15 +126,15 @@
         operator reads which revision they have and how old it is.
         """
         self.store.outage_calls = 6
-        self._ended(
-            self.desk.run('status'),
+        self._assert_result(
+            self.console.run('status'),
             ExitStatus.UNAVAILABLE,
             'The store does not answer',
             'ubungo-1 has revision 0, confirmed 0.5 s ago',
         )
         self.platform.listed = False
-        self._ended(
-            self.desk.run('status'), ExitStatus.NOT_EVERYWHERE, 'no list'
+        self._assert_result(
+            self.console.run('status'), ExitStatus.NOT_EVERYWHERE, 'no list'
         )
 
     def test_a_platform_without_entries_is_told(self) -> None:
@@ -136,11 +142,15 @@
         It is committed, and the operator reads that nobody can confirm it.
         """
         self.platform.names = ()
-        for ended in (self.desk.apply(FLEET), self.desk.run('status')):
-            self._ended(ended, ExitStatus.SUCCESS, 'lists no entry instance')
+        for ended in (self.console.apply(FLEET), self.console.run('status')):
+            self._assert_result(
+                ended, ExitStatus.SUCCESS, 'lists no entry instance'
+            )
 
     def test_every_command_has_help(self) -> None:
         for declaration in COMMANDS:
             words = declaration.name.split()
-            ended = self.desk.run(*words, '--help')
-            self._ended(ended, ExitStatus.SUCCESS, declaration.description)
+            ended = self.console.run(*words, '--help')
+            self._assert_result(
+                ended, ExitStatus.SUCCESS, declaration.description
+            )
--- a/tests/operator/test_docs.py
+++ b/tests/operator/test_docs.py
@@ -33,18 +33,18 @@
     text: str
 
 
-def read_blocks(page: str) -> Iterator[Block]:
+def parse_blocks(page: str) -> Iterator[Block]:
     for kind, words, text in BLOCK.findall((DOCS / page).read_text()):
         yield Block(kind, words.split(), text)
 
 
-def run_block(desk: Desk, block: Block) -> str:
+def transcript_of(console: Desk, block: Block) -> str:
     """Run a block's commands; give the block as it should read."""
-    desk.platform.silent = set(block.words)
+    console.platform.silent = set(block.words)
     written = []
     for line in COMMAND.findall(block.text):
         command, _, file = line.partition(' > ')
-        ended = desk.run(*shlex.split(command))
+        ended = console.run(*shlex.split(command))
         written.append(f'$ dandelionyoke {line}\n{ended.errors}')
         if file:
             pathlib.Path(file).write_text(ended.output)
@@ -62,8 +62,8 @@
 
 class CommandsPageTest(testtools.TestCase):
     def test_each_example_prints_what_the_page_says(self) -> None:
-        blocks = list(read_blocks('COMMANDS.md'))
-        desk = Desk()
+        blocks = list(parse_blocks('COMMANDS.md'))
+        console = Desk()
         with (
             tempfile.TemporaryDirectory() as folder,
             contextlib.chdir(folder),
@@ -72,7 +72,7 @@
             self.assertEqual('amina', load_settings('settings.ini', {}).author)
             for block in blocks:
                 if block.kind == 'console':
-                    self.assertEqual(block.text, run_block(desk, block))
+                    self.assertEqual(block.text, transcript_of(console, block))
 
     def test_each_command_option_and_status_is_there(self) -> None:
         page = (DOCS / 'COMMANDS.md').read_text()
@@ -100,7 +100,7 @@
                 self.assertTrue(row and row.group().endswith(ending), option)
 
     def test_the_examples_are_right(self) -> None:
-        blocks = list(read_blocks('CONFIGURATION.md'))
+        blocks = list(parse_blocks('CONFIGURATION.md'))
         (script,) = [each.text for each in blocks if each.kind == 'python']
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed):
--- a/tests/operator/test_explain.py
+++ b/tests/operator/test_explain.py
@@ -7,7 +7,7 @@
 from tests.operator.support import Desk
 
 
-def line(at_s: float, node: str, decision: str, **fields: object) -> str:
+def log_line(at_s: float, node: str, decision: str, **fields: object) -> str:
     return json.dumps(
         {
             'timestamp': at_s,
@@ -23,10 +23,14 @@
 LOG = '\n'.join(
     (
         'cut off at the beginning"}',
-        line(12.5, 'n-2', 'call.refused', outcome='502', cause='it broke off'),
-        line(12.0, 'n-1', 'call.refused', outcome='503', knowledge_age_s=4.6),
-        '  12.4 n-2 ' + line(12.4, 'n-2', 'attempt.failed', left_out=3),
-        line(12.1, 'n-1', 'call.refused', subject='another'),
+        log_line(
+            12.5, 'n-2', 'call.refused', outcome='502', cause='it broke off'
+        ),
+        log_line(
+            12.0, 'n-1', 'call.refused', outcome='503', knowledge_age_s=4.6
+        ),
+        '  12.4 n-2 ' + log_line(12.4, 'n-2', 'attempt.failed', left_out=3),
+        log_line(12.1, 'n-1', 'call.refused', subject='another'),
         '[1, 2]',
     )
 )
--- a/tests/operator/test_processes.py
+++ b/tests/operator/test_processes.py
@@ -14,13 +14,13 @@
 from tests.operator.support import Ended
 
 # What the brief calls "within seconds".
-SECONDS = 5.0
-POLL_S = 0.1
+WITHDRAWAL_BOUND_S = 5.0
+POLL_INTERVAL_S = 0.1
 
 
 class OperatorTest(FleetCase):
     deployment: ClassVar[Deployment] = Deployment(
-        engines={'route-assistant': 1, 'ledger-desk': 1}
+        engines={'route-assistant': 1, 'ledger-console': 1}
     )
 
     def operate(self, *arguments: str, stdin: str = '') -> Ended:
@@ -36,12 +36,12 @@
         )
         return Ended(status, out.getvalue(), err.getvalue())
 
-    def issue(self) -> tuple[str, str]:
+    def issue_key(self) -> tuple[str, str]:
         ended = self.operate('key', 'issue', 'duka-routes', '--format', 'json')
         self.assertEqual(ExitStatus.SUCCESS, ended.status, ended.errors)
         return ended.fields['key'], ended.fields['key_hash']
 
-    def answer_status(self, key: str, entry: int) -> int:
+    def models_status(self, key: str, entry: int) -> int:
         path = '/v1/models'
         return self.call(path, entry=entry, method='GET', key=key).status
 
@@ -49,26 +49,26 @@
         """A key leaks, and the operator withdraws it during traffic. Its
         holder is refused by every entry a moment later.
         """
-        key, key_hash = self.issue()
+        key, key_hash = self.issue_key()
         for entry in (0, 1):
-            self.assertEqual(200, self.answer_status(key, entry))
+            self.assertEqual(200, self.models_status(key, entry))
         begun_s = time.monotonic()
         ended = self.operate('key', 'withdraw', key_hash[:12])
         self.assertEqual(ExitStatus.SUCCESS, ended.status, ended.errors)
         for entry in (0, 1):
-            self.assertEqual(401, self.answer_status(key, entry))
-        self.assertLess(time.monotonic() - begun_s, SECONDS)
+            self.assertEqual(401, self.models_status(key, entry))
+        self.assertLess(time.monotonic() - begun_s, WITHDRAWAL_BOUND_S)
 
     def test_operators_who_race_all_get_their_keys(self) -> None:
         """Three operators issue keys at the same moment. Each gets one that
         works, and none is lost to another one's change.
         """
         with concurrent.futures.ThreadPoolExecutor() as pool:
-            issued = list(pool.map(lambda _: self.issue(), range(3)))
+            issued = list(pool.map(lambda _: self.issue_key(), range(3)))
         shown = self.operate('show').output
         for key, key_hash in issued:
             self.assertIn(f'[key {key_hash}]', shown)
-            self.assertEqual(200, self.answer_status(key, 0))
+            self.assertEqual(200, self.models_status(key, 0))
 
     def test_a_paused_entry_is_named_and_catches_up(self) -> None:
         """An entry is paused when a change is committed. The operator reads
@@ -82,10 +82,10 @@
             paused.signal(signal.SIGCONT)
         self.assertEqual(ExitStatus.NOT_EVERYWHERE, ended.status, ended.errors)
         self.assertIn(f'{paused.name} has not answered', ended.output)
-        give_up_s = time.monotonic() + SECONDS
+        give_up_s = time.monotonic() + WITHDRAWAL_BOUND_S
         while self.operate('status').status != ExitStatus.SUCCESS:
             self.assertLess(time.monotonic(), give_up_s)
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def test_a_lost_answer_leaves_one_change(self) -> None:
         """The store takes a change and the connection ends before its answer.
@@ -124,7 +124,7 @@
         }
         self.fleet.post(instances, ghost)
         ended = self.operate('status')
-        give_up_s = time.monotonic() + SECONDS
+        give_up_s = time.monotonic() + WITHDRAWAL_BOUND_S
         while 'entry-gone' not in ended.output:
             self.assertLess(time.monotonic(), give_up_s)
             ended = self.operate('status')
--- a/tests/operator/test_settings.py
+++ b/tests/operator/test_settings.py
@@ -13,19 +13,19 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = pathlib.Path(folder.name, 'settings.ini')
-        self.desk.variables.clear()
+        self.console.variables.clear()
 
     def _connects_to(self, url: str, *options: str) -> None:
-        self._ended(self.desk.run('show', *options), ExitStatus.SUCCESS)
-        self.assertEqual(url, self.desk.connected[-1])
+        self._ended(self.console.run('show', *options), ExitStatus.SUCCESS)
+        self.assertEqual(url, self.console.connected[-1])
 
     def test_the_nearest_setting_wins(self) -> None:
         self.path.write_text('[operator]\nplatform_url = http://file\n')
         named = ('--settings', str(self.path))
         self._connects_to('http://file', *named)
-        self.desk.variables['DANDELIONYOKE_SETTINGS'] = str(self.path)
+        self.console.variables['DANDELIONYOKE_SETTINGS'] = str(self.path)
         self._connects_to('http://file')
-        self.desk.variables['DANDELIONYOKE_PLATFORM'] = 'http://variable'
+        self.console.variables['DANDELIONYOKE_PLATFORM'] = 'http://variable'
         self._connects_to('http://variable', *named)
         self._connects_to(
             'http://option', *named, '--platform', 'http://option'
@@ -43,7 +43,7 @@
             ('[operator]\nwait_s = -1', "wait_s is '-1'"),
         ):
             self.path.write_text(text)
-            ended = self.desk.run('show', '--settings', str(self.path))
+            ended = self.console.run('show', '--settings', str(self.path))
             self._ended(ended, ExitStatus.USAGE, problem, 'remedy: ')
         for options in (
             ('--wait', 'x'),
@@ -52,8 +52,8 @@
             ('--limit', '-3'),
             ('--colour', 'red'),
         ):
-            ended = self.desk.run('history', '--platform', 'p', *options)
+            ended = self.console.run('history', '--platform', 'p', *options)
             self._ended(ended, ExitStatus.USAGE, options[0], 'remedy: ')
-        ended = self.desk.run('show', '--settings', 'nowhere.ini')
+        ended = self.console.run('show', '--settings', 'nowhere.ini')
         self._ended(ended, ExitStatus.USAGE, 'nowhere.ini cannot be read')
-        self.assertEqual(set(), set(self.desk.connected) - {'p'})
+        self.assertEqual(set(), set(self.console.connected) - {'p'})
