--- a/tests/entry/fleet_case.py
+++ b/tests/entry/fleet_case.py
@@ -56,7 +56,7 @@
             method, f'{address}{path}', json=body, headers=sent | named
         )
 
-    def target(self, target_id: str) -> str:
+    def target_address(self, target_id: str) -> str:
         """Return the address of a target."""
         found = [
             target
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -87,7 +87,7 @@
         self.assertIn('Send a whole number', str(raised))
 
 
-class LoadRefusalTest(FleetCase):
+class RateLimitTest(FleetCase):
     """An organisation over its limit."""
 
     deployment = Deployment(engines={'route-assistant': 1}, entries=1)
@@ -121,19 +121,19 @@
         self.assertEqual(200, self.call('/models', method='GET').status)
 
 
-class WrongInputTest(FleetCase):
+class InvalidInputTest(FleetCase):
     """Whatever comes, the answer is clear and the entry serves on."""
 
     def test_a_wrong_body_is_refused_with_its_remedy(self) -> None:
         for body in (b'', b'{', b'\xff\xfe', b'[]', b'{"model": "crate-lm"}'):
-            answer = self.raw_post(body)
+            answer = self.post_bytes(body)
             problem = json.loads(answer.data)
             self.assertEqual(400, answer.status)
             self.assertEqual('no', problem['run'])
             self.assertNotEqual('', problem['remedy'])
 
     def test_a_body_over_the_limit_is_refused(self) -> None:
-        answer = self.raw_post(b' ' * 4_194_305)
+        answer = self.post_bytes(b' ' * 4_194_305)
         self.assertEqual(413, answer.status)
 
     def test_an_unknown_path_is_refused(self) -> None:
@@ -142,7 +142,9 @@
     def test_a_header_without_end_closes_the_connection(self) -> None:
         """A caller sends a header line that never ends. Without a bound it
         would hold a worker and its memory for good."""
-        answer = self.exchange(b'GET /v1/models HTTP/1.1\r\nX: ', b'x' * 65_536)
+        answer = self.exchange_bytes(
+            b'GET /v1/models HTTP/1.1\r\nX: ', b'x' * 65_536
+        )
         self.assertIn(b' 400 ', answer.split(b'\r\n')[0])
         self.assert_still_serving(answer)
 
@@ -150,12 +152,12 @@
         """A caller announces a body, sends a part and closes. The entry must
         not wait for the rest, nor print a traceback to whoever is next."""
         head = b'POST /v1/completions HTTP/1.1\r\nContent-Length: 500\r\n\r\n{'
-        self.assert_still_serving(self.exchange(head))
+        self.assert_still_serving(self.exchange_bytes(head))
 
     def test_a_line_that_is_no_http_gets_an_error(self) -> None:
-        self.assert_still_serving(self.exchange(b'\x16\x03\x01\r\n\r\n'))
+        self.assert_still_serving(self.exchange_bytes(b'\x16\x03\x01\r\n\r\n'))
 
-    def raw_post(self, body: bytes):  # type: ignore[no-untyped-def]
+    def post_bytes(self, body: bytes):  # type: ignore[no-untyped-def]
         """Post bytes as they are."""
         return self.http.request(
             'POST',
@@ -164,7 +166,7 @@
             headers={'Authorization': f'Bearer {self.keys.routes}'},
         )
 
-    def exchange(self, *pieces: bytes) -> bytes:
+    def exchange_bytes(self, *pieces: bytes) -> bytes:
         """Send bytes, close the sending side, and read to the end."""
         parts = urlsplit(self.fleet.entries[0].address)
         address = (parts.hostname, parts.port)
--- a/tests/entry/test_failures.py
+++ b/tests/entry/test_failures.py
@@ -17,7 +17,7 @@
 from tests.entry.fleet_case import FleetCase
 from tests.entry.test_path import streamed_text
 
-PATIENCE_S = 20.0
+AWAIT_TIMEOUT_S = 20.0
 LONG_PROMPT = 'crates of the year {name}: answer 150 tokens'
 CONFIRM = '/services/crate-ledger/confirm'
 
@@ -25,24 +25,24 @@
 class FailureCase(FleetCase):
     """Shared steps of the failure tests."""
 
-    def running(self, name: str) -> Running:
+    def find_process(self, name: str) -> Running:
         """Find a process of the deployment."""
         return next(one for one in self.fleet.running if one.name == name)
 
     def await_true(self, condition: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
-        deadline_s = time.monotonic() + PATIENCE_S
+        deadline_s = time.monotonic() + AWAIT_TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), deadline_s, condition)
             time.sleep(0.02)
 
-    def begin_stream(self, name: str) -> 'Stream':
+    def start_stream(self, name: str) -> 'Stream':
         """Start a long stream and wait for its first bytes."""
         stream = Stream(self, LONG_PROMPT.format(name=name))
         self.await_true(lambda: stream.received != b'')
         return stream
 
-    def begin_streams(self, count: int, tokens: int) -> list['Stream']:
+    def start_streams(self, count: int, tokens: int) -> list['Stream']:
         """Start streams, and wait until each has brought something."""
         prompts = [
             f'{self.id()} {number}: answer {tokens} tokens'
@@ -52,13 +52,13 @@
         self.await_true(lambda: all(one.received for one in streams))
         return streams
 
-    def assert_whole(self, *streams: 'Stream') -> None:
+    def assert_complete(self, *streams: 'Stream') -> None:
         """Every caller got the whole answer, each token once."""
         for stream in streams:
             text = streamed_text(stream.join())
             self.assertEqual(answer_text(stream.prompt, 1024), text)
 
-    def engine_of(self, prompt: str) -> Running:
+    def engine_running(self, prompt: str) -> Running:
         """Find the engine that runs a prompt, by its own record."""
         for one in self.fleet.running:
             if one.kind == 'engine' and one.process.poll() is None:
@@ -76,7 +76,7 @@
     def __init__(self, case: FleetCase, prompt: str) -> None:
         self.prompt = prompt
         self.received = b''
-        self.broken: Exception | None = None
+        self.error: Exception | None = None
         self._answer = case.http.request(
             'POST',
             f'{case.fleet.entries[0].address}/v1/completions',
@@ -89,7 +89,7 @@
 
     def join(self) -> bytes:
         """Wait for the end; return all that came."""
-        self._thread.join(PATIENCE_S)
+        self._thread.join(AWAIT_TIMEOUT_S)
         assert not self._thread.is_alive(), 'the stream never ended'
         return self.received
 
@@ -98,7 +98,7 @@
             while piece := self._answer.read1(65_536):
                 self.received += piece
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            self.broken = error
+            self.error = error
 
 
 class EngineFailureTest(FailureCase):
@@ -109,18 +109,18 @@
     def test_an_engine_killed_halfway(self) -> None:
         """An engine crashes while a driver reads an answer from it. The
         driver sees a pause and then the rest, nothing twice."""
-        stream = self.begin_stream('killed')
-        self.engine_of(stream.prompt).process.kill()
-        self.assert_whole(stream)
+        stream = self.start_stream('killed')
+        self.engine_running(stream.prompt).process.kill()
+        self.assert_complete(stream)
 
     def test_an_engine_frozen_halfway(self) -> None:
         """An engine stops without closing its connections, as when a
         machine hangs. The stream goes silent, and must go on elsewhere."""
-        stream = self.begin_stream('frozen')
-        engine = self.engine_of(stream.prompt)
+        stream = self.start_stream('frozen')
+        engine = self.engine_running(stream.prompt)
         engine.signal(signal.SIGSTOP)
         self.addCleanup(engine.signal, signal.SIGCONT)
-        self.assert_whole(stream)
+        self.assert_complete(stream)
 
 
 class EntryFailureTest(FailureCase):
@@ -128,40 +128,40 @@
 
     deployment = Deployment(engines={'route-assistant': 1}, entries=3)
 
-    def plain(self, path: str, body: object = None) -> object:
+    def call_plain_standin(self, path: str, body: object = None) -> object:
         """Ask the plain service's stand-in."""
         address = self.target('crate-ledger-0')
         if body is None:
             return self.fleet.get(f'{address}/standin/{path}')
         return self.fleet.post(f'{address}/standin/{path}', body)
 
-    def runs(self, key: str) -> int:
+    def run_count(self, key: str) -> int:
         """Count the runs of a call at the plain service."""
-        return self.plain('runs')['runs'].get(key, 0)
+        return self.call_plain_standin('runs')['runs'].get(key, 0)
 
     def test_an_entry_killed_after_dispatch(self) -> None:
         """A salesman confirms empties; the entry dies before the answer is
         back. He sends the confirmation again through another entry. It must
         not run a second time, and he is told that its end is not known."""
-        self.plain('faults', {'silent': True})
+        self.call_plain_standin('faults', {'silent': True})
         key = 'killed-after-dispatch'
         doomed = self.fleet.start_entry('entry-doomed', 'kurasini')
         self.fleet.await_targets()
         index = self.fleet.entries.index(doomed)
         caller = threading.Thread(
-            target=self.swallow, args=(index, key), daemon=True
+            target=self.confirm_ignoring_errors, args=(index, key), daemon=True
         )
         caller.start()
-        self.await_true(lambda: self.runs(key) == 1)
+        self.await_true(lambda: self.run_count(key) == 1)
         doomed.process.kill()
         self.fleet.entries.remove(doomed)
-        self.plain('faults', {'silent': False})
+        self.call_plain_standin('faults', {'silent': False})
         for entry in (0, 1, 2):
             answer = self.call(CONFIRM, {}, entry=entry, Idempotency_Key=key)
             problem = json.loads(answer.data)
             self.assertIn(answer.status, {409, 504}, problem)
             self.assertEqual('unknown', problem['run'])
-        self.assertEqual(1, self.runs(key))
+        self.assertEqual(1, self.run_count(key))
 
     def test_the_platform_out(self) -> None:
         """The platform's store is down for a while. Questions are answered
@@ -183,7 +183,7 @@
         self.await_true(
             lambda: self.call(CONFIRM, {}, Idempotency_Key=key).status == 200
         )
-        self.assertEqual(1, self.runs(key))
+        self.assertEqual(1, self.run_count(key))
 
     def test_a_lost_answer_of_the_store(self) -> None:
         """The store takes a claim and its answer is lost. The call must
@@ -193,9 +193,9 @@
         key = 'lost-answer'
         answer = self.call(CONFIRM, {}, Idempotency_Key=key)
         self.assertEqual(200, answer.status, answer.data)
-        self.assertEqual(1, self.runs(key))
+        self.assertEqual(1, self.run_count(key))
 
-    def swallow(self, entry: int, key: str) -> None:
+    def confirm_ignoring_errors(self, entry: int, key: str) -> None:
         """Confirm, and expect no answer."""
         try:
             self.call(CONFIRM, {}, entry=entry, Idempotency_Key=key)
@@ -214,7 +214,7 @@
         every entry, also at one that was frozen meanwhile."""
         frozen = self.fleet.entries[1]
         # At its pace of 75 tokens a second it outlasts the bound below.
-        [stream] = self.begin_streams(1, 1000)
+        [stream] = self.start_streams(1, 1000)
         frozen.signal(signal.SIGSTOP)
         begun_s = time.monotonic()
         self.fleet.operate(
@@ -237,7 +237,7 @@
         self.assertEqual(401, self.call('/v1/models', method='GET').status)
 
 
-class CallerGoneTest(FailureCase):
+class CallerDisconnectTest(FailureCase):
     """Callers that leave before their answer is whole."""
 
     deployment = Deployment(engines={'route-assistant': 1})
@@ -248,8 +248,8 @@
         for long, since each token costs and holds up others."""
         for stream in (True, False):
             prompt = f'left {stream}: answer 1000 tokens'
-            self.leave_halfway(prompt, stream=stream)
-            engine = self.running('route-assistant-0')
+            self.disconnect_midway(prompt, stream=stream)
+            engine = self.find_process('route-assistant-0')
             record = f'{engine.address}/standin/record'
             self.await_true(
                 lambda url=record: all(
@@ -260,7 +260,7 @@
             last = self.fleet.get(record)['attempts'][-1]
             self.assertLess(last['output_tokens'], 400)
 
-    def leave_halfway(self, prompt: str, *, stream: bool) -> None:
+    def disconnect_midway(self, prompt: str, *, stream: bool) -> None:
         """Ask, wait until the engine works, and close the connection."""
         parts = urlsplit(self.fleet.entries[0].address)
         body = json.dumps(
@@ -278,11 +278,11 @@
             body,
             {'Authorization': f'Bearer {self.keys.routes}'},
         )
-        self.await_true(lambda: self.is_anything_running())
+        self.await_true(lambda: self.has_attempt_in_progress())
         connection.close()
 
-    def is_anything_running(self) -> bool:
+    def has_attempt_in_progress(self) -> bool:
         """Whether the engine has an attempt in progress."""
-        address = self.running('route-assistant-0').address
+        address = self.find_process('route-assistant-0').address
         attempts = self.fleet.get(f'{address}/standin/record')['attempts']
         return any(attempt['end'] is None for attempt in attempts)
--- a/tests/entry/test_planned.py
+++ b/tests/entry/test_planned.py
@@ -14,23 +14,23 @@
 from tests.entry.test_failures import CONFIRM, FailureCase
 from tests.entry.test_path import streamed_text
 
-CALLS = 30
-NOTICE_S = 4.0
+CALL_COUNT = 30
+BALANCER_NOTICE_S = 4.0
 # A leaving target may get new work for this long after the platform lists it.
-LEFT_WITHIN_S = 5.0
-WORKERS = 6
+NO_NEW_WORK_WITHIN_S = 5.0
+WORKER_COUNT = 6
 # Keeps the load under the organisation's limit of calls a second.
-PAUSE_S = 0.2
-QUIET_CALLS = 40
-STREAMS = 10
-LONG_TOKENS = 400
+REQUEST_INTERVAL_S = 0.2
+CALLS_WITHOUT_NEW_WORK = 40
+STREAM_COUNT = 10
+LONG_ANSWER_TOKENS = 400
 # Streams that none ends before two listings, one after the other, are read.
-LONGEST_TOKENS = 1000
+LONGEST_ANSWER_TOKENS = 1000
 # A stream has gone on elsewhere before its engine has made so many more.
-MOVED_WITHIN_TOKENS = 200
-SHORT_TOKENS = 8
+MAX_TOKENS_AFTER_RECLAIM = 200
+SHORT_ANSWER_TOKENS = 8
 # Higher than any fence of the system's own orders.
-FENCE = 1_000_000_000
+HIGHEST_FENCE = 1_000_000_000
 
 
 class PlannedCase(FailureCase):
@@ -62,16 +62,16 @@
     """Entries that are told to end while they work."""
 
     deployment = Deployment(engines={'route-assistant': 2})
-    balancer_notice_s = NOTICE_S
+    balancer_notice_s = BALANCER_NOTICE_S
 
-    def leaving_entry(self, name: str) -> tuple[Running, int]:
+    def start_leaving_entry(self, name: str) -> tuple[Running, int]:
         """Start an entry that the test may end."""
         running = self.fleet.start_entry(name, 'kurasini')
         self.addCleanup(self.fleet.entries.remove, running)
         self.fleet.await_targets()
         return running, self.fleet.entries.index(running)
 
-    def begin_call(
+    def start_call(
         self, pool: ThreadPoolExecutor, number: int, entry: int
     ) -> 'Future[None]':
         """Begin a stream, a whole answer or a confirmation."""
@@ -85,7 +85,7 @@
         """Count the calls in progress at an entry, by its own word."""
         return self.fleet.get(f'{entry.address}/status')['in_progress']
 
-    def health(self, entry: Running) -> int:
+    def health_status(self, entry: Running) -> int:
         """Ask an entry as the balancer does."""
         return self.http.request('GET', f'{entry.address}/healthz').status
 
@@ -102,31 +102,31 @@
         faults = f'{plain}/standin/faults'
         self.fleet.post(faults, {'delay_s': 6})
         self.addCleanup(self.fleet.post, faults, {'delay_s': 0})
-        leaving, index = self.leaving_entry('entry-whole')
-        with ThreadPoolExecutor(CALLS + 2) as pool:
+        leaving, index = self.start_leaving_entry('entry-whole')
+        with ThreadPoolExecutor(CALL_COUNT + 2) as pool:
             calls = [
-                self.begin_call(pool, number, (0, index)[number // 3 % 2])
-                for number in range(CALLS)
+                self.start_call(pool, number, (0, index)[number // 3 % 2])
+                for number in range(CALL_COUNT)
             ]
             for entry in (self.fleet.entries[0], leaving):
                 self.await_true(
-                    lambda at=entry: self.in_progress(at) == CALLS // 2
+                    lambda at=entry: self.in_progress(at) == CALL_COUNT // 2
                 )
             leaving.signal(signal.SIGTERM)
             begun_s = time.monotonic()
-            self.await_true(lambda: self.health(leaving) == 503)
+            self.await_true(lambda: self.health_status(leaving) == 503)
             self.assertLess(time.monotonic() - begun_s, 1)
             self.assertFalse(any(call.done() for call in calls))
             calls.extend(
-                self.begin_call(pool, number, index)
-                for number in (CALLS, CALLS + 2)
+                self.start_call(pool, number, index)
+                for number in (CALL_COUNT, CALL_COUNT + 2)
             )
-            self.assertLess(time.monotonic() - begun_s, NOTICE_S)
+            self.assertLess(time.monotonic() - begun_s, BALANCER_NOTICE_S)
             for call in calls:
                 call.result()
         self.assertEqual(ExitStatus.OK, leaving.wait())
         runs = self.fleet.get(f'{plain}/standin/runs')['runs']
-        keys = {f'planned-{number}' for number in range(2, CALLS + 3, 3)}
+        keys = {f'planned-{number}' for number in range(2, CALL_COUNT + 3, 3)}
         self.assertEqual(dict.fromkeys(keys, 1), runs)
 
 
@@ -141,13 +141,13 @@
         """An operator cannot wait for a long answer and ends the entry a
         second time. The process goes at once and its status says that it
         cut calls; the driver sees that his answer is not whole."""
-        leaving, index = self.leaving_entry('entry-cut')
+        leaving, index = self.start_leaving_entry('entry-cut')
         with ThreadPoolExecutor(1) as pool:
             prompt = 'cut: answer 900 tokens'
             call = pool.submit(self.ask, prompt, entry=index, stream=True)
             self.await_true(lambda: self.in_progress(leaving) == 1)
             leaving.signal(signal.SIGTERM)
-            self.await_true(lambda: self.health(leaving) == 503)
+            self.await_true(lambda: self.health_status(leaving) == 503)
             begun_s = time.monotonic()
             leaving.signal(signal.SIGTERM)
             status = leaving.wait()
@@ -167,23 +167,24 @@
         found = self.fleet.get(f'{address}/standin/record')['attempts']
         return {attempt['attempt_id']: attempt for attempt in found}
 
-    def long_open(self, name: str) -> set[str]:
+    def long_attempts(self, name: str) -> set[str]:
         """Name an engine's long attempts in progress."""
         return {
             attempt_id
             for attempt_id, attempt in self.attempts(name).items()
-            if not attempt['end'] and attempt['output_tokens'] > SHORT_TOKENS
+            if not attempt['end']
+            and attempt['output_tokens'] > SHORT_ANSWER_TOKENS
         }
 
-    def all_long_open(self) -> int:
+    def count_long_attempts(self) -> int:
         """Count the long attempts in progress at all engines."""
         return sum(
-            len(self.long_open(one.name))
+            len(self.long_attempts(one.name))
             for one in self.fleet.running
             if one.kind == 'engine'
         )
 
-    def list_as(self, name: str, state: str) -> None:
+    def set_target_state(self, name: str, state: str) -> None:
         """Give a target another state in the platform's list."""
         for target in self.fleet.targets:
             if target['target_id'] == name:
@@ -192,53 +193,53 @@
 
     def drain(self, name: str) -> None:
         """Give an engine the order to drain."""
-        order = {'order_id': name, 'fence': FENCE, 'kind': 'drain'}
+        order = {'order_id': name, 'fence': HIGHEST_FENCE, 'kind': 'drain'}
         url = f'{self.running(name).address}/orders'
         answer = self.fleet.post(url, {**order, 'argument': ''})
         self.assertEqual('done', answer['state'], answer)
 
-    def ask_on(
+    def send_short_requests(
         self, worker: int, served: list[int], ended: threading.Event
     ) -> None:
         """Ask short questions through the entries that run."""
-        while not ended.wait(PAUSE_S):
+        while not ended.wait(REQUEST_INTERVAL_S):
             number = len(served)
-            prompt = f'{worker} {number}: answer {SHORT_TOKENS} tokens'
-            entry = self.askable[number % len(self.askable)]
+            prompt = f'{worker} {number}: answer {SHORT_ANSWER_TOKENS} tokens'
+            entry = self.serving_entries[number % len(self.serving_entries)]
             self.ask(prompt, entry=entry, stream=worker % 2 == 0)
             served.append(number)
 
-    def leave(
+    def change_under_load(
         self,
         change: Callable[[str], object],
         *entries: int,
-        tokens: int = LONG_TOKENS,
+        tokens: int = LONG_ANSWER_TOKENS,
     ) -> str:
         """Change an engine that works on long answers, under a load of
         short ones. All are whole, and soon it gets no new work. Returns its
         name."""
-        self.askable = entries
-        streams = self.begin_streams(STREAMS, tokens)
+        self.serving_entries = entries
+        streams = self.begin_streams(STREAM_COUNT, tokens)
         # A stream counts as long once it is past a short answer's length.
-        self.await_true(lambda: self.all_long_open() == STREAMS)
+        self.await_true(lambda: self.count_long_attempts() == STREAM_COUNT)
         names = [
             str(target['target_id'])
             for target in self.fleet.targets
             if (target['kind'], target['state']) == ('engine', 'live')
         ]
-        name = max(names, key=lambda one: len(self.long_open(one)))
-        self.assertNotEqual(set(), self.long_open(name))
+        name = max(names, key=lambda one: len(self.long_attempts(one)))
+        self.assertNotEqual(set(), self.long_attempts(name))
         served: list[int] = []
         ended = threading.Event()
-        with ThreadPoolExecutor(WORKERS) as pool:
+        with ThreadPoolExecutor(WORKER_COUNT) as pool:
             workers = [
-                pool.submit(self.ask_on, worker, served, ended)
-                for worker in range(WORKERS)
+                pool.submit(self.send_short_requests, worker, served, ended)
+                for worker in range(WORKER_COUNT)
             ]
             try:
                 self.await_true(lambda: len(served) > 20)
                 change(name)
-                self.assert_left(name, served)
+                self.assert_no_new_work(name, served)
                 before = set(self.attempts(name))
                 self.assert_whole(*streams)
             finally:
@@ -248,12 +249,15 @@
         self.assertEqual(before, set(self.attempts(name)))
         return name
 
-    def assert_left(self, name: str, served: list[int]) -> None:
+    def assert_no_new_work(self, name: str, served: list[int]) -> None:
         """Soon entries send nothing to an engine, by their own logs, though
         calls come on: its refusals hide from its record what was sent."""
-        until_s = time.monotonic() + LEFT_WITHIN_S
+        until_s = time.monotonic() + NO_NEW_WORK_WITHIN_S
         sent, since = -1, 0
-        while len(served) < since + QUIET_CALLS or time.monotonic() < until_s:
+        while (
+            len(served) < since + CALLS_WITHOUT_NEW_WORK
+            or time.monotonic() < until_s
+        ):
             now_sent = self.logs().count(f' to {name}"')
             if now_sent != sent:
                 self.assertLess(time.monotonic(), until_s, name)
@@ -261,7 +265,7 @@
             self.assertLess(time.monotonic(), until_s + 20, 'calls stopped')
             time.sleep(0.05)
 
-    def assert_all_ended_there(self, name: str) -> None:
+    def assert_all_attempts_finished(self, name: str) -> None:
         """An engine has finished all it began, and nobody took it away."""
         ends = [attempt['end'] for attempt in self.attempts(name).values()]
         self.assertEqual({'stop'}, {end['reason'] for end in ends})
@@ -270,13 +274,17 @@
         """An engine is drained for a new version while drivers read long
         answers from it. They read on to the end, and others are served
         elsewhere without noticing."""
-        self.assert_all_ended_there(self.leave(self.drain, 0, 1))
+        self.assert_all_attempts_finished(
+            self.change_under_load(self.drain, 0, 1)
+        )
 
     def test_a_target_listed_as_leaving(self) -> None:
         """The platform will take a machine away and lists it as leaving.
         Answers that run there are finished, and new ones run elsewhere."""
-        name = self.leave(lambda found: self.list_as(found, 'leaving'), 0, 1)
-        self.assert_all_ended_there(name)
+        name = self.change_under_load(
+            lambda found: self.set_target_state(found, 'leaving'), 0, 1
+        )
+        self.assert_all_attempts_finished(name)
 
     def test_a_leaving_target_and_an_entry_without_peers(self) -> None:
         """A partition leaves an entry alone: its links are open and nobody
@@ -284,8 +292,10 @@
         peer = self.fleet.entries[1]
         self.addCleanup(peer.signal, signal.SIGCONT)
         peer.signal(signal.SIGSTOP)
-        name = self.leave(lambda found: self.list_as(found, 'leaving'), 0)
-        self.assert_all_ended_there(name)
+        name = self.change_under_load(
+            lambda found: self.set_target_state(found, 'leaving'), 0
+        )
+        self.assert_all_attempts_finished(name)
 
     def test_a_target_taken_back(self) -> None:
         """The platform takes a cheap machine back within seconds. The long
@@ -294,13 +304,15 @@
         cut: set[str] = set()
 
         def take_back(found: str) -> None:
-            cut.update(self.long_open(found))
-            self.list_as(found, 'reclaimed')
+            cut.update(self.long_attempts(found))
+            self.set_target_state(found, 'reclaimed')
 
-        attempts = self.attempts(self.leave(take_back, 0, 1))
+        attempts = self.attempts(self.change_under_load(take_back, 0, 1))
         self.assertNotEqual(set(), cut)
         for attempt_id in cut:
-            self.assertLess(attempts[attempt_id]['output_tokens'], LONG_TOKENS)
+            self.assertLess(
+                attempts[attempt_id]['output_tokens'], LONG_ANSWER_TOKENS
+            )
 
     def test_a_leaving_target_taken_back_early(self) -> None:
         """The platform lists a machine as leaving, and then takes it back
@@ -313,20 +325,22 @@
 
         def take_back(found: str) -> None:
             before = usable()
-            self.list_as(found, 'leaving')
+            self.set_target_state(found, 'leaving')
             self.await_true(lambda: usable() < before)
             attempts = self.attempts(found)
-            for attempt_id in self.long_open(found):
+            for attempt_id in self.long_attempts(found):
                 made_before[attempt_id] = attempts[attempt_id]['output_tokens']
-            self.list_as(found, 'reclaimed')
+            self.set_target_state(found, 'reclaimed')
 
-        name = self.leave(take_back, 0, 1, tokens=LONGEST_TOKENS)
+        name = self.change_under_load(
+            take_back, 0, 1, tokens=LONGEST_ANSWER_TOKENS
+        )
         attempts = self.attempts(name)
         self.assertNotEqual({}, made_before)
         for attempt_id, before in made_before.items():
             made = attempts[attempt_id]['output_tokens']
-            self.assertLess(made, LONGEST_TOKENS)
-            self.assertLess(made - before, MOVED_WITHIN_TOKENS)
+            self.assertLess(made, LONGEST_ANSWER_TOKENS)
+            self.assertLess(made - before, MAX_TOKENS_AFTER_RECLAIM)
 
 
 class SilentConnectionTest(PlannedCase):
