--- a/packages/entry/dandelionyoke_entry/_log.py
+++ b/packages/entry/dandelionyoke_entry/_log.py
@@ -36,7 +36,7 @@
     def write(self, record: WriteLog) -> None:
         """Write one record."""
         if record.kind == FIRST_REQUEST_EVENT:
-            self._begin(record.subject)
+            self._start_action(record.subject)
         action = self._open_actions.get(record.subject)
         if action is None:
             self._write_message(record)
@@ -46,7 +46,7 @@
         if record.kind in LAST_REQUEST_EVENTS:
             self._open_actions.pop(record.subject).finish()
 
-    def _begin(self, request_id: str) -> None:
+    def _start_action(self, request_id: str) -> None:
         if len(self._open_actions) >= MAX_OPEN_ACTIONS:
             _, oldest = self._open_actions.popitem(last=False)
             oldest.finish()
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -115,7 +115,7 @@
 
     def __init__(self, balancer_notice_s: float = 0.2) -> None:
         self._balancer_notice_s = balancer_notice_s
-        self.running: list[RunningProcess] = []
+        self.processes: list[RunningProcess] = []
         self.platform_url = ''
         self.entries: list[RunningProcess] = []
         self.targets: list[dict[str, object]] = []
@@ -212,14 +212,14 @@
 
     def _register_entry(self, running: RunningProcess) -> None:
         running.await_ready()
-        running.second_address = running.await_line('PEERS ')
+        running.secondary_address = running.await_line('PEERS ')
         self.post(
             f'{self.platform_url}/instances',
             {
                 'instance_id': running.name,
                 'domain': running.domain,
                 'caller_address': running.address,
-                'peer_address': running.second_address,
+                'peer_address': running.secondary_address,
                 'state': 'live',
             },
         )
@@ -239,7 +239,7 @@
         self, running: RunningProcess, deployment: Deployment
     ) -> None:
         address = running.await_ready()
-        if running.name in deployment.linked:
+        if running.name in deployment.targets_behind_links:
             link = self.start_link(address)
             self.links[running.name] = link
             address = link.address
@@ -316,16 +316,18 @@
     def close(self) -> None:
         """End all that was started: entries first, so that they drain."""
         entries = [
-            running for running in self.running if running in self.entries
+            running for running in self.processes if running in self.entries
+        ]
+        others = [
+            running for running in self.processes if running not in entries
         ]
-        others = [running for running in self.running if running not in entries]
         for group in (entries, others):
             for running in group:
                 running.signal(signal.SIGCONT)
                 running.signal(signal.SIGTERM)
             for running in group:
                 self._await_end(running)
-        self.running.clear()
+        self.processes.clear()
 
     def _await_end(self, running: RunningProcess) -> None:
         try:
@@ -346,7 +348,7 @@
                 start_new_session=True,
             )
         running = RunningProcess(name, process)
-        self.running.append(running)
+        self.processes.append(running)
         threading.Thread(
             target=_collect_output, args=(running,), daemon=True
         ).start()
--- a/scripts/launch.py
+++ b/scripts/launch.py
@@ -58,7 +58,7 @@
     for key in (keys.routes, keys.depot):
         options.extend(('--api-key', key))
     load = fleet.start_load('--count', DEMO_CALLS, *options)
-    for line in load.lines_until_end():
+    for line in load.remaining_lines():
         sys.stdout.write(line)
     return load.wait(DEMO_TIMEOUT_S)
 
--- a/tests/entry/test_failures.py
+++ b/tests/entry/test_failures.py
@@ -13,7 +13,7 @@
 from dandelionyoke_core import hash_key
 from dandelionyoke_operator._exit_status import ExitStatus
 from dandelionyoke_standins import answer_text
-from scripts.fleet import Deployment, Running
+from scripts.fleet import Deployment, RunningProcess
 from tests.entry.fleet_case import FleetCase
 from tests.entry.test_path import streamed_text
 
@@ -25,9 +25,9 @@
 class FailureCase(FleetCase):
     """Shared steps of the failure tests."""
 
-    def find_process(self, name: str) -> Running:
+    def find_process(self, name: str) -> RunningProcess:
         """Find a process of the deployment."""
-        return next(one for one in self.fleet.running if one.name == name)
+        return next(one for one in self.fleet.processes if one.name == name)
 
     def await_true(self, condition: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
@@ -58,9 +58,9 @@
             text = streamed_text(stream.join())
             self.assertEqual(answer_text(stream.prompt, 1024), text)
 
-    def engine_running(self, prompt: str) -> Running:
+    def engine_running(self, prompt: str) -> RunningProcess:
         """Find the engine that runs a prompt, by its own record."""
-        for one in self.fleet.running:
+        for one in self.fleet.processes:
             if one.kind == 'engine' and one.process.poll() is None:
                 record = self.fleet.get(f'{one.address}/standin/record')
                 if any(
@@ -130,7 +130,7 @@
 
     def call_plain_standin(self, path: str, body: object = None) -> object:
         """Ask the plain service's stand-in."""
-        address = self.target('crate-ledger-0')
+        address = self.target_address('crate-ledger-0')
         if body is None:
             return self.fleet.get(f'{address}/standin/{path}')
         return self.fleet.post(f'{address}/standin/{path}', body)
@@ -217,7 +217,7 @@
         [stream] = self.start_streams(1, 1000)
         frozen.signal(signal.SIGSTOP)
         begun_s = time.monotonic()
-        self.fleet.operate(
+        self.fleet.run_operator(
             'key',
             'withdraw',
             hash_key(self.keys.routes),
--- a/tests/entry/test_path.py
+++ b/tests/entry/test_path.py
@@ -64,7 +64,9 @@
                 Idempotency_Key='empties-17',
             )
             self.assertEqual({'runs': 1}, json.loads(answer.data))
-        runs = self.fleet.get(f'{self.target("crate-ledger-0")}/standin/runs')
+        runs = self.fleet.get(
+            f'{self.target_address("crate-ledger-0")}/standin/runs'
+        )
         self.assertEqual(1, runs['runs']['empties-17'])
 
     def test_a_confirmation_without_its_key_names_the_remedy(self) -> None:
@@ -76,7 +78,7 @@
         self.call(
             '/services/crate-ledger/confirm', {}, Idempotency_Key='key-check'
         )
-        address = self.target('crate-ledger-0')
+        address = self.target_address('crate-ledger-0')
         record = json.dumps(self.fleet.get(f'{address}/standin/record'))
         self.assertNotIn(self.keys.routes, record)
         self.assertNotIn('"has_caller_key": true', record)
--- a/tests/entry/test_planned.py
+++ b/tests/entry/test_planned.py
@@ -10,7 +10,7 @@
 
 from dandelionyoke_entry._exit_status import ExitStatus
 from dandelionyoke_standins import answer_text
-from scripts.fleet import Deployment, Running
+from scripts.fleet import Deployment, RunningProcess
 from tests.entry.test_failures import CONFIRM, FailureCase
 from tests.entry.test_path import streamed_text
 
@@ -64,7 +64,7 @@
     deployment = Deployment(engines={'route-assistant': 2})
     balancer_notice_s = BALANCER_NOTICE_S
 
-    def start_leaving_entry(self, name: str) -> tuple[Running, int]:
+    def start_leaving_entry(self, name: str) -> tuple[RunningProcess, int]:
         """Start an entry that the test may end."""
         running = self.fleet.start_entry(name, 'kurasini')
         self.addCleanup(self.fleet.entries.remove, running)
@@ -81,11 +81,11 @@
         stream = number % 3 == 0
         return pool.submit(self.ask, prompt, entry=entry, stream=stream)
 
-    def in_progress(self, entry: Running) -> int:
+    def in_progress(self, entry: RunningProcess) -> int:
         """Count the calls in progress at an entry, by its own word."""
         return self.fleet.get(f'{entry.address}/status')['in_progress']
 
-    def health_status(self, entry: Running) -> int:
+    def health_status(self, entry: RunningProcess) -> int:
         """Ask an entry as the balancer does."""
         return self.http.request('GET', f'{entry.address}/healthz').status
 
@@ -98,7 +98,7 @@
         open at two entries. The balancer hears of it at once and still sends
         calls for a while. Every driver and salesman gets the whole answer,
         and no confirmation runs twice."""
-        plain = self.target('crate-ledger-0')
+        plain = self.target_address('crate-ledger-0')
         faults = f'{plain}/standin/faults'
         self.fleet.post(faults, {'delay_s': 6})
         self.addCleanup(self.fleet.post, faults, {'delay_s': 0})
@@ -163,7 +163,7 @@
 
     def attempts(self, name: str) -> dict[str, dict[str, Any]]:
         """Read an engine's own record of its attempts."""
-        address = self.running(name).address
+        address = self.find_process(name).address
         found = self.fleet.get(f'{address}/standin/record')['attempts']
         return {attempt['attempt_id']: attempt for attempt in found}
 
@@ -180,7 +180,7 @@
         """Count the long attempts in progress at all engines."""
         return sum(
             len(self.long_attempts(one.name))
-            for one in self.fleet.running
+            for one in self.fleet.processes
             if one.kind == 'engine'
         )
 
@@ -189,12 +189,12 @@
         for target in self.fleet.targets:
             if target['target_id'] == name:
                 target['state'] = state
-        self.fleet.list_targets()
+        self.fleet.publish_targets()
 
     def drain(self, name: str) -> None:
         """Give an engine the order to drain."""
         order = {'order_id': name, 'fence': HIGHEST_FENCE, 'kind': 'drain'}
-        url = f'{self.running(name).address}/orders'
+        url = f'{self.find_process(name).address}/orders'
         answer = self.fleet.post(url, {**order, 'argument': ''})
         self.assertEqual('done', answer['state'], answer)
 
@@ -219,7 +219,7 @@
         short ones. All are whole, and soon it gets no new work. Returns its
         name."""
         self.serving_entries = entries
-        streams = self.begin_streams(STREAM_COUNT, tokens)
+        streams = self.start_streams(STREAM_COUNT, tokens)
         # A stream counts as long once it is past a short answer's length.
         self.await_true(lambda: self.count_long_attempts() == STREAM_COUNT)
         names = [
@@ -241,7 +241,7 @@
                 change(name)
                 self.assert_no_new_work(name, served)
                 before = set(self.attempts(name))
-                self.assert_whole(*streams)
+                self.assert_complete(*streams)
             finally:
                 ended.set()
             for asked in workers:
@@ -355,10 +355,10 @@
         """A middlebox forgets the open connections to an engine and swallows
         all that they carry, while new ones work. Drivers see a pause and
         then the rest of their answers, nothing twice."""
-        streams = self.begin_streams(8, 200)
+        streams = self.start_streams(8, 200)
         link = self.fleet.links['route-assistant-0']
-        state = self.fleet.post(f'{link.second_address}/silence', {})
+        state = self.fleet.post(f'{link.secondary_address}/silence', {})
         self.assertGreater(state['silent'], 0)
         self.assertEqual(state['connections'], state['silent'])
-        self.assert_whole(*streams)
+        self.assert_complete(*streams)
         self.assertIn('request.resumed', self.logs())
--- a/tests/operator/test_changes.py
+++ b/tests/operator/test_changes.py
@@ -2,18 +2,18 @@
 
 from dandelionyoke_core import Instance, hash_key
 from dandelionyoke_operator._exit_status import ExitStatus
-from tests.operator.support import FLEET
-from tests.operator.test_commands import RAISED, DeskTest
+from tests.operator.support import CONFIGURATION
+from tests.operator.test_commands import RAISED_PRIORITY, ConsoleTestCase
 
 # The head, a snapshot, and the changes between that the head has lost.
 MAX_STORE_CALLS = 20
 
 
-class ApplyTest(DeskTest):
+class ApplyTest(ConsoleTestCase):
     def test_apply_waits_until_all_entries_have_it(self) -> None:
         self.platform.polls_behind['ubungo-1'] = 3
-        self._ended(
-            self.console.apply(FLEET),
+        self._assert_result(
+            self.console.apply(CONFIGURATION),
             ExitStatus.SUCCESS,
             'Revision 1:',
             'kurasini: in force in 2 of 2 instances',
@@ -27,8 +27,8 @@
         self.platform.silent.add('ubungo-1')
         self.platform.polls_behind['kurasini-1'] = 10**6
         self.platform.leaving.add('kurasini-2')
-        ended = self.console.apply(FLEET, '--wait', '3')
-        self._ended(
+        ended = self.console.apply(CONFIGURATION, '--wait', '3')
+        self._assert_result(
             ended,
             ExitStatus.NOT_EVERYWHERE,
             'kurasini: in force in 0 of 1 instances\n'
@@ -53,8 +53,8 @@
                 raise interrupt
 
         self.platform.entry_status = break_off
-        self._ended(
-            self.console.apply(FLEET),
+        self._assert_result(
+            self.console.apply(CONFIGURATION),
             ExitStatus.INTERRUPTED,
             'Committed as revision 1',
         )
@@ -66,8 +66,8 @@
         operator is told that it is committed and where is not known.
         """
         self.platform.listed = False
-        self._ended(
-            self.console.apply(FLEET, '--wait', '1'),
+        self._assert_result(
+            self.console.apply(CONFIGURATION, '--wait', '1'),
             ExitStatus.NOT_EVERYWHERE,
             'not known where',
         )
@@ -76,12 +76,12 @@
         """Two operators plan on the same revision and both apply. The second
         one gets the first one's change to read, and has changed nothing.
         """
-        self.console.apply(FLEET)
+        self.console.apply(CONFIGURATION)
         mine = self.console.run('show').output.replace('= 7', '= 3')
         self.console.user = 'baraka'
-        self.console.apply(RAISED)
+        self.console.apply(RAISED_PRIORITY)
         self.console.user = 'amina'
-        self._ended(
+        self._assert_result(
             self.console.apply(mine),
             ExitStatus.CONFLICT,
             'revision 2 is in force, and this was written against 1',
@@ -89,8 +89,9 @@
             '~ [organisation duka-routes]\n        priority: 7 -> 9',
         )
         self.assertIn('priority = 9', self.console.run('show').output)
-        self._ended(
-            self.console.apply(FLEET, '--base', '1'), ExitStatus.CONFLICT
+        self._assert_result(
+            self.console.apply(CONFIGURATION, '--base', '1'),
+            ExitStatus.CONFLICT,
         )
 
     def test_a_race_between_reading_and_writing_is_a_conflict_too(
@@ -99,10 +100,10 @@
         """The other change lands after this command has read the
         configuration and before it writes. It is told all the same.
         """
-        self.console.apply(FLEET)
-        self.store.before_put = lambda: self.console.apply(RAISED)
-        lowered = FLEET.replace('= 7', '= 1')
-        self._ended(self.console.apply(lowered), ExitStatus.CONFLICT)
+        self.console.apply(CONFIGURATION)
+        self.store.before_put = lambda: self.console.apply(RAISED_PRIORITY)
+        lowered = CONFIGURATION.replace('= 7', '= 1')
+        self._assert_result(self.console.apply(lowered), ExitStatus.CONFLICT)
         self.assertIn('priority = 9', self.console.run('show').output)
 
     def test_a_lost_answer_is_settled_by_reading(self) -> None:
@@ -110,7 +111,9 @@
         sees the change committed, and the audit trail holds it once.
         """
         self.store.lost_answers = 1
-        self._ended(self.console.apply(FLEET), ExitStatus.SUCCESS)
+        self._assert_result(
+            self.console.apply(CONFIGURATION), ExitStatus.SUCCESS
+        )
         trail = self.console.run('history', '--format', 'json').fields
         self.assertEqual(1, len(trail['changes']))
 
@@ -124,8 +127,8 @@
             self.store.outage_calls = 10**6
 
         self.store.before_put = go_down
-        self._ended(
-            self.console.apply(FLEET),
+        self._assert_result(
+            self.console.apply(CONFIGURATION),
             ExitStatus.UNSETTLED,
             'history',
             'not known',
@@ -137,15 +140,19 @@
         command says so.
         """
         self.store.outage_calls = 3
-        self._ended(self.console.apply(FLEET), ExitStatus.SUCCESS)
+        self._assert_result(
+            self.console.apply(CONFIGURATION), ExitStatus.SUCCESS
+        )
         self.store.outage_calls = 100
-        self._ended(
-            self.console.apply(RAISED), ExitStatus.UNAVAILABLE, 'cannot be read'
+        self._assert_result(
+            self.console.apply(RAISED_PRIORITY),
+            ExitStatus.UNAVAILABLE,
+            'cannot be read',
         )
         self.store.outage_calls = 0
         self.store.refuses_writes = True
-        self._ended(
-            self.console.apply(RAISED),
+        self._assert_result(
+            self.console.apply(RAISED_PRIORITY),
             ExitStatus.UNAVAILABLE,
             'Nothing was changed',
         )
@@ -154,34 +161,38 @@
         """Each value of a file is right by itself, but not together with
         another. The core judges it, and the report names the section.
         """
-        crowded = FLEET.replace('reclaimable', 'min_targets = 99\nreclaimable')
-        self._ended(
+        crowded = CONFIGURATION.replace(
+            'reclaimable', 'min_targets = 99\nreclaimable'
+        )
+        self._assert_result(
             self.console.apply(crowded),
             ExitStatus.INVALID,
             '[service route-assistant]',
         )
 
     def test_a_reason_an_author_and_a_platform_are_asked_for(self) -> None:
-        self._ended(
-            self.console.run('apply', '-', stdin=FLEET),
+        self._assert_result(
+            self.console.run('apply', '-', stdin=CONFIGURATION),
             ExitStatus.USAGE,
             'Give --reason TEXT',
         )
         self.console.user = ''
-        self._ended(self.console.apply(FLEET), ExitStatus.USAGE, '--author')
+        self._assert_result(
+            self.console.apply(CONFIGURATION), ExitStatus.USAGE, '--author'
+        )
         self.console.variables.clear()
-        self._ended(
+        self._assert_result(
             self.console.run('show'), ExitStatus.USAGE, '--platform URL'
         )
 
 
-class UndoTest(DeskTest):
+class UndoTest(ConsoleTestCase):
     def test_undo_restores_what_one_change_replaced(self) -> None:
-        self.console.apply(FLEET)
-        without = RAISED.replace('[organisation mbezi-shops]', '')
+        self.console.apply(CONFIGURATION)
+        without = RAISED_PRIORITY.replace('[organisation mbezi-shops]', '')
         self.console.apply(without)
         self.console.apply(f'{without}\n[organisation aforo]\n')
-        self._ended(
+        self._assert_result(
             self.console.run('undo', '2'),
             ExitStatus.SUCCESS,
             'Revision 4:',
@@ -190,23 +201,27 @@
         )
         shown = self.console.run('show').output
         self.assertIn('[organisation aforo]', shown)
-        self._ended(self.console.run('undo', '3'), ExitStatus.SUCCESS, '- [')
+        self._assert_result(
+            self.console.run('undo', '3'), ExitStatus.SUCCESS, '- ['
+        )
         self.assertNotIn('aforo', self.console.run('show').output)
 
     def test_undo_does_not_undo_a_later_change_with_it(self) -> None:
         """A later change is about the same organisation. Undoing the earlier
         one would take the later one back unasked, so it is refused.
         """
-        self.console.apply(FLEET)
-        self.console.apply(RAISED)
-        self.console.apply(RAISED.replace('= 9', '= 8'))
-        self._ended(
+        self.console.apply(CONFIGURATION)
+        self.console.apply(RAISED_PRIORITY)
+        self.console.apply(RAISED_PRIORITY.replace('= 9', '= 8'))
+        self._assert_result(
             self.console.run('undo', '2'),
             ExitStatus.INVALID,
             'Revision 3 changed [organisation duka-routes]',
         )
-        self._ended(self.console.run('undo', '9'), ExitStatus.INVALID, 'limit')
-        self._ended(self.console.run('undo', 'x'), ExitStatus.USAGE)
+        self._assert_result(
+            self.console.run('undo', '9'), ExitStatus.INVALID, 'limit'
+        )
+        self._assert_result(self.console.run('undo', 'x'), ExitStatus.USAGE)
 
     def test_undo_that_would_leave_a_model_without_service_is_refused(
         self,
@@ -215,11 +230,11 @@
         would bring a model back that nothing carries; the committer refuses
         it and names the model.
         """
-        self.console.apply(FLEET)
-        without_model = FLEET.partition('[model')[0]
+        self.console.apply(CONFIGURATION)
+        without_model = CONFIGURATION.partition('[model')[0]
         self.console.apply(without_model)
         self.console.apply(without_model.partition('[service')[0])
-        self._ended(
+        self._assert_result(
             self.console.run('undo', '2'),
             ExitStatus.INVALID,
             '[model crate-lm]',
@@ -230,48 +245,50 @@
         """The value before the change was set long ago. Without reading that
         far, undoing would remove the section; it asks for more instead.
         """
-        self.console.apply(FLEET)
+        self.console.apply(CONFIGURATION)
         for priority in range(80):
-            self.console.apply(FLEET.replace('= 7', f'= {priority % 2}'))
-        removed = FLEET.replace('[organisation mbezi-shops]', '')
+            self.console.apply(
+                CONFIGURATION.replace('= 7', f'= {priority % 2}')
+            )
+        removed = CONFIGURATION.replace('[organisation mbezi-shops]', '')
         self.console.apply(removed.replace('= 7', '= 1'))
         self.store.calls = 0
-        self.console.run('plan', '-', stdin=FLEET)
+        self.console.run('plan', '-', stdin=CONFIGURATION)
         self.assertLess(self.store.calls, MAX_STORE_CALLS)
-        self._ended(
+        self._assert_result(
             self.console.run('undo', '82', '--limit', '1'),
             ExitStatus.INVALID,
             '[organisation mbezi-shops] was before lies further back',
         )
-        self._ended(
+        self._assert_result(
             self.console.run('history', '--limit', '1'),
             ExitStatus.SUCCESS,
             '= [organisation duka-routes]',
         )
-        self._ended(
+        self._assert_result(
             self.console.run('undo', '82'),
             ExitStatus.SUCCESS,
             '+ [organisation mbezi-shops]',
         )
 
 
-class KeyTest(DeskTest):
+class KeyTest(ConsoleTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.console.apply(FLEET)
+        self.console.apply(CONFIGURATION)
 
     def test_a_key_is_printed_once_and_kept_as_a_hash(self) -> None:
         ended = self.console.run(
             'key', 'issue', 'duka-routes', '--label', 'van 3'
         )
-        self._ended(ended, ExitStatus.SUCCESS, 'key: dy-1\n')
+        self._assert_result(ended, ExitStatus.SUCCESS, 'key: dy-1\n')
         stored = ''.join(str(item) for item in self.store.content.values())
         self.assertIn(hash_key('dy-1'), stored)
         self.assertNotIn('dy-1', stored)
         for wrong in (('--label', 'two\nlines'), ('--reason', 'two\nlines')):
             ended = self.console.run('key', 'issue', 'duka-routes', *wrong)
             self.assertIn('on one line', ended.errors)
-        self._ended(
+        self._assert_result(
             self.console.run('key', 'issue', 'nobody'),
             ExitStatus.INVALID,
             'duka-routes, mbezi-shops',
@@ -288,22 +305,22 @@
         self.store.lost_answers = 1
         self.store.before_put = go_down
         ended = self.console.run('key', 'issue', 'duka-routes')
-        self._ended(ended, ExitStatus.UNSETTLED)
+        self._assert_result(ended, ExitStatus.UNSETTLED)
         self.assertNotIn('dy-1', ended.output + ended.errors)
 
     def test_keys_are_issued_and_withdrawn_through_other_changes(self) -> None:
         """Another operator's change lands while a key is issued. One key
         fits after any change, so the command goes on by itself.
         """
-        self.store.before_put = lambda: self.console.apply(RAISED)
-        self._ended(
+        self.store.before_put = lambda: self.console.apply(RAISED_PRIORITY)
+        self._assert_result(
             self.console.run('key', 'issue', 'duka-routes'), ExitStatus.SUCCESS
         )
         withdrawn = self.console.run('key', 'withdraw', '-', stdin='dy-1\n')
-        self._ended(
+        self._assert_result(
             withdrawn, ExitStatus.SUCCESS, f'- [key {hash_key("dy-1")}]'
         )
-        self._ended(
+        self._assert_result(
             self.console.run('key', 'withdraw', hash_key('dy-1')),
             ExitStatus.INVALID,
             'No key in force matches',
@@ -316,19 +333,21 @@
         self.console.run('key', 'issue', 'duka-routes')
         old = self.console.run('show').output
         self.console.run('key', 'withdraw', hash_key('dy-1'))
-        self._ended(self.console.apply(old), ExitStatus.CONFLICT)
+        self._assert_result(self.console.apply(old), ExitStatus.CONFLICT)
         rebased = old.replace('base_revision = 2', 'base_revision = 3')
-        self._ended(
+        self._assert_result(
             self.console.apply(rebased),
             ExitStatus.INVALID,
             'revision 3 withdrew',
         )
-        self._ended(self.console.run('undo', '3'), ExitStatus.SUCCESS, '+ [key')
+        self._assert_result(
+            self.console.run('undo', '3'), ExitStatus.SUCCESS, '+ [key'
+        )
 
     def test_a_file_without_keys_leaves_them_alone(self) -> None:
         self.console.run('key', 'issue', 'duka-routes')
         self.console.run('key', 'issue', 'mbezi-shops')
-        smaller = RAISED.replace('[organisation mbezi-shops]', '')
+        smaller = RAISED_PRIORITY.replace('[organisation mbezi-shops]', '')
         self.console.apply(smaller)
         shown = self.console.run('show').output
         self.assertIn(f'[key {hash_key("dy-1")}]', shown)
--- a/tests/operator/test_commands.py
+++ b/tests/operator/test_commands.py
@@ -8,20 +8,20 @@
 from dandelionyoke_core import hash_key
 from dandelionyoke_operator._command_definitions import COMMANDS
 from dandelionyoke_operator._exit_status import ExitStatus
-from tests.operator.support import FLEET, Desk, Ended
+from tests.operator.support import CONFIGURATION, CommandResult, OperatorConsole
 
-RAISED_PRIORITY = FLEET.replace('priority = 7', 'priority = 9')
+RAISED_PRIORITY = CONFIGURATION.replace('priority = 7', 'priority = 9')
 
 
 class ConsoleTestCase(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.console = Desk()
+        self.console = OperatorConsole()
         self.platform = self.console.platform
         self.store = self.platform.store
 
     def _assert_result(
-        self, ended: Ended, status: ExitStatus, *texts: str
+        self, ended: CommandResult, status: ExitStatus, *texts: str
     ) -> None:
         written = ended.output + ended.errors
         self.assertEqual(status, ended.status, written)
@@ -33,7 +33,7 @@
     def test_check_counts_what_a_right_file_holds(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'fleet.ini')
-            path.write_text(FLEET)
+            path.write_text(CONFIGURATION)
             ended = self.console.run('check', str(path), '--format', 'json')
         self.assertEqual(2, ended.fields['organisations'])
         self.assertEqual([], self.console.connected)
@@ -47,7 +47,7 @@
         """A value of a file is wrong, as when a finger slips on a phone.
         The operator sees the section, the option, the value and a remedy.
         """
-        wrong = FLEET.replace('= 7', '= 17').replace('crate-lm', '-')
+        wrong = CONFIGURATION.replace('= 7', '= 17').replace('crate-lm', '-')
         ended = self.console.run('check', '-', stdin=wrong)
         self._assert_result(
             ended,
@@ -62,7 +62,7 @@
         self.assertEqual(2, len(as_json['mistakes']))
 
     def test_show_prints_what_apply_would_take_without_a_change(self) -> None:
-        self.console.apply(FLEET)
+        self.console.apply(CONFIGURATION)
         shown = self.console.run('show').output
         self.assertIn('base_revision = 1', shown)
         self._assert_result(
@@ -70,7 +70,7 @@
         )
 
     def test_plan_shows_each_option_that_differs(self) -> None:
-        self.console.apply(FLEET)
+        self.console.apply(CONFIGURATION)
         changed = RAISED_PRIORITY.replace('[organisation mbezi-shops]', '')
         changed += '\n[organisation aforo]\n'
         self._assert_result(
@@ -84,7 +84,7 @@
         )
 
     def test_history_can_be_narrowed(self) -> None:
-        self.console.apply(FLEET)
+        self.console.apply(CONFIGURATION)
         self.console.now_s += 3600
         self.console.run('key', 'issue', 'mbezi-shops')
         self.console.run('key', 'withdraw', hash_key('dy-1')[:8])
@@ -141,8 +141,11 @@
         """The first configuration is applied before any entry is started.
         It is committed, and the operator reads that nobody can confirm it.
         """
-        self.platform.names = ()
-        for ended in (self.console.apply(FLEET), self.console.run('status')):
+        self.platform.instance_names = ()
+        for ended in (
+            self.console.apply(CONFIGURATION),
+            self.console.run('status'),
+        ):
             self._assert_result(
                 ended, ExitStatus.SUCCESS, 'lists no entry instance'
             )
--- a/tests/operator/test_docs.py
+++ b/tests/operator/test_docs.py
@@ -19,7 +19,7 @@
 from dandelionyoke_operator._exit_status import ExitStatus
 from dandelionyoke_operator._options import SECTION_SCHEMAS
 from dandelionyoke_operator._settings import load_settings
-from tests.operator.support import Desk
+from tests.operator.support import OperatorConsole
 
 DOCS = pathlib.Path(__file__).parents[2] / 'docs'
 BLOCK = re.compile(r'^```(\w+) ?([^\n]*)\n(.*?)^```$', re.MULTILINE | re.DOTALL)
@@ -38,7 +38,7 @@
         yield Block(kind, words.split(), text)
 
 
-def transcript_of(console: Desk, block: Block) -> str:
+def transcript_of(console: OperatorConsole, block: Block) -> str:
     """Run a block's commands; give the block as it should read."""
     console.platform.silent = set(block.words)
     written = []
@@ -63,7 +63,7 @@
 class CommandsPageTest(testtools.TestCase):
     def test_each_example_prints_what_the_page_says(self) -> None:
         blocks = list(parse_blocks('COMMANDS.md'))
-        console = Desk()
+        console = OperatorConsole()
         with (
             tempfile.TemporaryDirectory() as folder,
             contextlib.chdir(folder),
--- a/tests/operator/test_explain.py
+++ b/tests/operator/test_explain.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from tests.operator.support import Desk
+from tests.operator.support import OperatorConsole
 
 
 def log_line(at_s: float, node: str, decision: str, **fields: object) -> str:
@@ -42,7 +42,7 @@
 
         The logs are in one file, one of them cut and with times before it.
         """
-        ended = Desk().run('explain', 'a1', stdin=LOG)
+        ended = OperatorConsole().run('explain', 'a1', stdin=LOG)
         self.assertEqual(0, ended.status)
         self.assertEqual(
             [
@@ -56,17 +56,19 @@
         )
 
     def test_the_same_as_json(self) -> None:
-        ended = Desk().run('explain', 'a1', '--format', 'json', stdin=LOG)
+        ended = OperatorConsole().run(
+            'explain', 'a1', '--format', 'json', stdin=LOG
+        )
         fields = json.loads(ended.output)
         self.assertEqual('a1', fields['request_id'])
         self.assertEqual(3, len(fields['lines']))
 
     def test_logs_without_the_request_say_where_to_look(self) -> None:
-        ended = Desk().run('explain', 'unknown', stdin=LOG)
+        ended = OperatorConsole().run('explain', 'unknown', stdin=LOG)
         self.assertEqual(3, ended.status)
         self.assertIn('Nothing about unknown in these logs', ended.output)
 
     def test_a_file_that_is_not_there(self) -> None:
-        ended = Desk().run('explain', 'a1', '--logs', 'nowhere.log')
+        ended = OperatorConsole().run('explain', 'a1', '--logs', 'nowhere.log')
         self.assertEqual(2, ended.status)
         self.assertIn('nowhere.log cannot be read', ended.errors)
--- a/tests/operator/test_processes.py
+++ b/tests/operator/test_processes.py
@@ -11,7 +11,7 @@
 from dandelionyoke_operator._exit_status import ExitStatus
 from scripts.fleet import Deployment
 from tests.entry.fleet_case import FleetCase
-from tests.operator.support import Ended
+from tests.operator.support import CommandResult
 
 # What the brief calls "within seconds".
 WITHDRAWAL_BOUND_S = 5.0
@@ -20,10 +20,10 @@
 
 class OperatorTest(FleetCase):
     deployment: ClassVar[Deployment] = Deployment(
-        engines={'route-assistant': 1, 'ledger-console': 1}
+        engines={'route-assistant': 1, 'ledger-desk': 1}
     )
 
-    def operate(self, *arguments: str, stdin: str = '') -> Ended:
+    def operate(self, *arguments: str, stdin: str = '') -> CommandResult:
         out, err = io.StringIO(), io.StringIO()
         status = run(
             Environment(
@@ -34,7 +34,7 @@
                 user='amina',
             )
         )
-        return Ended(status, out.getvalue(), err.getvalue())
+        return CommandResult(status, out.getvalue(), err.getvalue())
 
     def issue_key(self) -> tuple[str, str]:
         ended = self.operate('key', 'issue', 'duka-routes', '--format', 'json')
--- a/tests/operator/test_settings.py
+++ b/tests/operator/test_settings.py
@@ -4,10 +4,10 @@
 import tempfile
 
 from dandelionyoke_operator._exit_status import ExitStatus
-from tests.operator.test_commands import DeskTest
+from tests.operator.test_commands import ConsoleTestCase
 
 
-class SettingsTest(DeskTest):
+class SettingsTest(ConsoleTestCase):
     def setUp(self) -> None:
         super().setUp()
         folder = tempfile.TemporaryDirectory()
@@ -16,7 +16,9 @@
         self.console.variables.clear()
 
     def _connects_to(self, url: str, *options: str) -> None:
-        self._ended(self.console.run('show', *options), ExitStatus.SUCCESS)
+        self._assert_result(
+            self.console.run('show', *options), ExitStatus.SUCCESS
+        )
         self.assertEqual(url, self.console.connected[-1])
 
     def test_the_nearest_setting_wins(self) -> None:
@@ -44,7 +46,7 @@
         ):
             self.path.write_text(text)
             ended = self.console.run('show', '--settings', str(self.path))
-            self._ended(ended, ExitStatus.USAGE, problem, 'remedy: ')
+            self._assert_result(ended, ExitStatus.USAGE, problem, 'remedy: ')
         for options in (
             ('--wait', 'x'),
             ('--format', 'yaml'),
@@ -53,7 +55,9 @@
             ('--colour', 'red'),
         ):
             ended = self.console.run('history', '--platform', 'p', *options)
-            self._ended(ended, ExitStatus.USAGE, options[0], 'remedy: ')
+            self._assert_result(ended, ExitStatus.USAGE, options[0], 'remedy: ')
         ended = self.console.run('show', '--settings', 'nowhere.ini')
-        self._ended(ended, ExitStatus.USAGE, 'nowhere.ini cannot be read')
+        self._assert_result(
+            ended, ExitStatus.USAGE, 'nowhere.ini cannot be read'
+        )
         self.assertEqual(set(), set(self.console.connected) - {'p'})
