--- a/packages/entry/dandelionyoke_entry/__init__.py
+++ b/packages/entry/dandelionyoke_entry/__init__.py
@@ -1,7 +1,7 @@
-"""The entry process: settings, wiring, logs, metrics and its end.
+"""The entry process: settings, wiring, logs, metrics and shutdown.
 
-Importing this package opens no socket library, so that `__main__` can make
-the sockets green first.
+Importing this package imports no socket library, so that `__main__` can
+apply eventlet's monkey patching first.
 """
 
 from dandelionyoke_entry._exit_status import ExitStatus as ExitStatus
--- a/packages/entry/dandelionyoke_entry/__main__.py
+++ b/packages/entry/dandelionyoke_entry/__main__.py
@@ -1,8 +1,8 @@
-"""Start an entry process."""
+"""Entry point of the `dandelionyoke-entry` command."""
 
 import eventlet
 
-# Before any other import, so that each library gets the green sockets.
+# Before any other import, so that all libraries use eventlet's sockets.
 eventlet.monkey_patch()
 
 import sys  # noqa: E402 - see above
--- a/packages/entry/dandelionyoke_entry/_command.py
+++ b/packages/entry/dandelionyoke_entry/_command.py
@@ -1,4 +1,4 @@
-"""The command `dandelionyoke-entry`: its options and what they cause."""
+"""The command line interface of `dandelionyoke-entry`."""
 
 import pathlib
 import sys
@@ -24,18 +24,18 @@
     description = 'Serve callers as one entry instance.'
     options = [  # noqa: RUF012, WPS100 - cleo asks for a plain list
         option('settings', 's', 'The INI file with the settings.', flag=False),
-        option('check', 'c', 'Check the settings and end.'),
+        option('check', 'c', 'Check the settings and exit.'),
     ]
 
     def handle(self) -> int:
-        """Check the settings; run unless only the check was asked for."""
+        """Check the settings, and serve unless --check is given."""
         try:
             settings = _load_settings(self.option('settings'))
         except SettingsError as error:
             self.line_error(str(error))
             return ExitStatus.BAD_SETTINGS
         if self.option('check'):
-            self.line('The settings are right.')
+            self.line('The settings are valid.')
             return ExitStatus.OK
         return Process(settings).run()
 
@@ -45,10 +45,10 @@
         raise SettingsError('No settings are given', 'Add --settings FILE')
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
-    except (OSError, UnicodeDecodeError) as bad:
+    except (OSError, UnicodeDecodeError) as error:
         raise SettingsError(
-            f'{path} cannot be read: {bad}', 'Name a readable INI file'
-        ) from bad
+            f'{path} cannot be read: {error}', 'Name a readable INI file'
+        ) from error
     return read_settings(text)
 
 
--- a/packages/entry/dandelionyoke_entry/_exit_status.py
+++ b/packages/entry/dandelionyoke_entry/_exit_status.py
@@ -1,4 +1,4 @@
-"""How the process ends, for scripts that start it."""
+"""Exit statuses, for scripts that start the process."""
 
 import enum
 
@@ -7,7 +7,7 @@
 class ExitStatus(enum.IntEnum):
     """Exit statuses of `dandelionyoke-entry`.
 
-    CUT means that a second signal ended the process with requests open.
+    CUT means that a second signal ended the process with requests in progress.
     """
 
     OK = 0
--- a/packages/entry/dandelionyoke_entry/_log.py
+++ b/packages/entry/dandelionyoke_entry/_log.py
@@ -1,7 +1,8 @@
-"""JSON lines by eliot, from the records that the core asks for.
+"""Writes the core's log records as JSON lines with eliot.
 
-The records of a request form one action, from admission to its end, under
-the request's id, so that a log answers why a request went where it went.
+The records of a request form one eliot action, from its admission to its
+end, under the request id. The log thereby shows how a request was routed and
+why.
 """
 
 from collections import OrderedDict
@@ -21,7 +22,7 @@
 LAST_REQUEST_EVENTS = frozenset(('request.finished', 'request.refused'))
 REQUEST_ACTION = 'request'
 
-# A request whose end never came must not hold memory for good.
+# Bounds the memory for requests that never log their end.
 MAX_OPEN_ACTIONS = 8192
 
 
--- a/packages/entry/dandelionyoke_entry/_process.py
+++ b/packages/entry/dandelionyoke_entry/_process.py
@@ -1,4 +1,4 @@
-"""An entry as a process: its sockets, its node, its end."""
+"""The entry process: its sockets, its node and its shutdown."""
 
 import logging
 import random
@@ -38,21 +38,21 @@
     Performer,
 )
 
-# A caller that sends or takes nothing for this long loses its connection.
+# A connection without progress in sending or receiving is closed after this.
 SOCKET_TIMEOUT_S = 60.0
 KEEPALIVE_S = 60.0
-# The server would else hold tokens back until it has 4096 bytes of them.
+# By default the server buffers 4096 bytes, which would delay tokens.
 MIN_CHUNK_BYTES = 1
 MAX_URL_BYTES = 8192
 LISTEN_BACKLOG = 512
 
-# Answers that the node has ended are written out within this time.
+# Maximum wait at shutdown until complete answers are written to their sockets.
 FLUSH_TIMEOUT_S = 10.0
 FLUSH_CHECK_INTERVAL_S = 0.01
 
 
 class Process:
-    """Wires the node to its sockets and runs until it stops."""
+    """Connects the node to its sockets and runs it until it stops."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
@@ -80,9 +80,9 @@
         )
 
     def run(self) -> ExitStatus:
-        """Serve until asked to leave and all is finished."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._on_signal)
+        """Serve until shutdown is requested and all calls have ended."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, self._on_signal)
         spawn_n(self._run_node)
         spawn_n(self._performer.peers.serve, self._peers)
         spawn_n(self._serve_callers)
@@ -93,7 +93,7 @@
         return status
 
     def record(self, action: Action) -> None:
-        """Take an action that is for the process itself."""
+        """Perform an action that is addressed to the process itself."""
         match action:
             case WriteLog():
                 self._log.write(action)
@@ -105,7 +105,7 @@
                 self._stop(ExitStatus.OK if action.clean else ExitStatus.CUT)
 
     def _print_addresses(self) -> None:
-        """Tell whoever started the process that it listens, and where."""
+        """Print the listening addresses for the parent process."""
         sys.stdout.write(f'READY {_url("http", self._callers)}\n')
         sys.stdout.write(f'PEERS {_url("ws", self._peers)}\n')
         sys.stdout.flush()
@@ -128,8 +128,9 @@
         try:
             task.run()
         except Exception:
-            # A node that raised is in no known state. Going on would answer
-            # callers from it, so the process ends and its peers take over.
+            # After an exception the state of the node is undefined, and
+            # callers must not be answered from it. The process ends, and its
+            # peers take over.
             cause = traceback.format_exc()
             self._log.write(WriteLog('process.failed', 'node', cause=cause))
             self._stop(ExitStatus.FAILED)
@@ -148,7 +149,7 @@
             url_length_limit=MAX_URL_BYTES,
         )
 
-    def _on_signal(self, number: int, frame: object) -> None:
+    def _on_signal(self, signal_number: int, frame: object) -> None:
         if self._node.leaving:
             self._inbox.put(ShutdownForced())
         else:
@@ -176,7 +177,10 @@
 
 
 def _silent_logger() -> logging.Logger:
-    """Keep the server's own lines out of the JSON log."""
+    """Return a logger that discards the lines of the HTTP server.
+
+    They must not appear in the JSON log.
+    """
     logger = logging.getLogger('dandelionyoke.http')
     logger.addHandler(logging.NullHandler())
     logger.propagate = False
--- a/packages/entry/dandelionyoke_entry/_settings.py
+++ b/packages/entry/dandelionyoke_entry/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of an entry, checked as a whole."""
+"""Settings of an entry, parsed with all mistakes in one report."""
 
 import configparser
 from collections.abc import Callable, Mapping
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Endpoint:
-    """Where to listen; port 0 lets the kernel choose."""
+    """Listening address; with port 0 the kernel chooses a port."""
 
     host: str
     port: int
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class EntrySettings:
-    """All settings of an entry. The secret is in no log and no message."""
+    """All settings of an entry. The secret must not be logged or printed."""
 
     instance_id: InstanceId
     domain: Domain
@@ -43,7 +43,7 @@
 
 
 class _OptionReader:
-    """Reads options and gathers every mistake instead of the first."""
+    """Parser of options that collects all mistakes."""
 
     def __init__(self, parser: configparser.ConfigParser) -> None:
         self._parser = parser
@@ -57,49 +57,49 @@
         parse: Callable[[str], Setting],
         fallback: str | None = None,
     ) -> Setting | None:
-        """Check one option; None after a mistake."""
+        """Parse one option; return None after a mistake."""
         self._known_options.add((section, option))
-        found = self._parser.get(section, option, fallback=fallback)
-        if found is None:
+        text = self._parser.get(section, option, fallback=fallback)
+        if text is None:
             self.mistakes.append(f'[{section}] {option} is missing. Add it.')
             return None
         try:
-            return parse(found)
-        except ValueError as bad:
-            self.mistakes.append(f'[{section}] {option}: {bad}')
+            return parse(text)
+        except ValueError as error:
+            self.mistakes.append(f'[{section}] {option}: {error}')
         return None
 
     def reject_unknown(self) -> None:
-        """Name the options that nothing reads, which are often misspelt."""
+        """Add a mistake for each unknown option, which is often misspelt."""
         for section in self._parser.sections():
             for option in self._parser.options(section):
                 if (section, option) not in self._known_options:
                     self.mistakes.append(
-                        f'[{section}] {option} is not known. Remove it.'
+                        f'[{section}] {option} is unknown. Remove it.'
                     )
 
 
 def read_settings(text: str) -> EntrySettings:
-    """Read the settings of an entry from INI text.
+    """Parse the settings of an entry from INI text.
 
     Raises:
-        SettingsError: with every mistake in one report.
+        SettingsError: the text is invalid; lists every mistake.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
-    except configparser.Error as bad:
+    except configparser.Error as error:
         raise SettingsError(
-            f'The settings are not INI: {bad.message}',
+            f'The settings are not valid INI: {error.message}',
             'Write [section] lines and option = value lines',
-        ) from bad
+        ) from error
     reader = _OptionReader(parser)
     options = _read_options(reader)
     reader.reject_unknown()
     if reader.mistakes:
         raise SettingsError(
             '\n'.join(reader.mistakes).removesuffix('.'),
-            'Mend the settings file',
+            'Correct the settings file',
         )
     return EntrySettings(**options)  # type: ignore[arg-type]
 
@@ -137,30 +137,32 @@
     }
 
 
-def _parse_name(found: str) -> str:
-    if not found or not found.replace('-', '').replace('.', '').isalnum():
+def _parse_name(text: str) -> str:
+    if not text or not text.replace('-', '').replace('.', '').isalnum():
         raise ValueError(
-            f'{found!r} is no name. Use letters, digits, "-" and ".".'
+            f'{text!r} is not a valid name. Use letters, digits, "-" and ".".'
         )
-    return found
+    return text
 
 
-def _parse_endpoint(found: str) -> Endpoint:
-    host, _, port = found.rpartition(':')
+def _parse_endpoint(text: str) -> Endpoint:
+    host, _, port = text.rpartition(':')
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
-        raise ValueError(f'{found!r} is no HOST:PORT. Write 10.0.0.5:8080.')
+        raise ValueError(f'{text!r} is not HOST:PORT. Write 10.0.0.5:8080.')
     return Endpoint(host, int(port))
 
 
-def _parse_url(found: str) -> str:
-    parts = urlsplit(found)
+def _parse_url(text: str) -> str:
+    parts = urlsplit(text)
     if parts.scheme != 'http' or not parts.hostname:
-        raise ValueError(f'{found!r} is no URL. Write http://HOST:PORT.')
-    return found.rstrip('/')
+        raise ValueError(
+            f'{text!r} is not a valid URL. Write http://HOST:PORT.'
+        )
+    return text.rstrip('/')
 
 
-def _parse_secret(found: str) -> bytes:
-    secret = found.encode()
+def _parse_secret(text: str) -> bytes:
+    secret = text.encode()
     if len(secret) < MIN_SECRET_BYTES:
         raise ValueError(
             f'it has {len(secret)} bytes. Use {MIN_SECRET_BYTES} or more.'
@@ -168,17 +170,19 @@
     return secret
 
 
-def _parse_seconds(found: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
-        seconds = float(found)
+        seconds = float(text)
     except ValueError:
         seconds = -1
     if not 0 <= seconds < float('inf'):
-        raise ValueError(f'{found!r} is no duration. Write seconds, as 2.5.')
+        raise ValueError(
+            f'{text!r} is not a duration. Write seconds, such as 2.5.'
+        )
     return seconds
 
 
-def _parse_positive_integer(found: str) -> int:
-    if not found.isdecimal() or int(found) == 0:
-        raise ValueError(f'{found!r} is no whole number above 0. Write one.')
-    return int(found)
+def _parse_positive_integer(text: str) -> int:
+    if not text.isdecimal() or int(text) == 0:
+        raise ValueError(f'{text!r} is not a whole number above 0. Write one.')
+    return int(text)
--- a/scripts/demo_configuration.py
+++ b/scripts/demo_configuration.py
@@ -1,4 +1,4 @@
-"""What the demo's operator declares, with two organisations and their keys."""
+"""Configuration of the demo, with two organisations and their keys."""
 
 import secrets
 
@@ -19,14 +19,14 @@
 
 @attrs.frozen
 class DemoKeys:
-    """The bearer keys of the demo's organisations."""
+    """Bearer keys of the demo's organisations."""
 
     routes: str = attrs.field(factory=lambda: secrets.token_urlsafe(KEY_BYTES))
     depot: str = attrs.field(factory=lambda: secrets.token_urlsafe(KEY_BYTES))
 
 
 def demo_configuration(keys: DemoKeys) -> Configuration:
-    """Declare the demo's organisations, services and models."""
+    """Return the demo's organisations, keys, services and models."""
     return Configuration.of(
         Organisation('duka-routes', priority=7, weight=2),
         Organisation('depot-clerks'),
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
-"""Start the stand-ins and entries as processes, for developers and tests.
+"""Starts the stand-ins and entries as processes, for development and tests.
 
-This is the one place that starts processes. It is no part of the product:
-nothing under `packages/` starts any, and a test sees to that.
+This is the only module that starts processes. It is not part of the product:
+no code under `packages/` starts a process, which a test checks.
 """
 
 import os
@@ -45,7 +45,7 @@
 
 @attrs.define
 class RunningProcess:
-    """One process that this module started, and its first lines."""
+    """Started process, its unread lines of output and its addresses."""
 
     name: str
     process: 'subprocess.Popen[str]'
@@ -59,39 +59,40 @@
     kind: str = ''
 
     def await_ready(self) -> str:
-        """Wait until the process listens; return its address."""
+        """Wait until the process listens and return its address."""
         self.address = self.address or self.await_line('READY ')
         return self.address
 
-    def await_line(self, word: str) -> str:
-        """Wait for a line that starts with a word; return the rest."""
+    def await_line(self, prefix: str) -> str:
+        """Wait for a line that starts with a prefix and return the rest."""
         while True:
             line = self.lines.get(timeout=READY_TIMEOUT_S)
-            if line.startswith(word):
-                return line.removeprefix(word).strip()
+            if line.startswith(prefix):
+                return line.removeprefix(prefix).strip()
             if not line:
-                raise RuntimeError(f'{self.name} ended; see .logs/')
+                raise RuntimeError(f'{self.name} exited; see .logs/')
 
     def remaining_lines(self) -> Iterator[str]:
-        """Yield each line of output until the process ends it."""
+        """Yield the lines of output until the process closes it."""
         while line := self.lines.get():
             yield line
 
-    def signal(self, number: signal.Signals) -> None:
+    def signal(self, signal_number: signal.Signals) -> None:
         """Send a signal, unless the process has ended."""
         if self.process.poll() is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Wait for the end; return the exit status."""
+        """Wait for the process to end and return its exit status."""
         return self.process.wait(timeout_s)
 
 
 @attrs.frozen
 class Deployment:
-    """What `Fleet.deploy` starts.
+    """Processes that `Fleet.deploy` starts.
 
-    Targets named in `linked` are listed behind a link of their own.
+    Each target named in `targets_behind_links` is registered with the address
+    of a separate link, a proxy that can be told to drop traffic.
     """
 
     domains: Sequence[str] = ('kurasini', 'mikocheni')
@@ -111,7 +112,7 @@
 
 
 class Fleet:
-    """All processes of one deployment on loopback."""
+    """Processes of one deployment on loopback."""
 
     def __init__(self, balancer_notice_s: float = 0.2) -> None:
         self._balancer_notice_s = balancer_notice_s
@@ -122,18 +123,18 @@
         self.links: dict[str, RunningProcess] = {}
         self._pool = urllib3.PoolManager(timeout=READY_TIMEOUT_S)
         LOGS.mkdir(exist_ok=True)
-        # A folder of its own: two fleets at once would start entries with
-        # each other's settings.
+        # Each fleet has a separate folder. Concurrent fleets would otherwise
+        # overwrite each other's settings files.
         self.logs = pathlib.Path(tempfile.mkdtemp(dir=LOGS))
 
     def deploy(self, deployment: Deployment) -> None:
         """Start the platform, the targets and the entries."""
         platform = self.start_standin('platform', 'platform', '--lag-s', '0.2')
-        # All begin before the first is waited for: each start takes a second.
+        # Start all before waiting for the first: each start takes 1 s.
         targets = [
-            self._start_engine(service, number, deployment)
+            self._start_engine(service, index, deployment)
             for service, count in deployment.engines.items()
-            for number in range(count)
+            for index in range(count)
         ]
         targets.extend(
             self._start_plain_service(service, deployment.domains[0])
@@ -142,10 +143,10 @@
         self.platform_url = platform.await_ready()
         entries = [
             self._launch_entry(
-                f'entry-{number + 1}',
-                deployment.domains[number % len(deployment.domains)],
+                f'entry-{index + 1}',
+                deployment.domains[index % len(deployment.domains)],
             )
-            for number in range(deployment.entries)
+            for index in range(deployment.entries)
         ]
         for target in targets:
             self._add_target(target, deployment)
@@ -154,7 +155,7 @@
             self._register_entry(entry)
 
     def start_entry(self, instance_id: str, domain: str) -> RunningProcess:
-        """Start an entry and list it at the platform."""
+        """Start an entry and register it with the platform."""
         processes = self._launch_entry(instance_id, domain)
         self._register_entry(processes)
         return processes
@@ -162,15 +163,15 @@
     def start_standin(
         self, name: str, kind: str, *options: str
     ) -> RunningProcess:
-        """Start a stand-in."""
+        """Start a stand-in of the given kind."""
         return self._start_process(
             name, 'dandelionyoke_standins', kind, *options
         )
 
     def _start_engine(
-        self, service: str, number: int, deployment: Deployment
+        self, service: str, index: int, deployment: Deployment
     ) -> RunningProcess:
-        name = f'{service}-{number}'
+        name = f'{service}-{index}'
         model = deployment.models[service]
         running = self.start_standin(
             name,
@@ -182,7 +183,7 @@
             *deployment.engine_options,
         )
         running.service = service
-        running.domain = deployment.domains[number % len(deployment.domains)]
+        running.domain = deployment.domains[index % len(deployment.domains)]
         running.kind = 'engine'
         return running
 
@@ -226,10 +227,10 @@
         self.entries.append(running)
 
     def start_link(self, to: str) -> RunningProcess:
-        """Start a link; its second address takes its commands."""
-        there = urlsplit(to)
+        """Start a link to an address; its secondary address is for control."""
+        destination = urlsplit(to)
         link = self.start_standin(
-            f'link-{there.port}', 'link', '--to', there.netloc
+            f'link-{destination.port}', 'link', '--to', destination.netloc
         )
         link.await_ready()
         link.secondary_address = link.await_line('CONTROL ')
@@ -262,7 +263,7 @@
         )
 
     def configure(self, text: str, reason: str = 'set up') -> None:
-        """Put a configuration in force by the operator's command."""
+        """Apply a configuration with the operator's command."""
         file = self.logs / 'configuration.ini'
         file.write_text(text)
         self.run_operator('check', str(file))
@@ -273,9 +274,9 @@
     def run_operator(
         self, *arguments: str, statuses: Sequence[int] = (0,)
     ) -> str:
-        """Run the operator's command; return what it printed."""
+        """Run the operator's command and return its output."""
         program = pathlib.Path(sys.executable).parent / 'dandelionyoke'
-        ended = subprocess.run(  # noqa: S603 - our own program
+        completed = subprocess.run(  # noqa: S603 - our own program
             [str(program), *arguments],
             check=False,
             env={**os.environ, 'DANDELIONYOKE_PLATFORM': self.platform_url},
@@ -283,9 +284,11 @@
             text=True,
             timeout=READY_TIMEOUT_S,
         )
-        if ended.returncode not in statuses:
-            raise RuntimeError(f'{arguments}: {ended.stdout}{ended.stderr}')
-        return ended.stdout
+        if completed.returncode not in statuses:
+            raise RuntimeError(
+                f'{arguments}: {completed.stdout}{completed.stderr}'
+            )
+        return completed.stdout
 
     def await_targets(self) -> None:
         """Wait until every entry reports all targets as usable."""
@@ -300,21 +303,21 @@
         return int(self.get(f'{entry.address}/status')['usable_targets'])
 
     def publish_targets(self) -> None:
-        """Tell the platform's stand-in which targets there are."""
+        """Send the list of targets to the platform's stand-in."""
         self.post(
             f'{self.platform_url}/standin/targets', {'targets': self.targets}
         )
 
     def post(self, url: str, body: Mapping[str, object]) -> Any:
-        """Post JSON and return the decoded answer."""
+        """Post JSON and return the decoded response."""
         return self._pool.request('POST', url, json=dict(body)).json()
 
     def get(self, url: str) -> Any:
-        """Get JSON."""
+        """Get and decode JSON."""
         return self._pool.request('GET', url).json()
 
     def close(self) -> None:
-        """End all that was started: entries first, so that they drain."""
+        """Stop all processes, entries first so that they can drain."""
         entries = [
             running for running in self.processes if running in self.entries
         ]
--- a/scripts/launch.py
+++ b/scripts/launch.py
@@ -1,6 +1,8 @@
-"""`make serve` and `make demo`: everything on loopback, until it is ended.
+"""Run a whole deployment on loopback, for `make serve` and `make demo`.
 
-python scripts/launch.py serve | demo
+Usage: python scripts/launch.py serve | demo
+
+`serve` runs until it is interrupted; `demo` ends after its load.
 """
 
 import contextlib
@@ -11,30 +13,30 @@
 from demo_configuration import DemoKeys, demo_configuration
 from fleet import Deployment, Fleet
 
-USAGE = 'Say serve or demo.'
-DEMO_CALLS = '60'
+USAGE = 'Usage: python scripts/launch.py serve | demo'
+DEMO_CALL_COUNT = '60'
 DEMO_TIMEOUT_S = 120.0
 
 
 def main(arguments: list[str]) -> int:
-    """Run one of the two programs."""
+    """Run `serve` or `demo` and return the exit status."""
     if arguments not in (['serve'], ['demo']):
         sys.stderr.write(f'{USAGE}\n')
         return 2
-    ended = threading.Event()
-    signal.signal(signal.SIGTERM, lambda *_: ended.set())
-    signal.signal(signal.SIGINT, lambda *_: ended.set())
+    interrupted = threading.Event()
+    signal.signal(signal.SIGTERM, lambda *_: interrupted.set())
+    signal.signal(signal.SIGINT, lambda *_: interrupted.set())
     with contextlib.closing(Fleet()) as fleet:
         keys = deploy(fleet)
         if arguments == ['demo']:
             return demo(fleet, keys)
         serve(fleet, keys)
-        ended.wait()
+        interrupted.wait()
     return 0
 
 
 def deploy(fleet: Fleet) -> DemoKeys:
-    """Start all and put the configuration in force."""
+    """Start all processes and apply the configuration."""
     keys = DemoKeys()
     fleet.deploy(Deployment())
     fleet.configure(str(demo_configuration(keys)))
@@ -43,7 +45,7 @@
 
 
 def serve(fleet: Fleet, keys: DemoKeys) -> None:
-    """Tell where to call, one line for each entry and organisation."""
+    """Print the address and key for each entry and organisation."""
     for key in (keys.routes, keys.depot):
         for entry in fleet.entries:
             sys.stdout.write(f'BASE_URL={entry.address} API_KEY={key}\n')
@@ -51,13 +53,16 @@
 
 
 def demo(fleet: Fleet, keys: DemoKeys) -> int:
-    """Send a mixed load through all entries; 0 if all answers were whole."""
+    """Send a mixed load through all entries.
+
+    Returns 0 if all answers were complete.
+    """
     options = ['--model', 'crate-lm', '--service', 'crate-ledger']
     for entry in fleet.entries:
         options.extend(('--entry', entry.address))
     for key in (keys.routes, keys.depot):
         options.extend(('--api-key', key))
-    load = fleet.start_load('--count', DEMO_CALLS, *options)
+    load = fleet.start_load('--count', DEMO_CALL_COUNT, *options)
     for line in load.remaining_lines():
         sys.stdout.write(line)
     return load.wait(DEMO_TIMEOUT_S)
--- a/scripts/measure_path.py
+++ b/scripts/measure_path.py
@@ -1,8 +1,10 @@
-"""What one entry process costs: processor time by call and by token.
+"""Measure the processor time of one entry process per call and per token.
 
 Streams go through one entry to engines on loopback. The entry's own
-processor time is read before and after, so that the machine's other work
-does not count. `python scripts/measure_path.py [ENGINES]`
+processor time is read before and after, so that other work on the machine
+does not count.
+
+Usage: python scripts/measure_path.py [ENGINES]
 """
 
 import contextlib
@@ -36,7 +38,7 @@
 
 @attrs.frozen
 class Load:
-    """Calls one after another in each stream, and tokens in each call."""
+    """Number of sequential calls in each stream, and tokens in each call."""
 
     calls: int
     tokens: int
@@ -44,7 +46,7 @@
 
 @attrs.frozen
 class Usage:
-    """What the entry process has used so far."""
+    """Processor time and resident memory of the entry process so far."""
 
     processor_s: float
     memory_mib: float
@@ -54,7 +56,7 @@
 
 
 def main(engines: int) -> int:
-    """Print the cost of short and of long answers, and the two slopes."""
+    """Measure short and long answers and print the cost per call and token."""
     with contextlib.closing(Fleet()) as fleet:
         keys = DemoKeys()
         fleet.deploy(
@@ -69,7 +71,7 @@
 
 
 def _print_idle_usage(fleet: Fleet) -> None:
-    """Print what the entry uses while nobody calls."""
+    """Measure and print the processor use of the entry without calls."""
     before_s = _usage(fleet.entries[0]).processor_s
     time.sleep(IDLE_S)
     used_s = _usage(fleet.entries[0]).processor_s - before_s
@@ -79,7 +81,10 @@
 
 
 def _print_costs(short_s: float, long_s: float, memory_mib: float) -> None:
-    """Solve calls * a + tokens * b = time for both loads."""
+    """Print the costs per call and per token.
+
+    Solves calls * call_s + tokens * token_s = time for both loads.
+    """
     calls = [STREAMS * load.calls for load in LOADS]
     tokens = [STREAMS * load.calls * load.tokens for load in LOADS]
     determinant = calls[0] * tokens[1] - calls[1] * tokens[0]
@@ -87,7 +92,7 @@
     call_s = (short_s - tokens[0] * token_s) / calls[0]
     _print_line(f'a call costs {call_s * 1000:.2f} ms of the entry')
     _print_line(f'a token costs {token_s * 1_000_000:.0f} us of the entry')
-    _print_line(f'one core passes {1 / token_s:.0f} tokens a second')
+    _print_line(f'one core handles {1 / token_s:.0f} tokens per second')
     _print_line(f'memory {memory_mib:.0f} MiB')
 
 
@@ -115,12 +120,12 @@
             headers={'Authorization': f'Bearer {keys.routes}'},
         )
         if b'[DONE]' not in answer.data:
-            raise RuntimeError(f'not whole: {answer.data[-200:]!r}')
+            raise RuntimeError(f'incomplete stream: {answer.data[-200:]!r}')
 
 
 def _usage(entry: RunningProcess) -> Usage:
     process = pathlib.Path('/proc') / str(entry.process.pid)
-    # The fields after the name, which may itself hold blanks.
+    # Split after the process name, which may contain blanks.
     fields = (process / 'stat').read_text().rpartition(')')[2].split()
     ticks = int(fields[11]) + int(fields[12])
     status = (process / 'status').read_text()
