--- a/tests/entry/fleet_case.py
+++ b/tests/entry/fleet_case.py
@@ -1,4 +1,4 @@
-"""Tests that run against real processes on loopback."""
+"""Base of the tests that run against real processes on loopback."""
 
 from typing import Any, ClassVar
 
@@ -12,7 +12,7 @@
 
 
 class FleetCase(testtools.TestCase):
-    """One deployment for all tests of a class."""
+    """Test case with one deployment for all tests of the class."""
 
     deployment: ClassVar[Deployment] = Deployment(
         engines={'route-assistant': 2, 'ledger-desk': 1}
@@ -48,12 +48,17 @@
         key: str | None = None,
         **headers: str,
     ) -> urllib3.BaseHTTPResponse:
-        """Call an entry with a good key, unless another is given."""
+        """Send a request to an entry, by default with a valid key."""
         address = self.fleet.entries[entry].address
-        sent = {'Authorization': f'Bearer {key or self.keys.routes}'}
-        named = {name.replace('_', '-'): text for name, text in headers.items()}
+        authorization = {'Authorization': f'Bearer {key or self.keys.routes}'}
+        extra_headers = {
+            name.replace('_', '-'): text for name, text in headers.items()
+        }
         return self.http.request(
-            method, f'{address}{path}', json=body, headers=sent | named
+            method,
+            f'{address}{path}',
+            json=body,
+            headers=authorization | extra_headers,
         )
 
     def target_address(self, target_id: str) -> str:
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers meet: a stock OpenAI client, and input that is wrong."""
+"""Calls with the OpenAI client library, and invalid input."""
 
 import json
 import socket
@@ -18,10 +18,10 @@
 
 
 class OpenAIClientTest(FleetCase):
-    """A stock client library, pointed at an entry."""
+    """The unmodified OpenAI client library with the URL of an entry."""
 
     def client(self, key: str | None = None) -> openai.OpenAI:
-        """Make a client that does not retry by itself."""
+        """Create a client without its own retries."""
         client = openai.OpenAI(
             base_url=f'{self.fleet.entries[0].address}/v1',
             api_key=key or self.keys.routes,
@@ -31,18 +31,18 @@
         self.addCleanup(client.close)
         return client
 
-    def test_it_may_leave_the_version_out(self) -> None:
+    def test_the_base_url_may_omit_the_version(self) -> None:
         client = openai.OpenAI(
             base_url=self.fleet.entries[0].address, api_key=self.keys.routes
         )
         self.addCleanup(client.close)
         self.assertEqual(2, len(list(client.models.list())))
 
-    def test_it_lists_models(self) -> None:
+    def test_models_are_listed(self) -> None:
         names = [model.id for model in self.client().models.list()]
         self.assertEqual(['crate-lm', 'ledger-lm'], names)
 
-    def test_it_completes(self) -> None:
+    def test_a_completion(self) -> None:
         answer = self.client().completions.create(
             model='crate-lm', prompt=PROMPT, max_tokens=64
         )
@@ -51,7 +51,7 @@
         assert answer.usage is not None
         self.assertEqual(12, answer.usage.completion_tokens)
 
-    def test_it_streams_a_chat_with_usage(self) -> None:
+    def test_a_chat_stream_with_usage(self) -> None:
         stream = self.client().chat.completions.create(
             model='crate-lm',
             messages=[{'role': 'user', 'content': PROMPT}],
@@ -69,7 +69,7 @@
         assert chunks[-1].usage is not None
         self.assertEqual(12, chunks[-1].usage.completion_tokens)
 
-    def test_it_gets_its_usual_errors(self) -> None:
+    def test_errors_have_the_expected_types(self) -> None:
         chat = {'messages': [{'role': 'user', 'content': 'x'}]}
         for key, model, error in (
             ('wrong', 'crate-lm', openai.AuthenticationError),
@@ -88,14 +88,14 @@
 
 
 class RateLimitTest(FleetCase):
-    """An organisation over its limit."""
+    """Calls of an organisation that is over its rate limit."""
 
     deployment = Deployment(engines={'route-assistant': 1}, entries=1)
 
-    def test_a_client_is_told_when_to_come_back(self) -> None:
-        """A script of a small customer calls in a loop. It must be refused
-        at once, as its client library expects, and told when to come back;
-        the calls of others go on."""
+    def test_a_refusal_has_a_retry_after_header(self) -> None:
+        """A script calls in a loop and exceeds the rate limit of its
+        organisation. It is refused immediately with a Retry-After header, as
+        client libraries expect. Other organisations are not affected."""
         key = 'the key of a small customer'
         configuration = demo_configuration(self.keys)
         tiny = Configuration.of(
@@ -122,9 +122,9 @@
 
 
 class InvalidInputTest(FleetCase):
-    """Whatever comes, the answer is clear and the entry serves on."""
+    """Invalid input gets a clear error, and the entry continues to serve."""
 
-    def test_a_wrong_body_is_refused_with_its_remedy(self) -> None:
+    def test_an_invalid_body_is_refused_with_a_remedy(self) -> None:
         for body in (b'', b'{', b'\xff\xfe', b'[]', b'{"model": "crate-lm"}'):
             answer = self.post_bytes(body)
             problem = json.loads(answer.data)
@@ -139,26 +139,26 @@
     def test_an_unknown_path_is_refused(self) -> None:
         self.assertEqual(404, self.call('/v2/anything').status)
 
-    def test_a_header_without_end_closes_the_connection(self) -> None:
-        """A caller sends a header line that never ends. Without a bound it
-        would hold a worker and its memory for good."""
+    def test_an_endless_header_closes_the_connection(self) -> None:
+        """A caller sends a header line without an end. Without a size limit
+        it would occupy a worker and its memory forever."""
         answer = self.exchange_bytes(
             b'GET /v1/models HTTP/1.1\r\nX: ', b'x' * 65_536
         )
         self.assertIn(b' 400 ', answer.split(b'\r\n')[0])
         self.assert_still_serving(answer)
 
-    def test_a_body_that_stops_halfway_leaves_no_worker_stuck(self) -> None:
-        """A caller announces a body, sends a part and closes. The entry must
-        not wait for the rest, nor print a traceback to whoever is next."""
+    def test_an_incomplete_body_does_not_block_a_worker(self) -> None:
+        """A caller declares a body length, sends only a part and closes. The
+        entry must not wait for the rest, nor send a traceback."""
         head = b'POST /v1/completions HTTP/1.1\r\nContent-Length: 500\r\n\r\n{'
         self.assert_still_serving(self.exchange_bytes(head))
 
-    def test_a_line_that_is_no_http_gets_an_error(self) -> None:
+    def test_input_that_is_not_http_gets_an_error(self) -> None:
         self.assert_still_serving(self.exchange_bytes(b'\x16\x03\x01\r\n\r\n'))
 
     def post_bytes(self, body: bytes):  # type: ignore[no-untyped-def]
-        """Post bytes as they are."""
+        """Post a raw body."""
         return self.http.request(
             'POST',
             f'{self.fleet.entries[0].address}/v1/completions',
@@ -166,15 +166,15 @@
             headers={'Authorization': f'Bearer {self.keys.routes}'},
         )
 
-    def exchange_bytes(self, *pieces: bytes) -> bytes:
-        """Send bytes, close the sending side, and read to the end."""
+    def exchange_bytes(self, *parts_to_send: bytes) -> bytes:
+        """Send bytes, close the sending side, and return the whole response."""
         parts = urlsplit(self.fleet.entries[0].address)
         address = (parts.hostname, parts.port)
         with socket.create_connection(address, timeout=TIMEOUT_S) as sock:
             received = b''
             try:
-                for piece in pieces:
-                    sock.sendall(piece)
+                for part in parts_to_send:
+                    sock.sendall(part)
                 sock.shutdown(socket.SHUT_WR)
                 while chunk := sock.recv(65_536):
                     received += chunk
@@ -183,7 +183,7 @@
         return received
 
     def assert_still_serving(self, answer: bytes) -> None:
-        """No traceback went out, and the entry still answers."""
+        """Check that no traceback was sent and that the entry still answers."""
         self.assertNotIn(b'Traceback', answer)
         models = self.call('/v1/models', method='GET')
         self.assertEqual(200, models.status)
--- a/tests/entry/test_failures.py
+++ b/tests/entry/test_failures.py
@@ -1,4 +1,4 @@
-"""Kills, freezes and outages against real processes."""
+"""Killed and frozen processes, and outages, in a real deployment."""
 
 import http.client
 import json
@@ -26,11 +26,11 @@
     """Shared steps of the failure tests."""
 
     def find_process(self, name: str) -> RunningProcess:
-        """Find a process of the deployment."""
-        return next(one for one in self.fleet.processes if one.name == name)
+        """Return a process of the deployment by name."""
+        return next(each for each in self.fleet.processes if each.name == name)
 
     def await_true(self, condition: Callable[[], bool]) -> None:
-        """Wait until a condition holds."""
+        """Wait until a condition is true."""
         deadline_s = time.monotonic() + AWAIT_TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), deadline_s, condition)
@@ -43,35 +43,35 @@
         return stream
 
     def start_streams(self, count: int, tokens: int) -> list['Stream']:
-        """Start streams, and wait until each has brought something."""
+        """Start streams and wait until each has received something."""
         prompts = [
             f'{self.id()} {number}: answer {tokens} tokens'
             for number in range(count)
         ]
         streams = [Stream(self, prompt) for prompt in prompts]
-        self.await_true(lambda: all(one.received for one in streams))
+        self.await_true(lambda: all(each.received for each in streams))
         return streams
 
     def assert_complete(self, *streams: 'Stream') -> None:
-        """Every caller got the whole answer, each token once."""
+        """Check that every caller got the complete answer, each token once."""
         for stream in streams:
             text = streamed_text(stream.join())
             self.assertEqual(answer_text(stream.prompt, 1024), text)
 
     def engine_running(self, prompt: str) -> RunningProcess:
-        """Find the engine that runs a prompt, by its own record."""
-        for one in self.fleet.processes:
-            if one.kind == 'engine' and one.process.poll() is None:
-                record = self.fleet.get(f'{one.address}/standin/record')
+        """Return the engine that has an attempt in progress, by its record."""
+        for each in self.fleet.processes:
+            if each.kind == 'engine' and each.process.poll() is None:
+                record = self.fleet.get(f'{each.address}/standin/record')
                 if any(
                     attempt['end'] is None for attempt in record['attempts']
                 ):
-                    return one
+                    return each
         raise AssertionError(f'nobody runs {prompt!r}')
 
 
 class Stream:
-    """A caller that reads a stream in a thread of its own."""
+    """Caller that reads a stream in a separate thread."""
 
     def __init__(self, case: FleetCase, prompt: str) -> None:
         self.prompt = prompt
@@ -88,34 +88,35 @@
         self._thread.start()
 
     def join(self) -> bytes:
-        """Wait for the end; return all that came."""
+        """Wait for the end of the stream and return all data received."""
         self._thread.join(AWAIT_TIMEOUT_S)
-        assert not self._thread.is_alive(), 'the stream never ended'
+        assert not self._thread.is_alive(), 'the stream did not end'
         return self.received
 
     def _read(self) -> None:
         try:
-            while piece := self._answer.read1(65_536):
-                self.received += piece
+            while chunk := self._answer.read1(65_536):
+                self.received += chunk
         except (urllib3.exceptions.HTTPError, OSError) as error:
             self.error = error
 
 
 class EngineFailureTest(FailureCase):
-    """Engines that die or freeze under a stream."""
+    """Engines that crash or hang during a stream."""
 
     deployment = Deployment(engines={'route-assistant': 4})
 
-    def test_an_engine_killed_halfway(self) -> None:
-        """An engine crashes while a driver reads an answer from it. The
-        driver sees a pause and then the rest, nothing twice."""
+    def test_a_stream_survives_a_killed_engine(self) -> None:
+        """An engine crashes during a stream. The stream pauses and continues
+        on another engine, without repeated tokens."""
         stream = self.start_stream('killed')
         self.engine_running(stream.prompt).process.kill()
         self.assert_complete(stream)
 
-    def test_an_engine_frozen_halfway(self) -> None:
+    def test_a_stream_survives_a_frozen_engine(self) -> None:
         """An engine stops without closing its connections, as when a
-        machine hangs. The stream goes silent, and must go on elsewhere."""
+        machine hangs. The stream stalls and must continue on another
+        engine."""
         stream = self.start_stream('frozen')
         engine = self.engine_running(stream.prompt)
         engine.signal(signal.SIGSTOP)
@@ -124,37 +125,37 @@
 
 
 class EntryFailureTest(FailureCase):
-    """Entries and the platform that fail around a confirmation."""
+    """Failures of entries and the platform during a non-idempotent call."""
 
     deployment = Deployment(engines={'route-assistant': 1}, entries=3)
 
     def call_plain_standin(self, path: str, body: object = None) -> object:
-        """Ask the plain service's stand-in."""
+        """Send a control request to the plain service's stand-in."""
         address = self.target_address('crate-ledger-0')
         if body is None:
             return self.fleet.get(f'{address}/standin/{path}')
         return self.fleet.post(f'{address}/standin/{path}', body)
 
     def run_count(self, key: str) -> int:
-        """Count the runs of a call at the plain service."""
+        """Return how often the plain service ran a call."""
         return self.call_plain_standin('runs')['runs'].get(key, 0)
 
-    def test_an_entry_killed_after_dispatch(self) -> None:
-        """A salesman confirms empties; the entry dies before the answer is
-        back. He sends the confirmation again through another entry. It must
-        not run a second time, and he is told that its end is not known."""
+    def test_a_call_runs_once_if_its_entry_is_killed(self) -> None:
+        """An entry is killed after it has forwarded a non-idempotent call and
+        before the answer. The caller retries through other entries. The call
+        must not run a second time, and its outcome is reported as unknown."""
         self.call_plain_standin('faults', {'silent': True})
         key = 'killed-after-dispatch'
-        doomed = self.fleet.start_entry('entry-doomed', 'kurasini')
+        killed = self.fleet.start_entry('entry-doomed', 'kurasini')
         self.fleet.await_targets()
-        index = self.fleet.entries.index(doomed)
+        index = self.fleet.entries.index(killed)
         caller = threading.Thread(
             target=self.confirm_ignoring_errors, args=(index, key), daemon=True
         )
         caller.start()
         self.await_true(lambda: self.run_count(key) == 1)
-        doomed.process.kill()
-        self.fleet.entries.remove(doomed)
+        killed.process.kill()
+        self.fleet.entries.remove(killed)
         self.call_plain_standin('faults', {'silent': False})
         for entry in (0, 1, 2):
             answer = self.call(CONFIRM, {}, entry=entry, Idempotency_Key=key)
@@ -163,10 +164,10 @@
             self.assertEqual('unknown', problem['run'])
         self.assertEqual(1, self.run_count(key))
 
-    def test_the_platform_out(self) -> None:
-        """The platform's store is down for a while. Questions are answered
-        on; a confirmation is refused at once, truthfully as not run, and
-        runs once when the store is back."""
+    def test_an_outage_of_the_store(self) -> None:
+        """The platform's store is down for a while. Idempotent calls are still
+        answered. A non-idempotent call is refused immediately and reported as
+        not run, and runs once when the store is available again."""
         faults = f'{self.fleet.platform_url}/standin/faults'
         key = 'platform-out'
         self.fleet.post(faults, {'outage': True})
@@ -185,9 +186,9 @@
         )
         self.assertEqual(1, self.run_count(key))
 
-    def test_a_lost_answer_of_the_store(self) -> None:
-        """The store takes a claim and its answer is lost. The call must
-        neither be refused for good by its own claim nor run twice."""
+    def test_a_lost_answer_to_a_claim(self) -> None:
+        """The store accepts a claim and its answer is lost. The call must
+        neither be refused forever because of its own claim nor run twice."""
         faults = f'{self.fleet.platform_url}/standin/faults'
         self.fleet.post(faults, {'lose_answers': 1, 'keys': 'once/'})
         key = 'lost-answer'
@@ -196,7 +197,7 @@
         self.assertEqual(1, self.run_count(key))
 
     def confirm_ignoring_errors(self, entry: int, key: str) -> None:
-        """Confirm, and expect no answer."""
+        """Send a confirmation and ignore a connection error."""
         try:
             self.call(CONFIRM, {}, entry=entry, Idempotency_Key=key)
         except urllib3.exceptions.HTTPError:
@@ -204,19 +205,21 @@
 
 
 class WithdrawalTest(FailureCase):
-    """A key that is withdrawn while its caller is connected."""
+    """Withdrawal of a key while its caller is connected."""
 
     deployment = Deployment(engines={'route-assistant': 1})
 
-    def test_a_key_withdrawn_in_a_stream_and_under_a_frozen_entry(self) -> None:
-        """A phone is stolen while a long answer runs. The operator withdraws
-        its key: the answer ends within seconds, and the key is refused at
-        every entry, also at one that was frozen meanwhile."""
+    def test_a_withdrawn_key_ends_a_stream_and_is_refused_everywhere(
+        self,
+    ) -> None:
+        """A key is withdrawn during a long stream. The stream ends within
+        seconds, and every entry refuses the key, including one that was frozen
+        at the time."""
         frozen = self.fleet.entries[1]
-        # At its pace of 75 tokens a second it outlasts the bound below.
+        # At 75 tokens per second the stream lasts longer than the bound below.
         [stream] = self.start_streams(1, 1000)
         frozen.signal(signal.SIGSTOP)
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         self.fleet.run_operator(
             'key',
             'withdraw',
@@ -228,7 +231,7 @@
             statuses=(ExitStatus.NOT_EVERYWHERE,),
         )
         ended = stream.join()
-        self.assertLess(time.monotonic() - begun_s, 12)
+        self.assertLess(time.monotonic() - started_s, 12)
         self.assertIn(b'"code": "withdrawn"', ended)
         frozen.signal(signal.SIGCONT)
         self.await_true(
@@ -238,14 +241,14 @@
 
 
 class CallerDisconnectTest(FailureCase):
-    """Callers that leave before their answer is whole."""
+    """Callers that disconnect before their answer is complete."""
 
     deployment = Deployment(engines={'route-assistant': 1})
 
-    def test_work_for_a_caller_that_left_is_ended(self) -> None:
-        """A driver loses his network halfway through a long answer. Nobody
-        reads the rest, streamed or not; the engine must not go on with it
-        for long, since each token costs and holds up others."""
+    def test_an_attempt_is_cancelled_when_its_caller_disconnects(self) -> None:
+        """A caller disconnects during a long answer, streamed or not. The
+        engine must cancel the attempt soon, since each further token uses
+        capacity that other calls need."""
         for stream in (True, False):
             prompt = f'left {stream}: answer 1000 tokens'
             self.disconnect_midway(prompt, stream=stream)
@@ -261,7 +264,7 @@
             self.assertLess(last['output_tokens'], 400)
 
     def disconnect_midway(self, prompt: str, *, stream: bool) -> None:
-        """Ask, wait until the engine works, and close the connection."""
+        """Send a request, wait until the engine runs it, and disconnect."""
         parts = urlsplit(self.fleet.entries[0].address)
         body = json.dumps(
             {
@@ -282,7 +285,7 @@
         connection.close()
 
     def has_attempt_in_progress(self) -> bool:
-        """Whether the engine has an attempt in progress."""
+        """Return whether the engine has an attempt in progress."""
         address = self.find_process('route-assistant-0').address
         attempts = self.fleet.get(f'{address}/standin/record')['attempts']
         return any(attempt['end'] is None for attempt in attempts)
--- a/tests/entry/test_log.py
+++ b/tests/entry/test_log.py
@@ -1,4 +1,4 @@
-"""A run's log answers why, without telling a secret."""
+"""The log of an entry explains its decisions and contains no secrets."""
 
 import json
 
@@ -12,41 +12,43 @@
     deployment = Deployment(engines={'route-assistant': 1}, entries=1)
 
     def records(self, request_id: str) -> list[dict[str, object]]:
-        """Read the log's lines about one request."""
+        """Return the log records of one request."""
         lines = (self.fleet.logs / 'entry-1.log').read_text().splitlines()
         records = [json.loads(line) for line in lines]
-        return [one for one in records if request_id in json.dumps(one)]
+        return [
+            record for record in records if request_id in json.dumps(record)
+        ]
 
-    def test_it_tells_why_a_call_was_refused(self) -> None:
+    def test_the_log_has_the_cause_of_a_refusal(self) -> None:
         refused = self.call(
             '/v1/completions', {'model': 'unheard-of', 'prompt': 'x'}
         )
         records = self.records(refused.headers['X-Request-Id'])
-        refusal = [
-            one
-            for one in records
-            if one.get('message_type') == 'request.refused'
+        refusals = [
+            record
+            for record in records
+            if record.get('message_type') == 'request.refused'
         ]
-        self.assertIn('unknown_model', json.dumps(refusal))
+        self.assertIn('unknown_model', json.dumps(refusals))
 
-    def test_it_tells_where_a_call_went_as_one_action(self) -> None:
+    def test_a_call_is_logged_as_one_action_with_its_target(self) -> None:
         answer = self.call(
             '/v1/completions',
             {'model': 'crate-lm', 'prompt': 'where: answer 3 tokens'},
         )
         records = self.records(answer.headers['X-Request-Id'])
         self.assertIn('route-assistant-0', json.dumps(records))
-        started = [one for one in records if 'action_type' in one]
+        started = [record for record in records if 'action_type' in record]
         self.assertEqual('request', started[0]['action_type'])
-        tasks = {one['task_uuid'] for one in records}
+        tasks = {record['task_uuid'] for record in records}
         self.assertEqual(1, len(tasks))
 
-    def test_it_tells_who_changed_the_configuration(self) -> None:
+    def test_the_log_has_the_author_of_a_configuration_change(self) -> None:
         text = (self.fleet.logs / 'entry-1.log').read_text()
         self.assertIn('configuration.in_force', text)
         self.assertIn('launcher', text)
 
-    def test_it_holds_no_secret(self) -> None:
+    def test_the_log_contains_no_secret(self) -> None:
         self.call('/v1/models', method='GET')
         text = (self.fleet.logs / 'entry-1.log').read_text()
         for secret in (SECRET, self.keys.routes, self.keys.depot):
--- a/tests/entry/test_path.py
+++ b/tests/entry/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path in separate processes, from the operator to the engine."""
+"""End-to-end requests through separate processes."""
 
 import json
 import signal
@@ -9,17 +9,17 @@
 
 
 def streamed_text(raw: bytes) -> str:
-    """Join a whole stream's text; a stream without its end is an error."""
-    *events, done, rest = raw.decode().split('\n\n')
-    assert (done, rest) == ('data: [DONE]', ''), raw[-200:]
-    chunks = [json.loads(one.removeprefix('data: ')) for one in events]
+    """Return the text of a complete stream; fail if its end is missing."""
+    *events, done, after_done = raw.decode().split('\n\n')
+    assert (done, after_done) == ('data: [DONE]', ''), raw[-200:]
+    chunks = [json.loads(event.removeprefix('data: ')) for event in events]
     return ''.join(chunk['choices'][0]['text'] for chunk in chunks)
 
 
 class PathTest(FleetCase):
-    """Requests through real entries to stand-ins and back."""
+    """Requests through real entries to stand-ins."""
 
-    def test_both_entries_answer_whole(self) -> None:
+    def test_both_entries_return_complete_answers(self) -> None:
         for entry in (0, 1):
             prompt = f'question {entry}: answer 9 tokens'
             answer = self.call(
@@ -30,7 +30,7 @@
             choice = json.loads(answer.data)['choices'][0]
             self.assertEqual(answer_text(prompt, 64), choice['text'])
 
-    def test_a_stream_brings_each_token_once_in_order(self) -> None:
+    def test_a_stream_has_each_token_once_in_order(self) -> None:
         prompt = 'stream: answer 40 tokens'
         answer = self.call(
             '/v1/completions',
@@ -38,9 +38,9 @@
         )
         self.assertEqual(answer_text(prompt, 64), streamed_text(answer.data))
 
-    def test_tokens_come_as_they_are_made(self) -> None:
-        """A driver watches an answer grow. What the engine has made reaches
-        him at once, and is not held back until there is more of it."""
+    def test_tokens_are_forwarded_immediately(self) -> None:
+        """Tokens of a stream are forwarded immediately, and not buffered
+        until there are more of them."""
         address = self.fleet.entries[0].address
         body = {'model': 'crate-lm', 'stream': True}
         answer = self.http.request(
@@ -55,7 +55,7 @@
             continue
         self.assertLess(first.count(b'data: '), 10)
 
-    def test_a_confirmation_runs_once_through_both_entries(self) -> None:
+    def test_a_call_with_the_same_key_runs_once_across_entries(self) -> None:
         for entry in (0, 1, 0):
             answer = self.call(
                 '/services/crate-ledger/confirm',
@@ -69,12 +69,14 @@
         )
         self.assertEqual(1, runs['runs']['empties-17'])
 
-    def test_a_confirmation_without_its_key_names_the_remedy(self) -> None:
+    def test_a_call_without_idempotency_key_is_refused_with_a_remedy(
+        self,
+    ) -> None:
         answer = self.call('/services/crate-ledger/confirm', {'returned': 4})
         self.assertEqual(400, answer.status)
         self.assertIn('Idempotency-Key', json.loads(answer.data)['remedy'])
 
-    def test_no_target_sees_a_callers_key(self) -> None:
+    def test_targets_do_not_receive_the_api_key(self) -> None:
         self.call(
             '/services/crate-ledger/confirm', {}, Idempotency_Key='key-check'
         )
@@ -85,15 +87,15 @@
 
 
 class ShutdownTest(FleetCase):
-    """SIGTERM in the middle of a stream."""
+    """SIGTERM during a stream."""
 
-    def test_sigterm_lets_a_stream_finish(self) -> None:
-        """An operator replaces an entry while a driver reads a long answer.
-        The driver must get it whole, and the process must end by itself."""
+    def test_a_stream_completes_after_sigterm(self) -> None:
+        """An entry is shut down during a long stream. The caller must get the
+        complete answer, and the process must end by itself."""
         prompt = 'long one: answer 90 tokens'
-        got: list[bytes] = []
+        received: list[bytes] = []
         caller = threading.Thread(
-            target=lambda: got.append(
+            target=lambda: received.append(
                 self.call(
                     '/v1/completions',
                     {'model': 'crate-lm', 'prompt': prompt, 'stream': True},
@@ -107,4 +109,4 @@
         entry.signal(signal.SIGTERM)
         caller.join()
         self.assertEqual(0, entry.wait())
-        self.assertEqual(answer_text(prompt, 128), streamed_text(got[0]))
+        self.assertEqual(answer_text(prompt, 128), streamed_text(received[0]))
--- a/tests/entry/test_planned.py
+++ b/tests/entry/test_planned.py
@@ -1,4 +1,4 @@
-"""Planned changes under load: entries that leave, targets that go."""
+"""Planned changes under load: entries that shut down, targets that leave."""
 
 import json
 import signal
@@ -16,28 +16,29 @@
 
 CALL_COUNT = 30
 BALANCER_NOTICE_S = 4.0
-# A leaving target may get new work for this long after the platform lists it.
+# Maximum time after a target is listed as leaving until it gets no new work.
 NO_NEW_WORK_WITHIN_S = 5.0
 WORKER_COUNT = 6
-# Keeps the load under the organisation's limit of calls a second.
+# Keeps the load below the rate limit of the organisation.
 REQUEST_INTERVAL_S = 0.2
 CALLS_WITHOUT_NEW_WORK = 40
 STREAM_COUNT = 10
 LONG_ANSWER_TOKENS = 400
-# Streams that none ends before two listings, one after the other, are read.
+# Long enough that no stream ends before two successive listings are read.
 LONGEST_ANSWER_TOKENS = 1000
-# A stream has gone on elsewhere before its engine has made so many more.
+# Maximum number of tokens that an engine generates for a stream after it was
+# reclaimed, before the stream continues on another engine.
 MAX_TOKENS_AFTER_RECLAIM = 200
 SHORT_ANSWER_TOKENS = 8
-# Higher than any fence of the system's own orders.
+# Higher than any fencing token of the system's own orders.
 HIGHEST_FENCE = 1_000_000_000
 
 
 class PlannedCase(FailureCase):
-    """Calls that know what their answer must be."""
+    """Calls that check their answers."""
 
     def ask(self, prompt: str, *, entry: int, stream: bool) -> None:
-        """Ask a question; the answer must be whole."""
+        """Request a completion and check that the answer is complete."""
         body = {'model': 'crate-lm', 'prompt': prompt, 'stream': stream}
         answer = self.call('/v1/completions', body, entry=entry)
         self.assertEqual(200, answer.status, answer.data)
@@ -48,24 +49,24 @@
         self.assertEqual(answer_text(prompt, 1024), text)
 
     def confirm(self, key: str, *, entry: int) -> None:
-        """Confirm; the answer must be of the first run."""
+        """Send a confirmation and check that it has run only once."""
         answer = self.call(CONFIRM, {}, entry=entry, Idempotency_Key=key)
         self.assertEqual({'runs': 1}, json.loads(answer.data))
 
     def logs(self) -> str:
-        """Read what all entries have logged."""
+        """Return the logs of all entries."""
         logs = self.fleet.logs.glob('entry-*.log')
         return ''.join(log.read_text() for log in logs)
 
 
 class LeavingEntryCase(PlannedCase):
-    """Entries that are told to end while they work."""
+    """Entries that are shut down with calls in progress."""
 
     deployment = Deployment(engines={'route-assistant': 2})
     balancer_notice_s = BALANCER_NOTICE_S
 
     def start_leaving_entry(self, name: str) -> tuple[RunningProcess, int]:
-        """Start an entry that the test may end."""
+        """Start an entry that the test may stop; return it with its index."""
         running = self.fleet.start_entry(name, 'kurasini')
         self.addCleanup(self.fleet.entries.remove, running)
         self.fleet.await_targets()
@@ -74,7 +75,7 @@
     def start_call(
         self, pool: ThreadPoolExecutor, number: int, entry: int
     ) -> 'Future[None]':
-        """Begin a stream, a whole answer or a confirmation."""
+        """Start a stream, a non-streamed answer or a confirmation."""
         if number % 3 == 2:
             return pool.submit(self.confirm, f'planned-{number}', entry=entry)
         prompt = f'planned {number}: answer 360 tokens'
@@ -82,22 +83,22 @@
         return pool.submit(self.ask, prompt, entry=entry, stream=stream)
 
     def in_progress(self, entry: RunningProcess) -> int:
-        """Count the calls in progress at an entry, by its own word."""
+        """Return the number of calls in progress that an entry reports."""
         return self.fleet.get(f'{entry.address}/status')['in_progress']
 
     def health_status(self, entry: RunningProcess) -> int:
-        """Ask an entry as the balancer does."""
+        """Return the status of the health check that the load balancer uses."""
         return self.http.request('GET', f'{entry.address}/healthz').status
 
 
 class LeavingEntryTest(LeavingEntryCase):
-    """SIGTERM to an entry at a busy hour."""
+    """SIGTERM to an entry under load."""
 
-    def test_sigterm_under_load_cuts_nothing(self) -> None:
-        """An operator replaces an entry at a busy hour, with thirty calls
-        open at two entries. The balancer hears of it at once and still sends
-        calls for a while. Every driver and salesman gets the whole answer,
-        and no confirmation runs twice."""
+    def test_all_calls_complete_after_sigterm_under_load(self) -> None:
+        """An entry is shut down with thirty calls in progress at two entries.
+        Its health check fails immediately, but the load balancer still sends
+        calls for a while. Every caller gets the complete answer, and no
+        non-idempotent call runs twice."""
         plain = self.target_address('crate-ledger-0')
         faults = f'{plain}/standin/faults'
         self.fleet.post(faults, {'delay_s': 6})
@@ -113,15 +114,15 @@
                     lambda at=entry: self.in_progress(at) == CALL_COUNT // 2
                 )
             leaving.signal(signal.SIGTERM)
-            begun_s = time.monotonic()
+            started_s = time.monotonic()
             self.await_true(lambda: self.health_status(leaving) == 503)
-            self.assertLess(time.monotonic() - begun_s, 1)
+            self.assertLess(time.monotonic() - started_s, 1)
             self.assertFalse(any(call.done() for call in calls))
             calls.extend(
                 self.start_call(pool, number, index)
                 for number in (CALL_COUNT, CALL_COUNT + 2)
             )
-            self.assertLess(time.monotonic() - begun_s, BALANCER_NOTICE_S)
+            self.assertLess(time.monotonic() - started_s, BALANCER_NOTICE_S)
             for call in calls:
                 call.result()
         self.assertEqual(ExitStatus.OK, leaving.wait())
@@ -131,16 +132,16 @@
 
 
 class SecondSignalTest(LeavingEntryCase):
-    """A second signal, in a fleet of its own.
+    """A second signal to a leaving entry, in a separate fleet.
 
-    The entry that it ends counts as live for some seconds, and takes an
-    equal part of the organisation's calls at once.
+    The terminated entry counts as live for some seconds, and during that time
+    is allocated an equal share of the organisation's concurrent calls.
     """
 
-    def test_a_second_sigterm_cuts_short(self) -> None:
-        """An operator cannot wait for a long answer and ends the entry a
-        second time. The process goes at once and its status says that it
-        cut calls; the driver sees that his answer is not whole."""
+    def test_a_second_sigterm_terminates_immediately(self) -> None:
+        """A second SIGTERM is sent while a long stream is in progress. The
+        process ends immediately with the exit status CUT, and the caller can
+        see that the answer is incomplete."""
         leaving, index = self.start_leaving_entry('entry-cut')
         with ThreadPoolExecutor(1) as pool:
             prompt = 'cut: answer 900 tokens'
@@ -148,27 +149,27 @@
             self.await_true(lambda: self.in_progress(leaving) == 1)
             leaving.signal(signal.SIGTERM)
             self.await_true(lambda: self.health_status(leaving) == 503)
-            begun_s = time.monotonic()
+            started_s = time.monotonic()
             leaving.signal(signal.SIGTERM)
             status = leaving.wait()
-            self.assertLess(time.monotonic() - begun_s, 3)
+            self.assertLess(time.monotonic() - started_s, 3)
             self.assertIsNotNone(call.exception())
         self.assertEqual(ExitStatus.CUT, status)
 
 
 class LeavingTargetTest(PlannedCase):
-    """Targets that drain, leave or are taken back while they work."""
+    """Targets that drain, leave or are reclaimed with calls in progress."""
 
     deployment = Deployment(engines={'route-assistant': 6})
 
     def attempts(self, name: str) -> dict[str, dict[str, Any]]:
-        """Read an engine's own record of its attempts."""
+        """Return an engine's record of its attempts, by attempt id."""
         address = self.find_process(name).address
         found = self.fleet.get(f'{address}/standin/record')['attempts']
         return {attempt['attempt_id']: attempt for attempt in found}
 
     def long_attempts(self, name: str) -> set[str]:
-        """Name an engine's long attempts in progress."""
+        """Return the ids of the long attempts in progress at an engine."""
         return {
             attempt_id
             for attempt_id, attempt in self.attempts(name).items()
@@ -177,7 +178,7 @@
         }
 
     def count_long_attempts(self) -> int:
-        """Count the long attempts in progress at all engines."""
+        """Return the number of long attempts in progress at all engines."""
         return sum(
             len(self.long_attempts(one.name))
             for one in self.fleet.processes
@@ -185,14 +186,14 @@
         )
 
     def set_target_state(self, name: str, state: str) -> None:
-        """Give a target another state in the platform's list."""
+        """Change the state of a target in the platform's list."""
         for target in self.fleet.targets:
             if target['target_id'] == name:
                 target['state'] = state
         self.fleet.publish_targets()
 
     def drain(self, name: str) -> None:
-        """Give an engine the order to drain."""
+        """Order an engine to drain."""
         order = {'order_id': name, 'fence': HIGHEST_FENCE, 'kind': 'drain'}
         url = f'{self.find_process(name).address}/orders'
         answer = self.fleet.post(url, {**order, 'argument': ''})
@@ -201,7 +202,7 @@
     def send_short_requests(
         self, worker: int, served: list[int], ended: threading.Event
     ) -> None:
-        """Ask short questions through the entries that run."""
+        """Send short requests through the serving entries until `ended` is set."""
         while not ended.wait(REQUEST_INTERVAL_S):
             number = len(served)
             prompt = f'{worker} {number}: answer {SHORT_ANSWER_TOKENS} tokens'
@@ -215,12 +216,12 @@
         *entries: int,
         tokens: int = LONG_ANSWER_TOKENS,
     ) -> str:
-        """Change an engine that works on long answers, under a load of
-        short ones. All are whole, and soon it gets no new work. Returns its
-        name."""
+        """Change the state of an engine with long streams in progress, under a
+        load of short requests. Check that all answers are complete and that
+        the engine soon gets no new work. Returns the name of the engine."""
         self.serving_entries = entries
         streams = self.start_streams(STREAM_COUNT, tokens)
-        # A stream counts as long once it is past a short answer's length.
+        # A stream counts as long once it exceeds the length of a short answer.
         self.await_true(lambda: self.count_long_attempts() == STREAM_COUNT)
         names = [
             str(target['target_id'])
@@ -250,45 +251,49 @@
         return name
 
     def assert_no_new_work(self, name: str, served: list[int]) -> None:
-        """Soon entries send nothing to an engine, by their own logs, though
-        calls come on: its refusals hide from its record what was sent."""
-        until_s = time.monotonic() + NO_NEW_WORK_WITHIN_S
+        """Check that entries soon send no new work to an engine while calls
+        continue. This uses the logs of the entries, since an engine does not
+        record the attempts that it refuses."""
+        deadline_s = time.monotonic() + NO_NEW_WORK_WITHIN_S
         sent, since = -1, 0
         while (
             len(served) < since + CALLS_WITHOUT_NEW_WORK
-            or time.monotonic() < until_s
+            or time.monotonic() < deadline_s
         ):
             now_sent = self.logs().count(f' to {name}"')
             if now_sent != sent:
-                self.assertLess(time.monotonic(), until_s, name)
+                self.assertLess(time.monotonic(), deadline_s, name)
                 sent, since = now_sent, len(served)
-            self.assertLess(time.monotonic(), until_s + 20, 'calls stopped')
+            self.assertLess(
+                time.monotonic(),
+                deadline_s + 20,
+                'no further calls were served',
+            )
             time.sleep(0.05)
 
     def assert_all_attempts_finished(self, name: str) -> None:
-        """An engine has finished all it began, and nobody took it away."""
+        """Check that an engine has finished all its attempts itself."""
         ends = [attempt['end'] for attempt in self.attempts(name).values()]
         self.assertEqual({'stop'}, {end['reason'] for end in ends})
 
-    def test_a_drained_engine(self) -> None:
-        """An engine is drained for a new version while drivers read long
-        answers from it. They read on to the end, and others are served
-        elsewhere without noticing."""
+    def test_streams_complete_on_a_drained_engine(self) -> None:
+        """An engine is drained while it serves long streams. These complete
+        there, and other calls are routed to other engines."""
         self.assert_all_attempts_finished(
             self.change_under_load(self.drain, 0, 1)
         )
 
-    def test_a_target_listed_as_leaving(self) -> None:
-        """The platform will take a machine away and lists it as leaving.
-        Answers that run there are finished, and new ones run elsewhere."""
+    def test_calls_complete_on_a_leaving_target(self) -> None:
+        """The platform lists a target as leaving. Calls in progress complete
+        there, and new calls are routed to other targets."""
         name = self.change_under_load(
             lambda found: self.set_target_state(found, 'leaving'), 0, 1
         )
         self.assert_all_attempts_finished(name)
 
-    def test_a_leaving_target_and_an_entry_without_peers(self) -> None:
-        """A partition leaves an entry alone: its links are open and nobody
-        answers. It must learn by itself that a target leaves."""
+    def test_a_partitioned_entry_detects_a_leaving_target(self) -> None:
+        """An entry is partitioned from its peers: its connections are open,
+        but no peer answers. It must detect by itself that a target leaves."""
         peer = self.fleet.entries[1]
         self.addCleanup(peer.signal, signal.SIGCONT)
         peer.signal(signal.SIGSTOP)
@@ -297,64 +302,67 @@
         )
         self.assert_all_attempts_finished(name)
 
-    def test_a_target_taken_back(self) -> None:
-        """The platform takes a cheap machine back within seconds. The long
-        answers that run there go on elsewhere before it is gone, and their
-        readers see nothing of it."""
-        cut: set[str] = set()
+    def test_streams_of_a_reclaimed_target_continue_elsewhere(self) -> None:
+        """The platform reclaims a spot instance within seconds. The long
+        streams in progress there continue on other engines before it is gone,
+        without callers noticing."""
+        reclaimed_attempts: set[str] = set()
 
-        def take_back(found: str) -> None:
-            cut.update(self.long_attempts(found))
+        def reclaim(found: str) -> None:
+            reclaimed_attempts.update(self.long_attempts(found))
             self.set_target_state(found, 'reclaimed')
 
-        attempts = self.attempts(self.change_under_load(take_back, 0, 1))
-        self.assertNotEqual(set(), cut)
-        for attempt_id in cut:
+        attempts = self.attempts(self.change_under_load(reclaim, 0, 1))
+        self.assertNotEqual(set(), reclaimed_attempts)
+        for attempt_id in reclaimed_attempts:
             self.assertLess(
                 attempts[attempt_id]['output_tokens'], LONG_ANSWER_TOKENS
             )
 
     def test_a_leaving_target_taken_back_early(self) -> None:
-        """The platform lists a machine as leaving, and then takes it back
-        before the answers there are finished. They must go on elsewhere."""
-        made_before: dict[str, int] = {}
+        """The platform lists a target as leaving, and then reclaims it before
+        the streams there are complete. They must continue on other
+        targets."""
+        tokens_before: dict[str, int] = {}
         status = f'{self.fleet.entries[0].address}/status'
 
         def usable() -> int:
             return self.fleet.get(status)['usable_targets']
 
-        def take_back(found: str) -> None:
+        def reclaim(found: str) -> None:
             before = usable()
             self.set_target_state(found, 'leaving')
             self.await_true(lambda: usable() < before)
             attempts = self.attempts(found)
             for attempt_id in self.long_attempts(found):
-                made_before[attempt_id] = attempts[attempt_id]['output_tokens']
+                tokens_before[attempt_id] = attempts[attempt_id][
+                    'output_tokens'
+                ]
             self.set_target_state(found, 'reclaimed')
 
         name = self.change_under_load(
-            take_back, 0, 1, tokens=LONGEST_ANSWER_TOKENS
+            reclaim, 0, 1, tokens=LONGEST_ANSWER_TOKENS
         )
         attempts = self.attempts(name)
-        self.assertNotEqual({}, made_before)
-        for attempt_id, before in made_before.items():
-            made = attempts[attempt_id]['output_tokens']
-            self.assertLess(made, LONGEST_ANSWER_TOKENS)
-            self.assertLess(made - before, MAX_TOKENS_AFTER_RECLAIM)
+        self.assertNotEqual({}, tokens_before)
+        for attempt_id, before in tokens_before.items():
+            generated = attempts[attempt_id]['output_tokens']
+            self.assertLess(generated, LONGEST_ANSWER_TOKENS)
+            self.assertLess(generated - before, MAX_TOKENS_AFTER_RECLAIM)
 
 
 class SilentConnectionTest(PlannedCase):
-    """Connections to engines that something between has forgotten."""
+    """Connections to engines that a middlebox drops silently."""
 
     deployment = Deployment(
         engines={'route-assistant': 2},
         targets_behind_links=('route-assistant-0', 'route-assistant-1'),
     )
 
-    def test_open_connections_go_silent_for_good(self) -> None:
-        """A middlebox forgets the open connections to an engine and swallows
-        all that they carry, while new ones work. Drivers see a pause and
-        then the rest of their answers, nothing twice."""
+    def test_streams_survive_connections_dropped_silently(self) -> None:
+        """A middlebox loses its state of the open connections to an engine and
+        drops their packets, while new connections work. Streams pause and
+        then continue, without repeated tokens."""
         streams = self.start_streams(8, 200)
         link = self.fleet.links['route-assistant-0']
         state = self.fleet.post(f'{link.secondary_address}/silence', {})
--- a/tests/entry/test_settings.py
+++ b/tests/entry/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of an entry: right, wrong, and wrong all over."""
+"""Valid and invalid settings files of an entry."""
 
 import pathlib
 import tempfile
@@ -10,7 +10,7 @@
 from dandelionyoke_entry._command import run_program
 
 SECRET = 'sixteen bytes or more'
-GOOD = f"""\
+VALID_SETTINGS = f"""\
 [entry]
 instance_id = entry-1
 domain = kurasini
@@ -25,26 +25,30 @@
 
 class SettingsTest(testtools.TestCase):
     def check(self, text: str) -> int:
-        """Run the program's check on a file."""
+        """Run the program with --check on a settings text."""
         folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
         file = folder / 'entry.ini'
         file.write_text(text)
         return run_program(['--settings', str(file), '--check'])
 
-    def test_good_settings_pass_the_check(self) -> None:
-        self.assertEqual(ExitStatus.OK, self.check(GOOD))
-        self.assertEqual(0, read_settings(GOOD).callers.port)
+    def test_valid_settings_pass_the_check(self) -> None:
+        self.assertEqual(ExitStatus.OK, self.check(VALID_SETTINGS))
+        self.assertEqual(0, read_settings(VALID_SETTINGS).callers.port)
 
     def test_every_mistake_comes_in_one_report(self) -> None:
-        wrong = GOOD.replace('entry-1', 'no name!').replace('http', 'ftp')
-        wrong = wrong.replace(SECRET, 'short') + '\n[limits]\nmax_cals = 3\n'
-        self.assertEqual(ExitStatus.BAD_SETTINGS, self.check(wrong))
-        raised = self.assertRaises(SettingsError, read_settings, wrong)
-        for named in ('instance_id', 'url', 'secret', 'max_cals'):
-            self.assertIn(named, str(raised))
+        invalid = VALID_SETTINGS.replace('entry-1', 'no name!').replace(
+            'http', 'ftp'
+        )
+        invalid = (
+            invalid.replace(SECRET, 'short') + '\n[limits]\nmax_cals = 3\n'
+        )
+        self.assertEqual(ExitStatus.BAD_SETTINGS, self.check(invalid))
+        raised = self.assertRaises(SettingsError, read_settings, invalid)
+        for option in ('instance_id', 'url', 'secret', 'max_cals'):
+            self.assertIn(option, str(raised))
         self.assertNotIn('short', str(raised))
 
-    def test_each_option_refuses_what_it_cannot_be(self) -> None:
+    def test_each_option_rejects_invalid_values(self) -> None:
         for section, option, value in (
             ('entry', 'caller_address', 'nowhere'),
             ('entry', 'peer_address', '127.0.0.1:70000'),
@@ -54,15 +58,15 @@
             ('limits', 'max_body_bytes', 'many'),
         ):
             extra = f'{option} = {value}\n'
-            text = GOOD.replace('[entry]\n', f'[entry]\n{extra}')
+            text = VALID_SETTINGS.replace('[entry]\n', f'[entry]\n{extra}')
             if section != 'entry':
-                text = f'{GOOD}\n[{section}]\n{extra}'
+                text = f'{VALID_SETTINGS}\n[{section}]\n{extra}'
             raised = self.assertRaises(SettingsError, read_settings, text)
             self.assertIn(f'[{section}] {option}', str(raised))
 
-    def test_no_file_and_no_ini_name_their_remedy(self) -> None:
+    def test_a_missing_file_and_invalid_ini_are_rejected(self) -> None:
         self.assertEqual(ExitStatus.BAD_SETTINGS, run_program([]))
         self.assertEqual(ExitStatus.BAD_SETTINGS, self.check('x = 1'))
 
-    def test_the_secret_is_in_no_representation(self) -> None:
-        self.assertNotIn(SECRET, repr(read_settings(GOOD)))
+    def test_the_secret_is_not_in_the_representation(self) -> None:
+        self.assertNotIn(SECRET, repr(read_settings(VALID_SETTINGS)))
--- a/tests/operator/support.py
+++ b/tests/operator/support.py
@@ -1,4 +1,4 @@
-"""A store, a platform and a clock in memory, and runs of the program."""
+"""In-memory store, platform and clock, and a harness to run commands."""
 
 import io
 import itertools
@@ -52,10 +52,11 @@
 
 @attrs.define
 class MemoryStore:
-    """Compare-and-swap in memory, with the store's faults.
+    """In-memory store with compare-and-swap and fault injection.
 
-    `before_put` runs before the next write; `lost_answers` writes take
-    effect without an answer; the next `outage_calls` calls are refused.
+    `before_put` is called before the next write. The next `lost_answers`
+    writes take effect without an answer, and the next `outage_calls` calls
+    are refused. `calls` counts all calls.
     """
 
     content: dict[str, StoreItem] = attrs.field(factory=dict)
@@ -78,15 +79,15 @@
         if isinstance(action, StoreDelete):
             return self._delete(action)
         assert isinstance(action, StorePut)
-        race, self.before_put = self.before_put, None
-        if race:
-            race()
+        callback, self.before_put = self.before_put, None
+        if callback:
+            callback()
         return self._put(action)
 
     def _put(self, action: StorePut) -> StoreResult:
-        present = self._current_item(action.key)
-        if present.revision != action.expected_revision:
-            return StoreConflict(present)
+        current = self._current_item(action.key)
+        if current.revision != action.expected_revision:
+            return StoreConflict(current)
         self.revision += 1
         self.content[action.key] = StoreItem(
             action.key, self.revision, action.value
@@ -97,9 +98,9 @@
         return StoreWritten(action.key, self.revision)
 
     def _delete(self, action: StoreDelete) -> StoreResult:
-        present = self._current_item(action.key)
-        if present.revision != action.expected_revision:
-            return StoreConflict(present)
+        current = self._current_item(action.key)
+        if current.revision != action.expected_revision:
+            return StoreConflict(current)
         self.revision += 1
         self.content.pop(action.key, None)
         return StoreWritten(action.key, self.revision)
@@ -110,7 +111,11 @@
 
 @attrs.define(slots=False)
 class MemoryPlatform:
-    """Entries that follow the store, but for those that lag or are silent."""
+    """Platform with entries that follow the store, except for faults.
+
+    `polls_behind` maps an entry to the number of status requests that it
+    answers with an old revision. Entries in `silent` do not answer.
+    """
 
     store: MemoryStore = attrs.field(factory=MemoryStore)
     polls_behind: dict[str, int] = attrs.field(factory=dict)
@@ -133,13 +138,13 @@
         name = instance.instance_id
         if name in self.silent:
             return None
-        lag = self.polls_behind.get(name, 0)
-        if lag:
-            self.polls_behind[name] = lag - 1
+        remaining_polls = self.polls_behind.get(name, 0)
+        if remaining_polls:
+            self.polls_behind[name] = remaining_polls - 1
         return EntryStatus(
             instance.instance_id,
             instance.domain,
-            revision=self._head_revision() - (1 if lag else 0),
+            revision=self._head_revision() - (1 if remaining_polls else 0),
             knowledge_age_s=0.5,
             in_progress=4,
             usable_targets=13,
@@ -163,7 +168,7 @@
 
 @attrs.frozen
 class CommandResult:
-    """How a run ended and what it wrote."""
+    """Exit status and output of a run of the program."""
 
     status: ExitStatus
     output: str
@@ -176,7 +181,7 @@
 
 @attrs.define
 class OperatorConsole:
-    """An operator's console: runs commands in this process, in virtual time."""
+    """Harness that runs commands in the test process, in virtual time."""
 
     platform: MemoryPlatform = attrs.field(factory=MemoryPlatform)
     now_s: float = NOON_S
@@ -215,5 +220,5 @@
         self.connected.append(url)
         return self.platform
 
-    def _sleep(self, pause_s: float) -> None:
-        self.now_s += pause_s
+    def _sleep(self, duration_s: float) -> None:
+        self.now_s += duration_s
--- a/tests/operator/test_changes.py
+++ b/tests/operator/test_changes.py
@@ -1,16 +1,16 @@
-"""Changes go in once, spread, meet each other, and can be undone."""
+"""Changes are committed once, rolled out, checked for conflicts and undone."""
 
 from dandelionyoke_core import Instance, hash_key
 from dandelionyoke_operator._exit_status import ExitStatus
 from tests.operator.support import CONFIGURATION
 from tests.operator.test_commands import RAISED_PRIORITY, ConsoleTestCase
 
-# The head, a snapshot, and the changes between that the head has lost.
+# For the head, a snapshot, and the changes between that left the head.
 MAX_STORE_CALLS = 20
 
 
 class ApplyTest(ConsoleTestCase):
-    def test_apply_waits_until_all_entries_have_it(self) -> None:
+    def test_apply_waits_until_all_entries_have_the_revision(self) -> None:
         self.platform.polls_behind['ubungo-1'] = 3
         self._assert_result(
             self.console.apply(CONFIGURATION),
@@ -20,9 +20,10 @@
             'ubungo: in force in 1 of 1 instances',
         )
 
-    def test_an_entry_that_does_not_answer_is_named(self) -> None:
-        """A failure domain is cut off when a change is applied. The change
-        is committed; the operator reads which entry has not answered.
+    def test_report_names_an_entry_that_does_not_answer(self) -> None:
+        """A failure domain is partitioned while a change is applied. The
+        change is committed, and the report names the entry that did not
+        answer.
         """
         self.platform.silent.add('ubungo-1')
         self.platform.polls_behind['kurasini-1'] = 10**6
@@ -37,33 +38,33 @@
             '    ubungo-1 has not answered',
         )
 
-    def test_breaking_off_the_wait_leaves_no_doubt_about_the_change(
+    def test_interrupted_wait_reports_that_the_change_is_committed(
         self,
     ) -> None:
-        """The operator breaks off a wait that takes too long. The screen
-        says already that the change is made, so nobody makes it again.
+        """The operator interrupts the wait. The output already says that
+        the change is committed, so that it is not made again.
         """
 
-        # One key press is one interrupt. A second one, from the question to
-        # the next entry, would wait in the event loop for the next test.
-        pressed = iter((KeyboardInterrupt(),))
+        # Raise only one interrupt. A second one, raised by the query of the
+        # next entry, would stay in the event loop until the next test.
+        interrupts = iter((KeyboardInterrupt(),))
 
-        def break_off(instance: Instance) -> None:
-            for interrupt in pressed:
+        def interrupt_once(instance: Instance) -> None:
+            for interrupt in interrupts:
                 raise interrupt
 
-        self.platform.entry_status = break_off
+        self.platform.entry_status = interrupt_once
         self._assert_result(
             self.console.apply(CONFIGURATION),
             ExitStatus.INTERRUPTED,
             'Committed as revision 1',
         )
 
-    def test_without_a_list_of_instances_nobody_claims_it_is_in_force(
+    def test_rollout_is_unknown_without_a_list_of_instances(
         self,
     ) -> None:
-        """The platform takes the change, then its list cannot be read. The
-        operator is told that it is committed and where is not known.
+        """The store accepts the change, but the platform returns no list of
+        instances. The report says that it is not known where it is in force.
         """
         self.platform.listed = False
         self._assert_result(
@@ -72,17 +73,18 @@
             'not known where',
         )
 
-    def test_a_racing_operator_sees_the_other_change(self) -> None:
-        """Two operators plan on the same revision and both apply. The second
-        one gets the first one's change to read, and has changed nothing.
+    def test_a_conflict_shows_the_other_change(self) -> None:
+        """Two operators apply files with the same base revision. The second
+        one gets a conflict that shows the first one's change, and changes
+        nothing.
         """
         self.console.apply(CONFIGURATION)
-        mine = self.console.run('show').output.replace('= 7', '= 3')
+        stale_file = self.console.run('show').output.replace('= 7', '= 3')
         self.console.user = 'baraka'
         self.console.apply(RAISED_PRIORITY)
         self.console.user = 'amina'
         self._assert_result(
-            self.console.apply(mine),
+            self.console.apply(stale_file),
             ExitStatus.CONFLICT,
             'revision 2 is in force, and this was written against 1',
             'baraka',
@@ -94,11 +96,11 @@
             ExitStatus.CONFLICT,
         )
 
-    def test_a_race_between_reading_and_writing_is_a_conflict_too(
+    def test_a_change_between_read_and_write_is_a_conflict(
         self,
     ) -> None:
-        """The other change lands after this command has read the
-        configuration and before it writes. It is told all the same.
+        """Another change is committed after this command has read the
+        configuration and before it writes. It is reported as a conflict.
         """
         self.console.apply(CONFIGURATION)
         self.store.before_put = lambda: self.console.apply(RAISED_PRIORITY)
@@ -106,9 +108,9 @@
         self._assert_result(self.console.apply(lowered), ExitStatus.CONFLICT)
         self.assertIn('priority = 9', self.console.run('show').output)
 
-    def test_a_lost_answer_is_settled_by_reading(self) -> None:
-        """The store takes the write and its answer is lost. The operator
-        sees the change committed, and the audit trail holds it once.
+    def test_a_lost_answer_is_resolved_by_reading(self) -> None:
+        """The store performs the write, but its answer is lost. The change is
+        reported as committed, and the audit trail contains it once.
         """
         self.store.lost_answers = 1
         self._assert_result(
@@ -117,9 +119,9 @@
         trail = self.console.run('history', '--format', 'json').fields
         self.assertEqual(1, len(trail['changes']))
 
-    def test_a_change_whose_end_is_not_known_is_said_to_be_so(self) -> None:
-        """The answer is lost and the store goes down at once. The operator
-        is told to look in the history, and not that it failed.
+    def test_an_unknown_outcome_is_reported(self) -> None:
+        """The answer is lost and the store goes down immediately. The outcome
+        is reported as unknown, not as a failure, and refers to the history.
         """
         self.store.lost_answers = 1
 
@@ -134,10 +136,9 @@
             'not known',
         )
 
-    def test_a_short_outage_is_waited_out_and_a_long_one_is_told(self) -> None:
-        """The store refuses all calls for a while. A short outage costs the
-        operator a moment; after a long one nothing was changed, and the
-        command says so.
+    def test_a_short_outage_is_retried_and_a_long_one_is_reported(self) -> None:
+        """The store refuses all calls for a while. A short outage is retried;
+        after a long one the command reports that nothing was changed.
         """
         self.store.outage_calls = 3
         self._assert_result(
@@ -157,20 +158,20 @@
             'Nothing was changed',
         )
 
-    def test_values_that_do_not_go_together_name_the_section(self) -> None:
-        """Each value of a file is right by itself, but not together with
-        another. The core judges it, and the report names the section.
+    def test_inconsistent_values_name_the_section(self) -> None:
+        """Each value of a file is valid by itself, but not in combination.
+        The core package detects this, and the report names the section.
         """
-        crowded = CONFIGURATION.replace(
+        inconsistent = CONFIGURATION.replace(
             'reclaimable', 'min_targets = 99\nreclaimable'
         )
         self._assert_result(
-            self.console.apply(crowded),
+            self.console.apply(inconsistent),
             ExitStatus.INVALID,
             '[service route-assistant]',
         )
 
-    def test_a_reason_an_author_and_a_platform_are_asked_for(self) -> None:
+    def test_reason_author_and_platform_are_required(self) -> None:
         self._assert_result(
             self.console.run('apply', '-', stdin=CONFIGURATION),
             ExitStatus.USAGE,
@@ -206,9 +207,9 @@
         )
         self.assertNotIn('aforo', self.console.run('show').output)
 
-    def test_undo_does_not_undo_a_later_change_with_it(self) -> None:
-        """A later change is about the same organisation. Undoing the earlier
-        one would take the later one back unasked, so it is refused.
+    def test_undo_refuses_to_revert_a_later_change(self) -> None:
+        """A later change affects the same organisation. Undoing the earlier
+        one would revert the later one too, so it is refused.
         """
         self.console.apply(CONFIGURATION)
         self.console.apply(RAISED_PRIORITY)
@@ -227,7 +228,7 @@
         self,
     ) -> None:
         """A model was removed, then its service. Undoing only the first
-        would bring a model back that nothing carries; the committer refuses
+        removal would restore a model without a service. The committer rejects
         it and names the model.
         """
         self.console.apply(CONFIGURATION)
@@ -241,9 +242,10 @@
             'route-assistant',
         )
 
-    def test_undo_says_when_it_has_not_read_far_enough(self) -> None:
-        """The value before the change was set long ago. Without reading that
-        far, undoing would remove the section; it asks for more instead.
+    def test_undo_fails_if_the_history_read_is_too_short(self) -> None:
+        """The value before the change was set many revisions ago. If the
+        history read does not reach back to it, undoing would remove the
+        section; the command fails and asks for a higher limit instead.
         """
         self.console.apply(CONFIGURATION)
         for priority in range(80):
@@ -277,7 +279,7 @@
         super().setUp()
         self.console.apply(CONFIGURATION)
 
-    def test_a_key_is_printed_once_and_kept_as_a_hash(self) -> None:
+    def test_a_key_is_printed_once_and_stored_as_a_hash(self) -> None:
         ended = self.console.run(
             'key', 'issue', 'duka-routes', '--label', 'van 3'
         )
@@ -294,9 +296,9 @@
             'duka-routes, mbezi-shops',
         )
 
-    def test_a_key_whose_end_is_not_known_is_not_given_out(self) -> None:
-        """The store goes silent while a key is issued. The key may work or
-        not; it is not shown, so that nobody reads it to a customer.
+    def test_a_key_is_not_shown_if_the_outcome_is_unknown(self) -> None:
+        """The store stops answering while a key is issued. It is not known
+        whether the key works, so it is not shown.
         """
 
         def go_down() -> None:
@@ -308,9 +310,11 @@
         self._assert_result(ended, ExitStatus.UNSETTLED)
         self.assertNotIn('dy-1', ended.output + ended.errors)
 
-    def test_keys_are_issued_and_withdrawn_through_other_changes(self) -> None:
-        """Another operator's change lands while a key is issued. One key
-        fits after any change, so the command goes on by itself.
+    def test_keys_are_issued_and_withdrawn_despite_concurrent_changes(
+        self,
+    ) -> None:
+        """Another operator's change is committed while a key is issued. A key
+        can be added to any revision, so the command retries by itself.
         """
         self.store.before_put = lambda: self.console.apply(RAISED_PRIORITY)
         self._assert_result(
@@ -326,9 +330,9 @@
             'No key in force matches',
         )
 
-    def test_an_old_file_does_not_bring_a_withdrawn_key_back(self) -> None:
-        """A key leaks and is withdrawn. A file printed before still lists
-        it; applied for another reason it must not let the holder in again.
+    def test_an_old_file_does_not_restore_a_withdrawn_key(self) -> None:
+        """A key leaks and is withdrawn. A file that was printed earlier still
+        lists it; applying that file must not make the key valid again.
         """
         self.console.run('key', 'issue', 'duka-routes')
         old = self.console.run('show').output
@@ -344,7 +348,7 @@
             self.console.run('undo', '3'), ExitStatus.SUCCESS, '+ [key'
         )
 
-    def test_a_file_without_keys_leaves_them_alone(self) -> None:
+    def test_a_file_without_keys_keeps_the_keys_in_force(self) -> None:
         self.console.run('key', 'issue', 'duka-routes')
         self.console.run('key', 'issue', 'mbezi-shops')
         smaller = RAISED_PRIORITY.replace('[organisation mbezi-shops]', '')
--- a/tests/operator/test_commands.py
+++ b/tests/operator/test_commands.py
@@ -1,4 +1,4 @@
-"""Each command runs in this process, and says what it did."""
+"""Commands run in the test process; their reports and exit statuses."""
 
 import pathlib
 import tempfile
@@ -30,7 +30,7 @@
 
 
 class ReadTest(ConsoleTestCase):
-    def test_check_counts_what_a_right_file_holds(self) -> None:
+    def test_check_counts_the_entities_of_a_valid_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'fleet.ini')
             path.write_text(CONFIGURATION)
@@ -44,11 +44,11 @@
         )
 
     def test_check_names_each_mistake(self) -> None:
-        """A value of a file is wrong, as when a finger slips on a phone.
-        The operator sees the section, the option, the value and a remedy.
+        """A file has an invalid value, as after a typing error. The report
+        names the section, the option, the value and a remedy.
         """
-        wrong = CONFIGURATION.replace('= 7', '= 17').replace('crate-lm', '-')
-        ended = self.console.run('check', '-', stdin=wrong)
+        invalid = CONFIGURATION.replace('= 7', '= 17').replace('crate-lm', '-')
+        ended = self.console.run('check', '-', stdin=invalid)
         self._assert_result(
             ended,
             ExitStatus.INVALID,
@@ -57,11 +57,11 @@
             'letter or a digit',
         )
         as_json = self.console.run(
-            'check', '-', '--format', 'json', stdin=wrong
+            'check', '-', '--format', 'json', stdin=invalid
         ).fields
         self.assertEqual(2, len(as_json['mistakes']))
 
-    def test_show_prints_what_apply_would_take_without_a_change(self) -> None:
+    def test_applying_the_output_of_show_changes_nothing(self) -> None:
         self.console.apply(CONFIGURATION)
         shown = self.console.run('show').output
         self.assertIn('base_revision = 1', shown)
@@ -83,15 +83,15 @@
             '1 added, 1 changed, 1 removed',
         )
 
-    def test_history_can_be_narrowed(self) -> None:
+    def test_history_can_be_filtered(self) -> None:
         self.console.apply(CONFIGURATION)
         self.console.now_s += 3600
         self.console.run('key', 'issue', 'mbezi-shops')
         self.console.run('key', 'withdraw', hash_key('dy-1')[:8])
-        whole = self.console.run('history', '--format', 'json').fields[
+        all_changes = self.console.run('history', '--format', 'json').fields[
             'changes'
         ]
-        self.assertEqual([3, 2, 1], [each['revision'] for each in whole])
+        self.assertEqual([3, 2, 1], [each['revision'] for each in all_changes])
         for options, revisions in (
             (('--organisation', 'mbezi-shops'), [3, 2, 1]),
             (('--organisation', 'duka-routes'), [1]),
@@ -119,11 +119,11 @@
             'leaving',
         )
 
-    def test_status_tells_what_entries_say_while_the_store_is_down(
+    def test_status_reports_the_entries_during_a_store_outage(
         self,
     ) -> None:
-        """The store is out and customers call. The entries serve on, and the
-        operator reads which revision they have and how old it is.
+        """During an outage of the store the entries continue to serve. The
+        report shows which revision they have and how stale it is.
         """
         self.store.outage_calls = 6
         self._assert_result(
@@ -137,9 +137,9 @@
             self.console.run('status'), ExitStatus.NOT_EVERYWHERE, 'no list'
         )
 
-    def test_a_platform_without_entries_is_told(self) -> None:
+    def test_a_platform_without_entries_is_reported(self) -> None:
         """The first configuration is applied before any entry is started.
-        It is committed, and the operator reads that nobody can confirm it.
+        It is committed, and the report says that no entry can confirm it.
         """
         self.platform.instance_names = ()
         for ended in (
--- a/tests/operator/test_configuration.py
+++ b/tests/operator/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations print, read back, and tell all their mistakes."""
+"""Configurations are printed, parsed and validated."""
 
 import string
 from collections.abc import Sequence
@@ -60,7 +60,7 @@
     )
 
 
-def _all_of(parts: Sequence[st.SearchStrategy[Entity]]) -> st.SearchStrategy:
+def _tuple_of(parts: Sequence[st.SearchStrategy[Entity]]) -> st.SearchStrategy:
     return st.tuples(*parts)
 
 
@@ -68,7 +68,7 @@
 def configurations(draw: st.DrawFn) -> Configuration:
     names = st.lists(NAMES, min_size=1, max_size=3, unique=True)
     organisations, services = draw(names), draw(names)
-    backs = draw(_all_of([_services(name) for name in services]))
+    service_entities = draw(_tuple_of([_services(name) for name in services]))
     models = [
         Model(
             name,
@@ -83,9 +83,13 @@
         ApiKey(key_hash, draw(st.sampled_from(organisations)), draw(LABELS))
         for key_hash in draw(st.lists(HASHES, max_size=3, unique=True))
     ]
-    customers = draw(_all_of([_organisations(name) for name in organisations]))
+    organisation_entities = draw(
+        _tuple_of([_organisations(name) for name in organisations])
+    )
     base = draw(st.none() | st.integers(0, 10**9))
-    return Configuration((*customers, *keys, *backs, *models), base)
+    return Configuration(
+        (*organisation_entities, *keys, *service_entities, *models), base
+    )
 
 
 LINES = st.sampled_from(
@@ -116,26 +120,26 @@
 
 class RoundTripTest(testtools.TestCase):
     @given(configurations())
-    def test_what_is_printed_reads_back_the_same(
+    def test_a_printed_configuration_parses_to_an_equal_one(
         self, configuration: Configuration
     ) -> None:
         text = str(configuration)
-        again = parse_configuration(text)
-        self.assertEqual(configuration, again)
-        self.assertEqual(text, str(again))
+        reparsed = parse_configuration(text)
+        self.assertEqual(configuration, reparsed)
+        self.assertEqual(text, str(reparsed))
 
     @given(st.lists(LINES | st.text(max_size=12), max_size=12).map('\n'.join))
-    def test_any_text_is_a_configuration_or_a_report(self, text: str) -> None:
-        """An operator hands over the wrong file. What is in it is told as
-        mistakes, or it is a configuration that prints the same again.
+    def test_any_text_parses_or_fails_with_mistakes(self, text: str) -> None:
+        """Any text, as when an operator passes the wrong file, either fails
+        with a list of mistakes or parses to a configuration that round-trips.
         """
         try:
             configuration = parse_configuration(text)
         except ConfigurationMistakes as caught:
             self.assertNotEqual((), caught.mistakes)
             return
-        again = parse_configuration(str(configuration))
-        self.assertEqual(configuration, again)
+        reparsed = parse_configuration(str(configuration))
+        self.assertEqual(configuration, reparsed)
 
     def test_order_and_comments_do_not_matter(self) -> None:
         text = (
@@ -159,9 +163,9 @@
             self.assertIn(str(mistake), str(caught))
         return caught.mistakes
 
-    def test_all_faults_of_form_come_in_one_report(self) -> None:
-        """An operator writes a file in a hurry and it has faults of every
-        kind. One report names them all, so that one correction is enough.
+    def test_all_syntax_errors_come_in_one_report(self) -> None:
+        """A file has mistakes of every kind. One report lists them all, so
+        that they can be corrected together.
         """
         text = (
             'stray\n[organisation a]\npriority = five\nWeight = 2\n'
@@ -197,9 +201,9 @@
         )
         self.assertEqual('Write weight', places['organisation a', 'Weight'])
 
-    def test_a_key_in_place_of_its_hash_stays_off_the_screen(self) -> None:
-        """An operator writes a key where its hash belongs. The report names
-        the place by a few letters, and does not spread the key further.
+    def test_a_key_in_place_of_its_hash_is_redacted(self) -> None:
+        """A file contains a key in place of its hash. The report identifies
+        the section by the first characters only, so as not to leak the key.
         """
         key = 'dy-9rTzQm4vXw2LkPb7'
         text = f'[organisation o]\n[key {key}]\nfor = o\n[key {key}]\n'
@@ -211,9 +215,9 @@
         )
         self.assertIn('never the key itself', mistake.remedy)
 
-    def test_wrong_objects_are_told_like_a_wrong_file(self) -> None:
-        """A configuration is built in Python with values that no file could
-        hold. It is refused when it is built, before anything is printed.
+    def test_invalid_objects_are_rejected_like_an_invalid_file(self) -> None:
+        """A configuration is built in Python with values that a file cannot
+        represent. It is rejected on construction, before it can be printed.
         """
         caught = self.assertRaises(
             ConfigurationMistakes,
--- a/tests/operator/test_docs.py
+++ b/tests/operator/test_docs.py
@@ -1,4 +1,4 @@
-"""The examples of the docs are run, and print what the docs say."""
+"""Runs the examples in the docs and compares their output with the docs."""
 
 import contextlib
 import io
@@ -28,19 +28,19 @@
 
 @attrs.frozen
 class Block:
-    kind: str
-    words: list[str]
+    language: str
+    arguments: list[str]
     text: str
 
 
 def parse_blocks(page: str) -> Iterator[Block]:
-    for kind, words, text in BLOCK.findall((DOCS / page).read_text()):
-        yield Block(kind, words.split(), text)
+    for language, arguments, text in BLOCK.findall((DOCS / page).read_text()):
+        yield Block(language, arguments.split(), text)
 
 
 def transcript_of(console: OperatorConsole, block: Block) -> str:
-    """Run a block's commands; give the block as it should read."""
-    console.platform.silent = set(block.words)
+    """Run the commands of a block and return the expected text of the block."""
+    console.platform.silent = set(block.arguments)
     written = []
     for line in COMMAND.findall(block.text):
         command, _, file = line.partition(' > ')
@@ -56,12 +56,12 @@
 def write_files(blocks: list[Block]) -> None:
     for block in blocks:
         name = block.text.partition('\n')[0].removeprefix('# ')
-        if block.kind == 'ini' and name.endswith('.ini'):
+        if block.language == 'ini' and name.endswith('.ini'):
             pathlib.Path(name).write_text(block.text)
 
 
 class CommandsPageTest(testtools.TestCase):
-    def test_each_example_prints_what_the_page_says(self) -> None:
+    def test_each_example_prints_the_documented_output(self) -> None:
         blocks = list(parse_blocks('COMMANDS.md'))
         console = OperatorConsole()
         with (
@@ -71,10 +71,10 @@
             write_files(blocks)
             self.assertEqual('amina', load_settings('settings.ini', {}).author)
             for block in blocks:
-                if block.kind == 'console':
+                if block.language == 'console':
                     self.assertEqual(block.text, transcript_of(console, block))
 
-    def test_each_command_option_and_status_is_there(self) -> None:
+    def test_each_command_option_and_exit_status_is_documented(self) -> None:
         page = (DOCS / 'COMMANDS.md').read_text()
         for declaration in COMMANDS:
             self.assertIn(f'\n## {declaration.name}', page)
@@ -85,28 +85,30 @@
 
 
 class ConfigurationPageTest(testtools.TestCase):
-    def test_each_option_is_there_with_its_default(self) -> None:
+    def test_each_option_is_documented_with_its_default(self) -> None:
         page = (DOCS / 'CONFIGURATION.md').read_text()
-        for layout in SECTION_SCHEMAS.values():
-            _, _, part = page.partition(f'### `[{layout.section.value} ')
-            table = part.partition('\n### ')[0]
-            defaults = attrs.fields_dict(layout.entity_type)
-            for option in layout.options:
+        for schema in SECTION_SCHEMAS.values():
+            _, _, section_text = page.partition(
+                f'### `[{schema.section.value} '
+            )
+            table = section_text.partition('\n### ')[0]
+            defaults = attrs.fields_dict(schema.entity_type)
+            for option in schema.options:
                 default = defaults[option.field].default
-                known = default is not attrs.NOTHING
-                text = option.value_type.format(default) if known else ''
+                has_default = default is not attrs.NOTHING
+                text = option.value_type.format(default) if has_default else ''
                 ending = f' | `{text}` |' if text else ' | |'
                 row = re.search(f'^\\| `{option.name}` .*$', table, re.M)
                 self.assertTrue(row and row.group().endswith(ending), option)
 
-    def test_the_examples_are_right(self) -> None:
+    def test_the_examples_are_valid(self) -> None:
         blocks = list(parse_blocks('CONFIGURATION.md'))
-        (script,) = [each.text for each in blocks if each.kind == 'python']
+        (script,) = [each.text for each in blocks if each.language == 'python']
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed):
             exec(script, {})  # noqa: S102 - the page's own example
-        first, second = [each.text for each in blocks if each.kind == 'ini']
+        first, second = [each.text for each in blocks if each.language == 'ini']
         self.assertEqual(second, printed.getvalue().rstrip('\n') + '\n')
         for text in (first, second):
-            again = str(parse_configuration(text))
-            self.assertEqual(again, str(parse_configuration(again)))
+            reparsed = str(parse_configuration(text))
+            self.assertEqual(reparsed, str(parse_configuration(reparsed)))
--- a/tests/operator/test_explain.py
+++ b/tests/operator/test_explain.py
@@ -1,4 +1,4 @@
-"""What became of a request, from the logs of the nodes it met."""
+"""The command `explain` lists the decisions about a request."""
 
 import json
 
@@ -37,10 +37,11 @@
 
 
 class ExplainTest(testtools.TestCase):
-    def test_the_trail_runs_across_processes_in_order_of_events(self) -> None:
-        """A caller complains; its request was tried at two nodes.
+    def test_decisions_of_several_nodes_are_sorted_by_time(self) -> None:
+        """A request was handled by two nodes.
 
-        The logs are in one file, one of them cut and with times before it.
+        Their logs are in one file; one is truncated, and one has prefixed
+        timestamps.
         """
         ended = OperatorConsole().run('explain', 'a1', stdin=LOG)
         self.assertEqual(0, ended.status)
@@ -55,7 +56,7 @@
             ended.output.splitlines(),
         )
 
-    def test_the_same_as_json(self) -> None:
+    def test_the_report_as_json(self) -> None:
         ended = OperatorConsole().run(
             'explain', 'a1', '--format', 'json', stdin=LOG
         )
@@ -63,12 +64,14 @@
         self.assertEqual('a1', fields['request_id'])
         self.assertEqual(3, len(fields['lines']))
 
-    def test_logs_without_the_request_say_where_to_look(self) -> None:
+    def test_a_request_missing_from_the_logs_is_reported_with_a_remedy(
+        self,
+    ) -> None:
         ended = OperatorConsole().run('explain', 'unknown', stdin=LOG)
         self.assertEqual(3, ended.status)
         self.assertIn('Nothing about unknown in these logs', ended.output)
 
-    def test_a_file_that_is_not_there(self) -> None:
+    def test_a_missing_log_file_is_reported(self) -> None:
         ended = OperatorConsole().run('explain', 'a1', '--logs', 'nowhere.log')
         self.assertEqual(2, ended.status)
         self.assertIn('nowhere.log cannot be read', ended.errors)
--- a/tests/operator/test_processes.py
+++ b/tests/operator/test_processes.py
@@ -1,4 +1,4 @@
-"""The command against the platform's stand-in and real entries."""
+"""Commands run against the platform's stand-in and real entry processes."""
 
 import concurrent.futures
 import io
@@ -13,7 +13,7 @@
 from tests.entry.fleet_case import FleetCase
 from tests.operator.support import CommandResult
 
-# What the brief calls "within seconds".
+# The required bound: a withdrawn key stops working within seconds.
 WITHDRAWAL_BOUND_S = 5.0
 POLL_INTERVAL_S = 0.1
 
@@ -46,22 +46,22 @@
         return self.call(path, entry=entry, method='GET', key=key).status
 
     def test_a_withdrawn_key_stops_working_within_seconds(self) -> None:
-        """A key leaks, and the operator withdraws it during traffic. Its
-        holder is refused by every entry a moment later.
+        """A key leaks and is withdrawn. Every entry refuses it when the
+        command has ended.
         """
         key, key_hash = self.issue_key()
         for entry in (0, 1):
             self.assertEqual(200, self.models_status(key, entry))
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         ended = self.operate('key', 'withdraw', key_hash[:12])
         self.assertEqual(ExitStatus.SUCCESS, ended.status, ended.errors)
         for entry in (0, 1):
             self.assertEqual(401, self.models_status(key, entry))
-        self.assertLess(time.monotonic() - begun_s, WITHDRAWAL_BOUND_S)
+        self.assertLess(time.monotonic() - started_s, WITHDRAWAL_BOUND_S)
 
-    def test_operators_who_race_all_get_their_keys(self) -> None:
-        """Three operators issue keys at the same moment. Each gets one that
-        works, and none is lost to another one's change.
+    def test_concurrently_issued_keys_all_work(self) -> None:
+        """Three operators issue keys concurrently. Each gets a key that works,
+        and no key is lost to another operator's change.
         """
         with concurrent.futures.ThreadPoolExecutor() as pool:
             issued = list(pool.map(lambda _: self.issue_key(), range(3)))
@@ -70,9 +70,9 @@
             self.assertIn(f'[key {key_hash}]', shown)
             self.assertEqual(200, self.models_status(key, 0))
 
-    def test_a_paused_entry_is_named_and_catches_up(self) -> None:
-        """An entry is paused when a change is committed. The operator reads
-        that it has not answered, and later that it has the change.
+    def test_a_paused_entry_is_reported_and_catches_up(self) -> None:
+        """An entry is paused while a change is committed. The report says that
+        it has not answered, and after it resumes that it has the revision.
         """
         paused = self.fleet.entries[1]
         paused.signal(signal.SIGSTOP)
@@ -82,14 +82,15 @@
             paused.signal(signal.SIGCONT)
         self.assertEqual(ExitStatus.NOT_EVERYWHERE, ended.status, ended.errors)
         self.assertIn(f'{paused.name} has not answered', ended.output)
-        give_up_s = time.monotonic() + WITHDRAWAL_BOUND_S
+        deadline_s = time.monotonic() + WITHDRAWAL_BOUND_S
         while self.operate('status').status != ExitStatus.SUCCESS:
-            self.assertLess(time.monotonic(), give_up_s)
+            self.assertLess(time.monotonic(), deadline_s)
             time.sleep(POLL_INTERVAL_S)
 
     def test_a_lost_answer_leaves_one_change(self) -> None:
-        """The store takes a change and the connection ends before its answer.
-        The operator sees it committed, and the audit trail holds it once.
+        """The store performs a write, and the connection closes before its
+        answer. The change is reported as committed, and the audit trail
+        contains it once.
         """
         shown = self.operate('show').output
         faults = f'{self.fleet.platform_url}/standin/faults'
@@ -107,27 +108,27 @@
         found = [each for each in trail if each['reason'] == reason]
         self.assertEqual(1, len(found))
 
-    def test_an_address_that_changed_hands_is_not_taken_for_its_owner(
+    def test_a_reused_address_is_not_reported_as_the_old_instance(
         self,
     ) -> None:
-        """The platform's lagging list still names an entry that is gone, and
-        another one has taken over its address. The operator must not read
-        that the one that is gone has the change in force.
+        """The platform's stale list still contains an entry that is gone, and
+        another entry uses its address. The report must not say that the entry
+        that is gone has the revision in force.
         """
         instances = f'{self.fleet.platform_url}/instances'
-        ghost = {
+        gone_entry = {
             'instance_id': 'entry-gone',
             'domain': 'kurasini',
             'caller_address': self.fleet.entries[0].address,
             'peer_address': '127.0.0.1:1',
             'state': 'live',
         }
-        self.fleet.post(instances, ghost)
+        self.fleet.post(instances, gone_entry)
         ended = self.operate('status')
-        give_up_s = time.monotonic() + WITHDRAWAL_BOUND_S
+        deadline_s = time.monotonic() + WITHDRAWAL_BOUND_S
         while 'entry-gone' not in ended.output:
-            self.assertLess(time.monotonic(), give_up_s)
+            self.assertLess(time.monotonic(), deadline_s)
             ended = self.operate('status')
-        self.fleet.post(instances, ghost | {'state': 'leaving'})
+        self.fleet.post(instances, gone_entry | {'state': 'leaving'})
         self.assertIn('entry-gone has not answered', ended.output)
         self.assertEqual(ExitStatus.NOT_EVERYWHERE, ended.status)
--- a/tests/operator/test_settings.py
+++ b/tests/operator/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings come from options, variables and a file, in this order."""
+"""Settings from options, environment variables and a file."""
 
 import pathlib
 import tempfile
@@ -21,21 +21,21 @@
         )
         self.assertEqual(url, self.console.connected[-1])
 
-    def test_the_nearest_setting_wins(self) -> None:
+    def test_options_override_variables_and_these_the_file(self) -> None:
         self.path.write_text('[operator]\nplatform_url = http://file\n')
-        named = ('--settings', str(self.path))
-        self._connects_to('http://file', *named)
+        settings_option = ('--settings', str(self.path))
+        self._connects_to('http://file', *settings_option)
         self.console.variables['DANDELIONYOKE_SETTINGS'] = str(self.path)
         self._connects_to('http://file')
         self.console.variables['DANDELIONYOKE_PLATFORM'] = 'http://variable'
-        self._connects_to('http://variable', *named)
+        self._connects_to('http://variable', *settings_option)
         self._connects_to(
-            'http://option', *named, '--platform', 'http://option'
+            'http://option', *settings_option, '--platform', 'http://option'
         )
 
-    def test_a_wrong_setting_is_told_with_its_remedy(self) -> None:
-        """A settings file has a slip of the pen, or is not where the option
-        says. The command ends before it reaches anything.
+    def test_an_invalid_setting_is_reported_with_a_remedy(self) -> None:
+        """A settings file is invalid or missing, or an option has an invalid
+        value. The command ends before it connects to anything.
         """
         for text, problem in (
             ('platform_url = x', 'cannot be read'),
