--- a/packages/operator/dandelionyoke_operator/_options.py
+++ b/packages/operator/dandelionyoke_operator/_options.py
@@ -149,7 +149,7 @@
     for schema in SECTION_SCHEMAS.values():
         if isinstance(entity, schema.entity_type):
             return schema
-    raise TypeError(f'no section schema for {entity!r}')
+    raise TypeError(f'{entity!r} has no section schema')
 
 
 def entity_name(entity: Entity) -> str:
--- a/tests/entry/test_planned.py
+++ b/tests/entry/test_planned.py
@@ -202,7 +202,7 @@
     def send_short_requests(
         self, worker: int, served: list[int], ended: threading.Event
     ) -> None:
-        """Send short requests through the serving entries until `ended` is set."""
+        """Send short requests through the serving entries until `ended`."""
         while not ended.wait(REQUEST_INTERVAL_S):
             number = len(served)
             prompt = f'{worker} {number}: answer {SHORT_ANSWER_TOKENS} tokens'
