--- a/packages/operator/dandelionyoke_operator/_application.py
+++ b/packages/operator/dandelionyoke_operator/_application.py
@@ -42,11 +42,11 @@
     """Adapter that exposes a command definition as a cleo command."""
 
     def __init__(
-        self, declaration: CommandDefinition, environment: Environment
+        self, definition: CommandDefinition, environment: Environment
     ) -> None:
-        self.name = declaration.name
-        self.description = declaration.description
-        self._command_definition = declaration
+        self.name = definition.name
+        self.description = definition.description
+        self._command_definition = definition
         self._environment = environment
         super().__init__()
 
@@ -106,8 +106,8 @@
     application = Application(PROGRAM)
     application.auto_exits(False)
     application.catch_exceptions(False)
-    for declaration in COMMANDS:
-        application.add(_CleoCommand(declaration, environment))
+    for definition in COMMANDS:
+        application.add(_CleoCommand(definition, environment))
     try:
         status = application.run(
             ArgvInput([PROGRAM, *environment.arguments]),
--- a/packages/operator/dandelionyoke_operator/output/_rollout.py
+++ b/packages/operator/dandelionyoke_operator/output/_rollout.py
@@ -6,7 +6,7 @@
 from dandelionyoke_operator._reports import InstanceRevision, RolloutReport
 
 _LIST_UNAVAILABLE = (
-    'The platform gave no list of instances, so it is not known where this '
+    'The platform returned no list of instances, so it is not known where this '
     'is in force. Try `status` again in a while.'
 )
 _NO_INSTANCES = 'The platform lists no entry instance that could be asked.'
@@ -32,7 +32,7 @@
 def status_lines(rollout: RolloutReport) -> Iterator[str]:
     """Yield the revision, confirmation age, load and duties of each entry."""
     if rollout.revision is None:
-        yield 'The store does not answer; this is what the entries say.'
+        yield 'The store does not answer; the entries report the following.'
     else:
         yield f'Revision {rollout.revision} is in the store.'
     if not rollout.listed:
--- a/tests/entry/fleet_case.py
+++ b/tests/entry/fleet_case.py
@@ -63,9 +63,9 @@
 
     def target_address(self, target_id: str) -> str:
         """Return the address of a target."""
-        found = [
+        matching = [
             target
             for target in self.fleet.targets
             if target['target_id'] == target_id
         ]
-        return str(found[0]['address'])
+        return str(matching[0]['address'])
--- a/tests/entry/test_failures.py
+++ b/tests/entry/test_failures.py
@@ -67,7 +67,7 @@
                     attempt['end'] is None for attempt in record['attempts']
                 ):
                     return each
-        raise AssertionError(f'nobody runs {prompt!r}')
+        raise AssertionError(f'no engine runs {prompt!r}')
 
 
 class Stream:
--- a/tests/entry/test_planned.py
+++ b/tests/entry/test_planned.py
@@ -165,8 +165,8 @@
     def attempts(self, name: str) -> dict[str, dict[str, Any]]:
         """Return an engine's record of its attempts, by attempt id."""
         address = self.find_process(name).address
-        found = self.fleet.get(f'{address}/standin/record')['attempts']
-        return {attempt['attempt_id']: attempt for attempt in found}
+        listed = self.fleet.get(f'{address}/standin/record')['attempts']
+        return {attempt['attempt_id']: attempt for attempt in listed}
 
     def long_attempts(self, name: str) -> set[str]:
         """Return the ids of the long attempts in progress at an engine."""
@@ -180,9 +180,9 @@
     def count_long_attempts(self) -> int:
         """Return the number of long attempts in progress at all engines."""
         return sum(
-            len(self.long_attempts(one.name))
-            for one in self.fleet.processes
-            if one.kind == 'engine'
+            len(self.long_attempts(each.name))
+            for each in self.fleet.processes
+            if each.kind == 'engine'
         )
 
     def set_target_state(self, name: str, state: str) -> None:
@@ -228,7 +228,7 @@
             for target in self.fleet.targets
             if (target['kind'], target['state']) == ('engine', 'live')
         ]
-        name = max(names, key=lambda one: len(self.long_attempts(one)))
+        name = max(names, key=lambda each: len(self.long_attempts(each)))
         self.assertNotEqual(set(), self.long_attempts(name))
         served: list[int] = []
         ended = threading.Event()
@@ -245,8 +245,8 @@
                 self.assert_complete(*streams)
             finally:
                 ended.set()
-            for asked in workers:
-                asked.result()
+            for future in workers:
+                future.result()
         self.assertEqual(before, set(self.attempts(name)))
         return name
 
@@ -255,15 +255,15 @@
         continue. This uses the logs of the entries, since an engine does not
         record the attempts that it refuses."""
         deadline_s = time.monotonic() + NO_NEW_WORK_WITHIN_S
-        sent, since = -1, 0
+        sent, served_before = -1, 0
         while (
-            len(served) < since + CALLS_WITHOUT_NEW_WORK
+            len(served) < served_before + CALLS_WITHOUT_NEW_WORK
             or time.monotonic() < deadline_s
         ):
-            now_sent = self.logs().count(f' to {name}"')
-            if now_sent != sent:
+            sent_now = self.logs().count(f' to {name}"')
+            if sent_now != sent:
                 self.assertLess(time.monotonic(), deadline_s, name)
-                sent, since = now_sent, len(served)
+                sent, served_before = sent_now, len(served)
             self.assertLess(
                 time.monotonic(),
                 deadline_s + 20,
@@ -287,7 +287,7 @@
         """The platform lists a target as leaving. Calls in progress complete
         there, and new calls are routed to other targets."""
         name = self.change_under_load(
-            lambda found: self.set_target_state(found, 'leaving'), 0, 1
+            lambda target_id: self.set_target_state(target_id, 'leaving'), 0, 1
         )
         self.assert_all_attempts_finished(name)
 
@@ -298,7 +298,7 @@
         self.addCleanup(peer.signal, signal.SIGCONT)
         peer.signal(signal.SIGSTOP)
         name = self.change_under_load(
-            lambda found: self.set_target_state(found, 'leaving'), 0
+            lambda target_id: self.set_target_state(target_id, 'leaving'), 0
         )
         self.assert_all_attempts_finished(name)
 
@@ -308,9 +308,9 @@
         without callers noticing."""
         reclaimed_attempts: set[str] = set()
 
-        def reclaim(found: str) -> None:
-            reclaimed_attempts.update(self.long_attempts(found))
-            self.set_target_state(found, 'reclaimed')
+        def reclaim(target_id: str) -> None:
+            reclaimed_attempts.update(self.long_attempts(target_id))
+            self.set_target_state(target_id, 'reclaimed')
 
         attempts = self.attempts(self.change_under_load(reclaim, 0, 1))
         self.assertNotEqual(set(), reclaimed_attempts)
@@ -329,16 +329,16 @@
         def usable() -> int:
             return self.fleet.get(status)['usable_targets']
 
-        def reclaim(found: str) -> None:
+        def reclaim(target_id: str) -> None:
             before = usable()
-            self.set_target_state(found, 'leaving')
+            self.set_target_state(target_id, 'leaving')
             self.await_true(lambda: usable() < before)
-            attempts = self.attempts(found)
-            for attempt_id in self.long_attempts(found):
+            attempts = self.attempts(target_id)
+            for attempt_id in self.long_attempts(target_id):
                 tokens_before[attempt_id] = attempts[attempt_id][
                     'output_tokens'
                 ]
-            self.set_target_state(found, 'reclaimed')
+            self.set_target_state(target_id, 'reclaimed')
 
         name = self.change_under_load(
             reclaim, 0, 1, tokens=LONGEST_ANSWER_TOKENS
--- a/tests/operator/test_changes.py
+++ b/tests/operator/test_changes.py
@@ -28,9 +28,9 @@
         self.platform.silent.add('ubungo-1')
         self.platform.polls_behind['kurasini-1'] = 10**6
         self.platform.leaving.add('kurasini-2')
-        ended = self.console.apply(CONFIGURATION, '--wait', '3')
+        result = self.console.apply(CONFIGURATION, '--wait', '3')
         self._assert_result(
-            ended,
+            result,
             ExitStatus.NOT_EVERYWHERE,
             'kurasini: in force in 0 of 1 instances\n'
             '    kurasini-1 has revision 0',
@@ -280,16 +280,16 @@
         self.console.apply(CONFIGURATION)
 
     def test_a_key_is_printed_once_and_stored_as_a_hash(self) -> None:
-        ended = self.console.run(
+        result = self.console.run(
             'key', 'issue', 'duka-routes', '--label', 'van 3'
         )
-        self._assert_result(ended, ExitStatus.SUCCESS, 'key: dy-1\n')
+        self._assert_result(result, ExitStatus.SUCCESS, 'key: dy-1\n')
         stored = ''.join(str(item) for item in self.store.content.values())
         self.assertIn(hash_key('dy-1'), stored)
         self.assertNotIn('dy-1', stored)
         for wrong in (('--label', 'two\nlines'), ('--reason', 'two\nlines')):
-            ended = self.console.run('key', 'issue', 'duka-routes', *wrong)
-            self.assertIn('on one line', ended.errors)
+            result = self.console.run('key', 'issue', 'duka-routes', *wrong)
+            self.assertIn('on one line', result.errors)
         self._assert_result(
             self.console.run('key', 'issue', 'nobody'),
             ExitStatus.INVALID,
@@ -306,9 +306,9 @@
 
         self.store.lost_answers = 1
         self.store.before_put = go_down
-        ended = self.console.run('key', 'issue', 'duka-routes')
-        self._assert_result(ended, ExitStatus.UNSETTLED)
-        self.assertNotIn('dy-1', ended.output + ended.errors)
+        result = self.console.run('key', 'issue', 'duka-routes')
+        self._assert_result(result, ExitStatus.UNSETTLED)
+        self.assertNotIn('dy-1', result.output + result.errors)
 
     def test_keys_are_issued_and_withdrawn_despite_concurrent_changes(
         self,
--- a/tests/operator/test_commands.py
+++ b/tests/operator/test_commands.py
@@ -21,10 +21,10 @@
         self.store = self.platform.store
 
     def _assert_result(
-        self, ended: CommandResult, status: ExitStatus, *texts: str
+        self, result: CommandResult, status: ExitStatus, *texts: str
     ) -> None:
-        written = ended.output + ended.errors
-        self.assertEqual(status, ended.status, written)
+        written = result.output + result.errors
+        self.assertEqual(status, result.status, written)
         for text in texts:
             self.assertIn(text, written)
 
@@ -34,8 +34,8 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'fleet.ini')
             path.write_text(CONFIGURATION)
-            ended = self.console.run('check', str(path), '--format', 'json')
-        self.assertEqual(2, ended.fields['organisations'])
+            result = self.console.run('check', str(path), '--format', 'json')
+        self.assertEqual(2, result.fields['organisations'])
         self.assertEqual([], self.console.connected)
         self._assert_result(
             self.console.run('check', str(path)),
@@ -48,9 +48,9 @@
         names the section, the option, the value and a remedy.
         """
         invalid = CONFIGURATION.replace('= 7', '= 17').replace('crate-lm', '-')
-        ended = self.console.run('check', '-', stdin=invalid)
+        result = self.console.run('check', '-', stdin=invalid)
         self._assert_result(
-            ended,
+            result,
             ExitStatus.INVALID,
             "[organisation duka-routes] priority: found '17'. "
             'Write a whole number from 0 (lowest) to 9.',
@@ -100,8 +100,8 @@
             (('--limit', '9', '--since', '2026-12-03T12:30'), [3, 2]),
             (('--since', '2027-01-01'), []),
         ):
-            ended = self.console.run('history', *options, '--format', 'json')
-            found = [each['revision'] for each in ended.fields['changes']]
+            result = self.console.run('history', *options, '--format', 'json')
+            found = [each['revision'] for each in result.fields['changes']]
             self.assertEqual(revisions, found, options)
         self._assert_result(
             self.console.run('history'),
@@ -142,18 +142,16 @@
         It is committed, and the report says that no entry can confirm it.
         """
         self.platform.instance_names = ()
-        for ended in (
+        for result in (
             self.console.apply(CONFIGURATION),
             self.console.run('status'),
         ):
             self._assert_result(
-                ended, ExitStatus.SUCCESS, 'lists no entry instance'
+                result, ExitStatus.SUCCESS, 'lists no entry instance'
             )
 
     def test_every_command_has_help(self) -> None:
-        for declaration in COMMANDS:
-            words = declaration.name.split()
-            ended = self.console.run(*words, '--help')
-            self._assert_result(
-                ended, ExitStatus.SUCCESS, declaration.description
-            )
+        for command in COMMANDS:
+            words = command.name.split()
+            result = self.console.run(*words, '--help')
+            self._assert_result(result, ExitStatus.SUCCESS, command.description)
--- a/tests/operator/test_docs.py
+++ b/tests/operator/test_docs.py
@@ -44,12 +44,12 @@
     written = []
     for line in COMMAND.findall(block.text):
         command, _, file = line.partition(' > ')
-        ended = console.run(*shlex.split(command))
-        written.append(f'$ dandelionyoke {line}\n{ended.errors}')
+        result = console.run(*shlex.split(command))
+        written.append(f'$ dandelionyoke {line}\n{result.errors}')
         if file:
-            pathlib.Path(file).write_text(ended.output)
+            pathlib.Path(file).write_text(result.output)
         else:
-            written.append(ended.output)
+            written.append(result.output)
     return ''.join(written)
 
 
@@ -76,9 +76,9 @@
 
     def test_each_command_option_and_exit_status_is_documented(self) -> None:
         page = (DOCS / 'COMMANDS.md').read_text()
-        for declaration in COMMANDS:
-            self.assertIn(f'\n## {declaration.name}', page)
-            for option in (*declaration.options, *COMMON_OPTIONS):
+        for command in COMMANDS:
+            self.assertIn(f'\n## {command.name}', page)
+            for option in (*command.options, *COMMON_OPTIONS):
                 self.assertIn(f'--{option.name}', page)
         for status in ExitStatus:
             self.assertIn(f'| {status:d} | {status.name} |', page)
--- a/tests/operator/test_explain.py
+++ b/tests/operator/test_explain.py
@@ -43,8 +43,8 @@
         Their logs are in one file; one is truncated, and one has prefixed
         timestamps.
         """
-        ended = OperatorConsole().run('explain', 'a1', stdin=LOG)
-        self.assertEqual(0, ended.status)
+        result = OperatorConsole().run('explain', 'a1', stdin=LOG)
+        self.assertEqual(0, result.status)
         self.assertEqual(
             [
                 '     0.0 ms  n-1  call.refused  503',
@@ -53,25 +53,25 @@
                 '             (3 lines left out before)',
                 '   500.0 ms  n-2  call.refused  502  it broke off',
             ],
-            ended.output.splitlines(),
+            result.output.splitlines(),
         )
 
     def test_the_report_as_json(self) -> None:
-        ended = OperatorConsole().run(
+        result = OperatorConsole().run(
             'explain', 'a1', '--format', 'json', stdin=LOG
         )
-        fields = json.loads(ended.output)
+        fields = json.loads(result.output)
         self.assertEqual('a1', fields['request_id'])
         self.assertEqual(3, len(fields['lines']))
 
     def test_a_request_missing_from_the_logs_is_reported_with_a_remedy(
         self,
     ) -> None:
-        ended = OperatorConsole().run('explain', 'unknown', stdin=LOG)
-        self.assertEqual(3, ended.status)
-        self.assertIn('Nothing about unknown in these logs', ended.output)
+        result = OperatorConsole().run('explain', 'unknown', stdin=LOG)
+        self.assertEqual(3, result.status)
+        self.assertIn('Nothing about unknown in these logs', result.output)
 
     def test_a_missing_log_file_is_reported(self) -> None:
-        ended = OperatorConsole().run('explain', 'a1', '--logs', 'nowhere.log')
-        self.assertEqual(2, ended.status)
-        self.assertIn('nowhere.log cannot be read', ended.errors)
+        result = OperatorConsole().run('explain', 'a1', '--logs', 'nowhere.log')
+        self.assertEqual(2, result.status)
+        self.assertIn('nowhere.log cannot be read', result.errors)
--- a/tests/operator/test_processes.py
+++ b/tests/operator/test_processes.py
@@ -13,8 +13,8 @@
 from tests.entry.fleet_case import FleetCase
 from tests.operator.support import CommandResult
 
-# The required bound: a withdrawn key stops working within seconds.
-WITHDRAWAL_BOUND_S = 5.0
+# A change, such as a withdrawal, must take effect at all entries within this.
+MAX_ROLLOUT_S = 5.0
 POLL_INTERVAL_S = 0.1
 
 
@@ -37,9 +37,9 @@
         return CommandResult(status, out.getvalue(), err.getvalue())
 
     def issue_key(self) -> tuple[str, str]:
-        ended = self.operate('key', 'issue', 'duka-routes', '--format', 'json')
-        self.assertEqual(ExitStatus.SUCCESS, ended.status, ended.errors)
-        return ended.fields['key'], ended.fields['key_hash']
+        result = self.operate('key', 'issue', 'duka-routes', '--format', 'json')
+        self.assertEqual(ExitStatus.SUCCESS, result.status, result.errors)
+        return result.fields['key'], result.fields['key_hash']
 
     def models_status(self, key: str, entry: int) -> int:
         path = '/v1/models'
@@ -53,11 +53,11 @@
         for entry in (0, 1):
             self.assertEqual(200, self.models_status(key, entry))
         started_s = time.monotonic()
-        ended = self.operate('key', 'withdraw', key_hash[:12])
-        self.assertEqual(ExitStatus.SUCCESS, ended.status, ended.errors)
+        result = self.operate('key', 'withdraw', key_hash[:12])
+        self.assertEqual(ExitStatus.SUCCESS, result.status, result.errors)
         for entry in (0, 1):
             self.assertEqual(401, self.models_status(key, entry))
-        self.assertLess(time.monotonic() - started_s, WITHDRAWAL_BOUND_S)
+        self.assertLess(time.monotonic() - started_s, MAX_ROLLOUT_S)
 
     def test_concurrently_issued_keys_all_work(self) -> None:
         """Three operators issue keys concurrently. Each gets a key that works,
@@ -77,12 +77,14 @@
         paused = self.fleet.entries[1]
         paused.signal(signal.SIGSTOP)
         try:
-            ended = self.operate('key', 'issue', 'duka-routes', '--wait', '0')
+            result = self.operate('key', 'issue', 'duka-routes', '--wait', '0')
         finally:
             paused.signal(signal.SIGCONT)
-        self.assertEqual(ExitStatus.NOT_EVERYWHERE, ended.status, ended.errors)
-        self.assertIn(f'{paused.name} has not answered', ended.output)
-        deadline_s = time.monotonic() + WITHDRAWAL_BOUND_S
+        self.assertEqual(
+            ExitStatus.NOT_EVERYWHERE, result.status, result.errors
+        )
+        self.assertIn(f'{paused.name} has not answered', result.output)
+        deadline_s = time.monotonic() + MAX_ROLLOUT_S
         while self.operate('status').status != ExitStatus.SUCCESS:
             self.assertLess(time.monotonic(), deadline_s)
             time.sleep(POLL_INTERVAL_S)
@@ -96,17 +98,17 @@
         faults = f'{self.fleet.platform_url}/standin/faults'
         self.fleet.post(faults, {'lose_answers': 1})
         reason = 'the answer gets lost'
-        ended = self.operate(
+        result = self.operate(
             'apply',
             '-',
             '--reason',
             reason,
             stdin=f'{shown}\n[organisation tanga-shops]\n',
         )
-        self.assertEqual(ExitStatus.SUCCESS, ended.status, ended.errors)
+        self.assertEqual(ExitStatus.SUCCESS, result.status, result.errors)
         trail = self.operate('history', '--format', 'json').fields['changes']
-        found = [each for each in trail if each['reason'] == reason]
-        self.assertEqual(1, len(found))
+        matching = [each for each in trail if each['reason'] == reason]
+        self.assertEqual(1, len(matching))
 
     def test_a_reused_address_is_not_reported_as_the_old_instance(
         self,
@@ -124,11 +126,11 @@
             'state': 'live',
         }
         self.fleet.post(instances, gone_entry)
-        ended = self.operate('status')
-        deadline_s = time.monotonic() + WITHDRAWAL_BOUND_S
-        while 'entry-gone' not in ended.output:
+        result = self.operate('status')
+        deadline_s = time.monotonic() + MAX_ROLLOUT_S
+        while 'entry-gone' not in result.output:
             self.assertLess(time.monotonic(), deadline_s)
-            ended = self.operate('status')
+            result = self.operate('status')
         self.fleet.post(instances, gone_entry | {'state': 'leaving'})
-        self.assertIn('entry-gone has not answered', ended.output)
-        self.assertEqual(ExitStatus.NOT_EVERYWHERE, ended.status)
+        self.assertIn('entry-gone has not answered', result.output)
+        self.assertEqual(ExitStatus.NOT_EVERYWHERE, result.status)
--- a/tests/operator/test_settings.py
+++ b/tests/operator/test_settings.py
@@ -45,8 +45,8 @@
             ('[operator]\nwait_s = -1', "wait_s is '-1'"),
         ):
             self.path.write_text(text)
-            ended = self.console.run('show', '--settings', str(self.path))
-            self._assert_result(ended, ExitStatus.USAGE, problem, 'remedy: ')
+            result = self.console.run('show', '--settings', str(self.path))
+            self._assert_result(result, ExitStatus.USAGE, problem, 'remedy: ')
         for options in (
             ('--wait', 'x'),
             ('--format', 'yaml'),
@@ -54,10 +54,12 @@
             ('--limit', '-3'),
             ('--colour', 'red'),
         ):
-            ended = self.console.run('history', '--platform', 'p', *options)
-            self._assert_result(ended, ExitStatus.USAGE, options[0], 'remedy: ')
-        ended = self.console.run('show', '--settings', 'nowhere.ini')
+            result = self.console.run('history', '--platform', 'p', *options)
+            self._assert_result(
+                result, ExitStatus.USAGE, options[0], 'remedy: '
+            )
+        result = self.console.run('show', '--settings', 'nowhere.ini')
         self._assert_result(
-            ended, ExitStatus.USAGE, 'nowhere.ini cannot be read'
+            result, ExitStatus.USAGE, 'nowhere.ini cannot be read'
         )
         self.assertEqual(set(), set(self.console.connected) - {'p'})
