--- a/packages/operator/dandelionyoke_operator/_mistake_finder.py
+++ b/packages/operator/dandelionyoke_operator/_mistake_finder.py
@@ -49,10 +49,10 @@
 
 def _duplicate_sections(entities: Iterable[Entity]) -> Iterator[Mistake]:
     counts = Counter(section_header(entity) for entity in entities)
-    for title, count in counts.items():
+    for header, count in counts.items():
         if count > 1:
             yield Mistake(
-                title, '', f'{count} sections of this name', 'Keep one of them'
+                header, '', f'{count} sections of this name', 'Keep one of them'
             )
 
 
