--- a/packages/operator/dandelionyoke_operator/_application.py
+++ b/packages/operator/dandelionyoke_operator/_application.py
@@ -1,4 +1,4 @@
-"""Runs one command of the program in an environment."""
+"""The command line application: parses arguments and runs one command."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -13,16 +13,16 @@
 from cleo.io.outputs.stream_output import StreamOutput
 
 from dandelionyoke_core import DandelionyokeError
-from dandelionyoke_operator._declarations import (
+from dandelionyoke_operator._command_definitions import (
+    COMMANDS,
     COMMON_OPTIONS,
-    DECLARATIONS,
     JSON_FORMAT,
     TEXT_FORMAT,
-    Declaration,
+    CommandDefinition,
 )
 from dandelionyoke_operator._environment import Environment
-from dandelionyoke_operator._errors import UsageError, status_of
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._errors import UsageError, exit_status_of
+from dandelionyoke_operator._exit_status import ExitStatus
 from dandelionyoke_operator._invocation import Invocation
 from dandelionyoke_operator._settings import (
     Settings,
@@ -38,83 +38,84 @@
 )
 
 
-class _DeclaredCommand(Command):
-    """Meets cleo for a declaration, and does none of its work."""
+class _CleoCommand(Command):
+    """Adapter that exposes a command definition as a cleo command."""
 
     def __init__(
-        self, declaration: Declaration, environment: Environment
+        self, definition: CommandDefinition, environment: Environment
     ) -> None:
-        self.name = declaration.name
-        self.description = declaration.description
-        self._declaration = declaration
+        self.name = definition.name
+        self.description = definition.description
+        self._command_definition = definition
         self._environment = environment
         super().__init__()
 
     def configure(self) -> None:
-        for taken in self._declaration.arguments:
-            self._definition.add_argument(taken)
+        for argument in self._command_definition.arguments:
+            self._definition.add_argument(argument)
         for option in self._options():
             self._definition.add_option(option)
 
     def handle(self) -> int:
         writer = self._writer()
         try:
-            report = self._declaration.work(self._invocation())
+            report = self._command_definition.handler(self._invocation())
         except DandelionyokeError as error:
             writer.write_error(error, self._environment.stderr)
-            return status_of(error)
+            return exit_status_of(error)
         except KeyboardInterrupt:
             return ExitStatus.INTERRUPTED
         writer.write(report, self._environment.stdout)
         return report.exit_status
 
     def _options(self) -> tuple[Option, ...]:
-        return (*self._declaration.options, *COMMON_OPTIONS)
+        return (*self._command_definition.options, *COMMON_OPTIONS)
 
     def _writer(self) -> Writer:
-        chosen = str(self.option('format'))
-        writer = _WRITERS.get(chosen)
+        format_name = str(self.option('format'))
+        writer = _WRITERS.get(format_name)
         if writer:
             return writer
         raise UsageError(
-            f'--format is {chosen!r}', f'Write one of {", ".join(_WRITERS)}'
+            f'--format is {format_name!r}',
+            f'Write one of {", ".join(_WRITERS)}',
         )
 
     def _invocation(self) -> Invocation:
         options = {
-            option.name: _text(self.option(option.name))
+            option.name: _optional_text(self.option(option.name))
             for option in self._options()
         }
         arguments = {
-            taken.name: _text(self.argument(taken.name))
-            for taken in self._declaration.arguments
+            argument.name: _optional_text(self.argument(argument.name))
+            for argument in self._command_definition.arguments
         }
         settings = load_settings(
             options['settings'], self._environment.variables
         )
         return Invocation(
             self._environment,
-            _with_options(settings, options),
+            _override_settings(settings, options),
             arguments,
             options,
         )
 
 
 def run(environment: Environment) -> ExitStatus:
-    """Run the command that the arguments name and tell how it ended."""
+    """Run the command given by the arguments and return its exit status."""
     application = Application(PROGRAM)
     application.auto_exits(False)
     application.catch_exceptions(False)
-    for declaration in DECLARATIONS:
-        application.add(_DeclaredCommand(declaration, environment))
+    for definition in COMMANDS:
+        application.add(_CleoCommand(definition, environment))
     try:
         status = application.run(
             ArgvInput([PROGRAM, *environment.arguments]),
             StreamOutput(environment.stdout),
             StreamOutput(environment.stderr),
         )
-    except CleoError as bad:
-        message = ' '.join(str(bad).split())
+    except CleoError as cleo_error:
+        message = ' '.join(str(cleo_error).split())
         text_writer.write_error(
             UsageError(
                 message.removesuffix('.'), f'See {PROGRAM} help COMMAND'
@@ -128,7 +129,7 @@
     return ExitStatus(status)
 
 
-def _with_options(
+def _override_settings(
     settings: Settings, options: dict[str, str | None]
 ) -> Settings:
     platform_url = options.get('platform') or settings.platform_url
@@ -137,5 +138,5 @@
     return attrs.evolve(settings, platform_url=platform_url, wait_s=wait_s)
 
 
-def _text(found: Any) -> str | None:
-    return None if found is None else str(found)
+def _optional_text(parsed: Any) -> str | None:
+    return None if parsed is None else str(parsed)
--- a/packages/operator/dandelionyoke_operator/_configuration.py
+++ b/packages/operator/dandelionyoke_operator/_configuration.py
@@ -1,4 +1,4 @@
-"""A whole configuration as the operator writes it."""
+"""A complete, validated configuration."""
 
 from collections.abc import Iterable
 
@@ -7,31 +7,36 @@
 from dandelionyoke_core import ApiKey, Entity, Snapshot
 from dandelionyoke_operator._mistake_finder import find_mistakes
 from dandelionyoke_operator._mistakes import ConfigurationMistakes
-from dandelionyoke_operator._options import LAYOUTS, entity_name, layout_of
-from dandelionyoke_operator._printer import print_entities
-from dandelionyoke_operator._snapshot import members_of, snapshot_of
+from dandelionyoke_operator._options import (
+    SECTION_SCHEMAS,
+    entity_name,
+    schema_of,
+)
+from dandelionyoke_operator._printer import format_entities
+from dandelionyoke_operator._snapshot import entities_of, snapshot_of
 
-_ORDER = tuple(LAYOUTS)
+_SECTION_ORDER = tuple(SECTION_SCHEMAS)
 
 
 def _sorted(entities: Iterable[Entity]) -> tuple[Entity, ...]:
-    return tuple(sorted(entities, key=_place))
+    return tuple(sorted(entities, key=_sort_key))
 
 
-def _place(entity: Entity) -> tuple[int, str]:
-    return _ORDER.index(layout_of(entity).section), entity_name(entity)
+def _sort_key(entity: Entity) -> tuple[int, str]:
+    return _SECTION_ORDER.index(schema_of(entity).section), entity_name(entity)
 
 
 @attrs.frozen
 class Configuration:
-    """Organisations, keys, services and models that hold together.
+    """Consistent set of organisations, keys, services and models.
 
-    Building one checks all of it and tells every mistake in one report.
-    `str()` of it is its INI form. `base_revision` is the revision that it
-    was read at; None where it was written from nothing.
+    The constructor validates all entities and reports every mistake at
+    once. `str()` returns the configuration as INI. `base_revision` is the
+    revision that the configuration was read at, or None if it is not based
+    on a stored configuration.
 
     Raises:
-        ConfigurationMistakes: a value, a name or a reference is wrong.
+        ConfigurationMistakes: a value, name or reference is invalid.
     """
 
     entities: tuple[Entity, ...] = attrs.field(converter=_sorted)
@@ -43,24 +48,24 @@
             raise ConfigurationMistakes(mistakes)
 
     def __str__(self) -> str:
-        return print_entities(self.entities, self.base_revision)
+        return format_entities(self.entities, self.base_revision)
 
     @classmethod
     def of(cls, *entities: Entity) -> 'Configuration':
-        """Build a configuration from its parts, in any order."""
+        """Build a configuration from entities in any order."""
         return cls(entities)
 
     @classmethod
     def from_snapshot(cls, snapshot: Snapshot) -> 'Configuration':
-        """Take what is in force, to print it or to change it."""
-        return cls(tuple(members_of(snapshot)), snapshot.revision)
+        """Build a configuration from a stored snapshot."""
+        return cls(tuple(entities_of(snapshot)), snapshot.revision)
 
     @property
     def snapshot(self) -> Snapshot:
-        """This configuration as the core's snapshot."""
+        """Snapshot with the same entities, as used by the core package."""
         return snapshot_of(self.entities, self.base_revision or 0)
 
     @property
     def names_keys(self) -> bool:
-        """Tell whether any key is declared here."""
+        """Whether the configuration declares any key."""
         return any(isinstance(entity, ApiKey) for entity in self.entities)
--- a/packages/operator/dandelionyoke_operator/_lines.py
+++ b/packages/operator/dandelionyoke_operator/_decision_log.py
@@ -1,4 +1,4 @@
-"""The lines of nodes' logs that are about one request."""
+"""Reads the decisions about one request from the logs of nodes."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -6,8 +6,8 @@
 
 import attrs
 
-# What a log line says of itself, apart from the decision's inputs.
-_FRAME = frozenset(
+# Fields of each log line that are not inputs of the decision.
+_STANDARD_FIELDS = frozenset(
     (
         'cause',
         'instance_id',
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Input:
-    """One fact that a decision rested on."""
+    """Input of a decision, as a field name and its text."""
 
     name: str
     text: str
@@ -32,9 +32,10 @@
 
 @attrs.frozen
 class DecisionLine:
-    """A decision about a request, as a node wrote it.
+    """Decision about a request, as logged by a node.
 
-    `left_out` is how many lines the node left out right before this one.
+    `left_out` is the number of lines that the node dropped immediately
+    before this one.
     """
 
     at_s: float
@@ -46,21 +47,22 @@
     left_out: int
 
 
-def find_lines(logs: Iterable[str], request_id: str) -> list[DecisionLine]:
-    """Find a request's lines in the logs of any nodes, in order of time.
+def find_decisions(logs: Iterable[str], request_id: str) -> list[DecisionLine]:
+    """Return the decisions about a request, sorted by time.
 
-    Lines that are not JSON are passed over: a log may begin in the middle of
-    a line, and other programs may write to the same stream.
+    The lines may come from several nodes. Lines that are not JSON are
+    skipped: a log may begin in the middle of a line, and other programs may
+    write to the same stream.
     """
-    found = [
-        _decision(fields)
-        for fields in _records(logs)
+    decisions = [
+        _parse_decision(fields)
+        for fields in _json_objects(logs)
         if fields.get('subject') == request_id
     ]
-    return sorted(found, key=lambda line: line.at_s)
+    return sorted(decisions, key=lambda line: line.at_s)
 
 
-def _records(logs: Iterable[str]) -> Iterator[dict[str, Any]]:
+def _json_objects(logs: Iterable[str]) -> Iterator[dict[str, Any]]:
     for line in logs:
         start = line.find('{')
         if start < 0:
@@ -73,11 +75,11 @@
             yield fields
 
 
-def _decision(fields: dict[str, Any]) -> DecisionLine:
+def _parse_decision(fields: dict[str, Any]) -> DecisionLine:
     inputs = tuple(
         Input(name, str(fields[name]))
         for name in sorted(fields)
-        if name not in _FRAME and fields[name] not in {None, ''}
+        if name not in _STANDARD_FIELDS and fields[name] not in {None, ''}
     )
     return DecisionLine(
         at_s=float(fields.get('timestamp', 0)),
--- a/packages/operator/dandelionyoke_operator/_difference.py
+++ b/packages/operator/dandelionyoke_operator/_difference.py
@@ -1,4 +1,4 @@
-"""Changes in the words of the INI form."""
+"""Describes operations as differences between INI sections."""
 
 from collections.abc import Iterable, Iterator
 
@@ -11,45 +11,47 @@
     Snapshot,
 )
 from dandelionyoke_operator._options import (
-    Option,
-    layout_of,
+    OptionSchema,
+    schema_of,
 )
 from dandelionyoke_operator._reports import (
     OptionDifference,
     SectionDifference,
 )
-from dandelionyoke_operator._snapshot import find_entity, place_of_entity
+from dandelionyoke_operator._snapshot import entity_reference, find_entity
 
 ADDED = 'added'
 CHANGED = 'changed'
 REMOVED = 'removed'
 SET = 'set'
 
-Place = tuple[Section, str]
+EntityReference = tuple[Section, str]
 
 
 def describe(
     operations: Iterable[Operation], before: Snapshot
 ) -> tuple[SectionDifference, ...]:
-    """Tell what operations would change in a snapshot."""
+    """Describe what operations would change in a snapshot."""
     return tuple(
-        describe_operation(operation, find_entity(before, *place_of(operation)))
+        describe_operation(
+            operation, find_entity(before, *operation_reference(operation))
+        )
         for operation in operations
     )
 
 
-def place_of(operation: Operation) -> Place:
-    """Tell which entity an operation is about."""
+def operation_reference(operation: Operation) -> EntityReference:
+    """Return the section and name of the entity that an operation changes."""
     if isinstance(operation, Remove):
         return operation.section, operation.name
-    return place_of_entity(operation.entity)
+    return entity_reference(operation.entity)
 
 
 def describe_operation(
     operation: Operation, before: Entity | None
 ) -> SectionDifference:
-    """Tell what an operation makes of what was there before."""
-    section, name = place_of(operation)
+    """Describe an operation, given the entity before it or None."""
+    section, name = operation_reference(operation)
     after = operation.entity if isinstance(operation, Put) else None
     action = CHANGED
     if after is None:
@@ -57,30 +59,32 @@
     elif before is None:
         action = ADDED
     return SectionDifference(
-        action, f'{section.value} {name}', tuple(_options(before, after))
+        action,
+        f'{section.value} {name}',
+        tuple(_option_differences(before, after)),
     )
 
 
-def describe_blindly(operation: Operation) -> SectionDifference:
-    """Tell of an operation where it is not known what was there before."""
-    section, name = place_of(operation)
+def describe_without_previous(operation: Operation) -> SectionDifference:
+    """Describe an operation if the previous entity is not known."""
+    section, name = operation_reference(operation)
     action = SET if isinstance(operation, Put) else REMOVED
     return SectionDifference(action, f'{section.value} {name}')
 
 
-def _options(
+def _option_differences(
     before: Entity | None, after: Entity | None
 ) -> Iterator[OptionDifference]:
-    either = after or before
-    if either is None:
+    entity = after or before
+    if entity is None:
         return
-    for option in layout_of(either).options:
-        old = None if before is None else _printed(option, before)
-        new = None if after is None else _printed(option, after)
-        if old != new:
-            yield OptionDifference(option.name, old, new)
+    for option in schema_of(entity).options:
+        old_value = None if before is None else _format_value(option, before)
+        new_value = None if after is None else _format_value(option, after)
+        if old_value != new_value:
+            yield OptionDifference(option.name, old_value, new_value)
 
 
-def _printed(option: Option, entity: Entity) -> str:
-    text = option.form.write(getattr(entity, option.field))
+def _format_value(option: OptionSchema, entity: Entity) -> str:
+    text = option.value_type.format(getattr(entity, option.field))
     return ', '.join(line.strip() for line in text.strip().split('\n'))
--- a/packages/operator/dandelionyoke_operator/_environment.py
+++ b/packages/operator/dandelionyoke_operator/_environment.py
@@ -1,4 +1,4 @@
-"""The process around the program, passed whole to whatever runs in it."""
+"""Process environment: arguments, streams, clocks and random values."""
 
 import getpass
 import os
@@ -18,17 +18,17 @@
 
 
 def new_key() -> str:
-    """Make a key for an organisation's callers."""
+    """Generate a random API key."""
     return f'{KEY_PREFIX}{secrets.token_urlsafe(KEY_BYTES)}'
 
 
 def new_change_id() -> str:
-    """Make an id that no other change has."""
+    """Generate a unique change id."""
     return uuid.uuid4().hex
 
 
-def user_name() -> str:
-    """Tell who runs this process; empty where nobody knows."""
+def current_user() -> str:
+    """Return the name of the current user, or an empty text if unknown."""
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -37,10 +37,10 @@
 
 @attrs.frozen
 class Environment:
-    """Arguments, streams, clocks and randomness of one run.
+    """Arguments, streams, clocks and generators of one run of the program.
 
-    A test builds one with its own streams, clock and platform, and runs the
-    whole program in its own process.
+    Tests pass their own streams, clock and platform to run the whole program
+    within the test process.
     """
 
     arguments: tuple[str, ...]
@@ -48,9 +48,9 @@
     stdout: TextIO = attrs.field(factory=lambda: sys.stdout)
     stderr: TextIO = attrs.field(factory=lambda: sys.stderr)
     variables: Mapping[str, str] = attrs.field(factory=lambda: os.environ)
-    user: str = attrs.field(factory=user_name)
+    user: str = attrs.field(factory=current_user)
     connect: Callable[[str], Platform] = HttpPlatform
-    wall_s: Callable[[], float] = time.time
+    wall_clock_s: Callable[[], float] = time.time
     monotonic_s: Callable[[], float] = time.monotonic
     sleep: Callable[[float], None] = time.sleep
     new_key: Callable[[], str] = new_key
--- a/packages/operator/dandelionyoke_operator/_mistake_finder.py
+++ b/packages/operator/dandelionyoke_operator/_mistake_finder.py
@@ -1,4 +1,4 @@
-"""Finds every mistake in the entities of a configuration."""
+"""Validation of the entities of a configuration."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -11,87 +11,96 @@
     Snapshot,
     validate,
 )
-from dandelionyoke_operator._forms import Form
+from dandelionyoke_operator._forms import ValueType
 from dandelionyoke_operator._mistakes import Mistake
 from dandelionyoke_operator._options import (
     entity_name,
-    header,
-    layout_of,
+    schema_of,
+    section_header,
 )
 from dandelionyoke_operator._snapshot import snapshot_of
 
 
 def find_mistakes(entities: Iterable[Entity]) -> tuple[Mistake, ...]:
-    """Find every wrong name, value and reference."""
-    listed = tuple(entities)
-    names = {(layout_of(each).section, entity_name(each)) for each in listed}
-    found = list(_repeated(listed))
-    for entity in listed:
-        found.extend(_wrong_values(entity))
-        found.extend(_dangling(entity, names))
+    """Return a mistake for every invalid name, value and reference."""
+    entity_list = tuple(entities)
+    names = {
+        (schema_of(each).section, entity_name(each)) for each in entity_list
+    }
+    found = list(_duplicate_sections(entity_list))
+    for entity in entity_list:
+        found.extend(_invalid_values(entity))
+        found.extend(_dangling_references(entity, names))
     if found:
         return tuple(found)
-    # What takes several options to judge, the core judges for all of us.
-    return core_mistakes(validate(snapshot_of(listed, Snapshot().revision)))
+    # The core package validates rules that involve several options.
+    return mistakes_from_problems(
+        validate(snapshot_of(entity_list, Snapshot().revision))
+    )
 
 
-def core_mistakes(problems: Iterable[Problem]) -> tuple[Mistake, ...]:
-    """Tell the core's problems in the operator's form."""
+def mistakes_from_problems(problems: Iterable[Problem]) -> tuple[Mistake, ...]:
+    """Convert problems reported by the core package to mistakes."""
     return tuple(
         Mistake(problem.subject, '', problem.detail, problem.remedy)
         for problem in problems
     )
 
 
-def _repeated(entities: Iterable[Entity]) -> Iterator[Mistake]:
-    counts = Counter(header(entity) for entity in entities)
-    for title, count in counts.items():
+def _duplicate_sections(entities: Iterable[Entity]) -> Iterator[Mistake]:
+    counts = Counter(section_header(entity) for entity in entities)
+    for header, count in counts.items():
         if count > 1:
             yield Mistake(
-                title, '', f'{count} sections of this name', 'Keep one of them'
+                header, '', f'{count} sections of this name', 'Keep one of them'
             )
 
 
-def _wrong_values(entity: Entity) -> Iterator[Mistake]:
-    layout = layout_of(entity)
-    if not _reads_back(layout.name_form, entity_name(entity)):
+def _invalid_values(entity: Entity) -> Iterator[Mistake]:
+    schema = schema_of(entity)
+    if not _round_trips(schema.name_type, entity_name(entity)):
         yield Mistake(
-            header(entity),
+            section_header(entity),
             '',
-            'a name of another form',
-            layout.name_form.remedy,
+            'an invalid name',
+            schema.name_type.remedy,
         )
-    for option in layout.options:
+    for option in schema.options:
         found = getattr(entity, option.field)
-        if not _reads_back(option.form, found):
+        if not _round_trips(option.value_type, found):
             yield Mistake(
-                header(entity), option.name, repr(found), option.form.remedy
+                section_header(entity),
+                option.name,
+                repr(found),
+                option.value_type.remedy,
             )
 
 
-def _dangling(
+def _dangling_references(
     entity: Entity, names: set[tuple[Section, str]]
 ) -> Iterator[Mistake]:
-    for option in layout_of(entity).options:
-        wanted = option.refers_to
-        named = getattr(entity, option.field)
-        if wanted is None or (wanted, named) in names:
+    for option in schema_of(entity).options:
+        target_section = option.refers_to
+        target_name = getattr(entity, option.field)
+        if target_section is None or (target_section, target_name) in names:
             continue
         yield Mistake(
-            header(entity),
+            section_header(entity),
             option.name,
-            f'{named!r}, which is not declared',
-            f'Add [{wanted.value} {named}], or name one that is there',
+            f'{target_name!r}, which is not declared',
+            f'Add [{target_section.value} {target_name}], '
+            'or name one that is there',
         )
 
 
-def _reads_back(form: Form, found: Any) -> bool:
-    """Tell whether a value reads back from its printed form.
+def _round_trips(value_type: ValueType, found: Any) -> bool:
+    """Return whether parsing the formatted value gives the same value.
 
-    An object built in Python can hold what no file could: a text for a
-    number, a line break. Printed, it would read back as something else.
+    An object built in Python can hold values that a file cannot, such as a
+    text in place of a number, or a line break. These would be printed as
+    INI that parses to something else.
     """
     try:
-        return bool(form.read(form.write(found)) == found)
+        return bool(value_type.parse(value_type.format(found)) == found)
     except (ValueError, TypeError, AttributeError):
         return False
--- a/packages/operator/dandelionyoke_operator/_mistakes.py
+++ b/packages/operator/dandelionyoke_operator/_mistakes.py
@@ -1,4 +1,4 @@
-"""What is wrong in a configuration, told all at once."""
+"""Mistakes in a configuration, reported together."""
 
 from collections.abc import Iterable
 
@@ -7,30 +7,31 @@
 from dandelionyoke_core import ConfigurationError, Section
 from dandelionyoke_operator._forms import is_hash
 
-SHOWN_LENGTH = 8
+SHOWN_KEY_CHARACTERS = 8
 
 
-def hide_key(header: str) -> str:
-    """Shorten a key that stands where its hash should.
+def redact_key(header: str) -> str:
+    """Shorten a key that was written in place of its hash.
 
-    A report ends up on screens and in tickets. The key would be read there
-    by others, and nobody would notice that it has to be withdrawn.
+    Error reports are shown on screens and copied into tickets. A whole key
+    would leak there unnoticed and not be withdrawn.
     """
     kind, _, name = header.partition(' ')
     if kind == Section.KEY.value and name and not is_hash(name):
-        return f'{kind} {name[:SHOWN_LENGTH]}...'
+        return f'{kind} {name[:SHOWN_KEY_CHARACTERS]}...'
     return header
 
 
 @attrs.frozen
 class Mistake:
-    """One wrong place: the section, the option, what is there, the remedy.
+    """Mistake at one place in a configuration, with a remedy.
 
-    `section` is the header as it stands in the file, without brackets;
-    `option` is empty where the mistake is the section itself.
+    `section` is the section header as written in the file, without brackets.
+    `option` is empty if the mistake concerns the section itself. `found` is
+    the invalid text or its description.
     """
 
-    section: str = attrs.field(converter=hide_key)
+    section: str = attrs.field(converter=redact_key)
     option: str
     found: str
     remedy: str
@@ -43,7 +44,7 @@
 
 
 class ConfigurationMistakes(ConfigurationError):
-    """Every mistake of one configuration, in one report."""
+    """All mistakes of one configuration."""
 
     def __init__(self, mistakes: Iterable[Mistake]) -> None:
         self.mistakes = tuple(mistakes)
--- a/packages/operator/dandelionyoke_operator/_platform.py
+++ b/packages/operator/dandelionyoke_operator/_platform.py
@@ -1,4 +1,4 @@
-"""The platform and the entries, as the operator's program meets them."""
+"""Clients of the platform and the entry instances."""
 
 import json
 from collections.abc import Mapping
@@ -26,7 +26,7 @@
 
 READ_TIMEOUT_S = 2.0
 
-_NO_LIST = (TransportError, CodecError, KeyError, TypeError)
+_LIST_ERRORS = (TransportError, CodecError, KeyError, TypeError)
 
 _REMEDY = 'Check the address of the platform, then try again'
 
@@ -35,12 +35,12 @@
     """The platform's key-value service."""
 
     def perform(self, action: Action) -> StoreResult:
-        """Carry out one store action and tell how it ended."""
+        """Perform one store action and return its result."""
 
 
 @attrs.frozen
 class EntryStatus:
-    """What an entry says of itself; None where it does not say."""
+    """Status reported by an entry; None for values that it left out."""
 
     instance_id: InstanceId
     domain: Domain
@@ -53,34 +53,34 @@
 
 
 class Platform(Protocol):
-    """All that the program reaches over the network."""
+    """Services that the program uses over the network."""
 
     @property
     def store(self) -> Store:
-        """The store that holds the configuration."""
+        """Store that holds the configuration."""
 
     def instances(self) -> tuple[Instance, ...]:
         """List the entry instances.
 
         Raises:
-            UnavailableError: the platform gave no list.
+            UnavailableError: the platform returned no valid list.
         """
 
     def entry_status(self, instance: Instance) -> EntryStatus | None:
-        """Ask an entry about itself; None: it does not answer."""
+        """Return the status of an entry, or None if it does not answer."""
 
 
 class HttpPlatform:
-    """The platform and the entries over HTTP."""
+    """Access to the platform and the entries over HTTP."""
 
     def __init__(self, base_url: str) -> None:
-        self._base_url = _base_of(base_url).rstrip('/')
+        self._base_url = _with_scheme(base_url).rstrip('/')
         self._pool = new_pool()
         self._store = StoreClient(self._base_url, self._pool)
 
     @property
     def store(self) -> Store:
-        """The store that holds the configuration."""
+        """Store that holds the configuration."""
         return self._store
 
     def instances(self) -> tuple[Instance, ...]:
@@ -90,16 +90,16 @@
             return tuple(
                 record_from_json(json.dumps(each), Instance) for each in listed
             )
-        except _NO_LIST as error:
+        except _LIST_ERRORS as error:
             raise UnavailableError(
                 f'The platform gave no list of instances: {error}', _REMEDY
             ) from error
 
     def entry_status(self, instance: Instance) -> EntryStatus | None:
-        """Ask an entry about itself; None: it does not answer."""
-        url = f'{_base_of(instance.caller_address)}/status'
+        """Return the status of an entry, or None if it does not answer."""
+        url = f'{_with_scheme(instance.caller_address)}/status'
         try:
-            return _read_status(instance, self._get(url))
+            return _parse_status(instance, self._get(url))
         except (TransportError, CodecError):
             return None
 
@@ -110,21 +110,21 @@
         return reply.body
 
 
-def _base_of(address: str) -> str:
+def _with_scheme(address: str) -> str:
     return address if '://' in address else f'http://{address}'
 
 
-def _read_status(instance: Instance, body: Mapping[str, Any]) -> EntryStatus:
-    """Read an entry's answer; what it leaves out is unknown.
+def _parse_status(instance: Instance, body: Mapping[str, Any]) -> EntryStatus:
+    """Parse the status of an entry; absent values are None.
 
-    Another process may have taken over the address of an instance that the
-    lagging list still names. Its answer would count as the old instance's,
-    and a change would be told as in force where nobody knows it, so an
-    answer under another name counts as none.
+    The list of instances may be stale, and another process may have taken
+    over the address of an instance in it. Its status would then be taken for
+    that of the old instance, and a change reported as in force where it is
+    not known. A status with another instance id is therefore rejected.
     """
     if body.get('instance_id') != instance.instance_id:
         raise CodecError(
-            f'{instance.caller_address} answers under another name',
+            f'{instance.caller_address} answers with another instance id',
             'Wait until the list of instances has caught up',
         )
     return record_from_json(
--- a/packages/operator/dandelionyoke_operator/commands/_read.py
+++ b/packages/operator/dandelionyoke_operator/commands/_read.py
@@ -1,11 +1,12 @@
-"""Commands that only read."""
+"""Commands that do not change the configuration."""
 
 import contextlib
 import datetime
 import re
 from types import MappingProxyType
 
-from dandelionyoke_operator._audit import concerns
+from dandelionyoke_operator._audit_filter import affects_organisation
+from dandelionyoke_operator._audit_trail import replay_changes
 from dandelionyoke_operator._configuration import Configuration
 from dandelionyoke_operator._errors import UnavailableError, UsageError
 from dandelionyoke_operator._invocation import Invocation
@@ -16,14 +17,13 @@
     StatusReport,
 )
 from dandelionyoke_operator._rollout import read_rollout
-from dandelionyoke_operator._trail import read_trail
 
 _UNITS_S = MappingProxyType({'m': 60, 'h': 3600, 'd': 86_400})
-_AGO = re.compile(r'(\d+)([mhd])')
+_RELATIVE_TIME = re.compile(r'(\d+)([mhd])')
 
 
 def check(invocation: Invocation) -> CheckReport:
-    """Check a file without reaching the platform."""
+    """Validate a file without connecting to the platform."""
     snapshot = invocation.configuration().snapshot
     return CheckReport(
         organisations=len(snapshot.organisations),
@@ -48,25 +48,28 @@
     """List the audit trail, newest first."""
     repository = invocation.repository(invocation.platform())
     loaded = repository.load(invocation.limit)
-    since_s = _moment(invocation, 'since')
-    until_s = _moment(invocation, 'until')
+    since_s = _parse_time(invocation, 'since')
+    until_s = _parse_time(invocation, 'until')
     organisation = invocation.option('organisation')
     changes = loaded.changes
-    chosen = [
+    matching = [
         record
-        for change, record in zip(changes, read_trail(changes), strict=True)
+        for change, record in zip(changes, replay_changes(changes), strict=True)
         if (since_s is None or change.committed_wall_s >= since_s)
         and (until_s is None or change.committed_wall_s <= until_s)
-        and (organisation is None or concerns(change, organisation, changes))
+        and (
+            organisation is None
+            or affects_organisation(change, organisation, changes)
+        )
     ]
-    return HistoryReport(tuple(reversed(chosen)))
+    return HistoryReport(tuple(reversed(matching)))
 
 
 def status(invocation: Invocation) -> StatusReport:
-    """Tell how far each entry is, also while the store is down.
+    """Report the status of each entry, also during an outage of the store.
 
-    Entries serve on through an outage of the store, and that is when the
-    operator has to know how old their knowledge is.
+    Entries continue to serve during an outage of the store, and the operator
+    then needs to know how stale their configuration is.
     """
     platform = invocation.platform()
     revision = None
@@ -76,21 +79,21 @@
     return StatusReport(read_rollout(platform, revision))
 
 
-def _moment(invocation: Invocation, name: str) -> float | None:
+def _parse_time(invocation: Invocation, name: str) -> float | None:
     text = invocation.option(name)
     if text is None:
         return None
-    ago = _AGO.fullmatch(text)
-    if ago:
-        elapsed_s = int(ago.group(1)) * _UNITS_S[ago.group(2)]
-        return invocation.environment.wall_s() - elapsed_s
+    relative = _RELATIVE_TIME.fullmatch(text)
+    if relative:
+        elapsed_s = int(relative.group(1)) * _UNITS_S[relative.group(2)]
+        return invocation.environment.wall_clock_s() - elapsed_s
     try:
-        moment = datetime.datetime.fromisoformat(text)
+        time = datetime.datetime.fromisoformat(text)
     except ValueError:
         raise UsageError(
             f'--{name} is {text!r}',
-            'Write a time such as 2026-12-03T18:30, or 90m, 2h, 3d ago',
+            'Write a time such as 2026-12-03T18:30, or an age: 90m, 2h, 3d',
         ) from None
-    if moment.tzinfo is None:
-        moment = moment.replace(tzinfo=datetime.UTC)
-    return moment.timestamp()
+    if time.tzinfo is None:
+        time = time.replace(tzinfo=datetime.UTC)
+    return time.timestamp()
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
-"""Start the stand-ins and entries as processes, for developers and tests.
+"""Starts the stand-ins and entries as processes, for development and tests.
 
-This is the one place that starts processes. It is no part of the product:
-nothing under `packages/` starts any, and a test sees to that.
+This is the only module that starts processes. It is not part of the product:
+no code under `packages/` starts a process, which a test checks.
 """
 
 import os
@@ -24,7 +24,7 @@
 LOGS = ROOT / '.logs'
 READY_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 30.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 SECRET = 'loopback-only-secret-of-the-demo'
 
 ENTRY_SETTINGS = """\
@@ -44,8 +44,8 @@
 
 
 @attrs.define
-class Running:
-    """One process that this module started, and its first lines."""
+class RunningProcess:
+    """Started process, its unread lines of output and its addresses."""
 
     name: str
     process: 'subprocess.Popen[str]'
@@ -53,45 +53,46 @@
         factory=queue.SimpleQueue, repr=False
     )
     address: str = ''
-    second_address: str = ''
+    secondary_address: str = ''
     service: str = ''
     domain: str = ''
     kind: str = ''
 
     def await_ready(self) -> str:
-        """Wait until the process listens; return its address."""
+        """Wait until the process listens and return its address."""
         self.address = self.address or self.await_line('READY ')
         return self.address
 
-    def await_line(self, word: str) -> str:
-        """Wait for a line that starts with a word; return the rest."""
+    def await_line(self, prefix: str) -> str:
+        """Wait for a line that starts with a prefix and return the rest."""
         while True:
             line = self.lines.get(timeout=READY_TIMEOUT_S)
-            if line.startswith(word):
-                return line.removeprefix(word).strip()
+            if line.startswith(prefix):
+                return line.removeprefix(prefix).strip()
             if not line:
-                raise RuntimeError(f'{self.name} ended; see .logs/')
+                raise RuntimeError(f'{self.name} exited; see .logs/')
 
-    def lines_until_end(self) -> Iterator[str]:
-        """Yield each line of output until the process ends it."""
+    def remaining_lines(self) -> Iterator[str]:
+        """Yield the lines of output until the process closes it."""
         while line := self.lines.get():
             yield line
 
-    def signal(self, number: signal.Signals) -> None:
+    def signal(self, signal_number: signal.Signals) -> None:
         """Send a signal, unless the process has ended."""
         if self.process.poll() is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Wait for the end; return the exit status."""
+        """Wait for the process to end and return its exit status."""
         return self.process.wait(timeout_s)
 
 
 @attrs.frozen
 class Deployment:
-    """What `Fleet.deploy` starts.
+    """Processes that `Fleet.deploy` starts.
 
-    Targets named in `linked` are listed behind a link of their own.
+    Each target named in `targets_behind_links` is registered with the address
+    of a separate link, a proxy that can be told to drop traffic.
     """
 
     domains: Sequence[str] = ('kurasini', 'mikocheni')
@@ -107,66 +108,70 @@
     plain_services: Sequence[str] = ('crate-ledger',)
     entries: int = 2
     engine_options: Sequence[str] = ()
-    linked: Collection[str] = ()
+    targets_behind_links: Collection[str] = ()
 
 
 class Fleet:
-    """All processes of one deployment on loopback."""
+    """Processes of one deployment on loopback."""
 
     def __init__(self, balancer_notice_s: float = 0.2) -> None:
         self._balancer_notice_s = balancer_notice_s
-        self.running: list[Running] = []
+        self.processes: list[RunningProcess] = []
         self.platform_url = ''
-        self.entries: list[Running] = []
+        self.entries: list[RunningProcess] = []
         self.targets: list[dict[str, object]] = []
-        self.links: dict[str, Running] = {}
+        self.links: dict[str, RunningProcess] = {}
         self._pool = urllib3.PoolManager(timeout=READY_TIMEOUT_S)
         LOGS.mkdir(exist_ok=True)
-        # A folder of its own: two fleets at once would start entries with
-        # each other's settings.
+        # Each fleet has a separate folder. Concurrent fleets would otherwise
+        # overwrite each other's settings files.
         self.logs = pathlib.Path(tempfile.mkdtemp(dir=LOGS))
 
     def deploy(self, deployment: Deployment) -> None:
         """Start the platform, the targets and the entries."""
         platform = self.start_standin('platform', 'platform', '--lag-s', '0.2')
-        # All begin before the first is waited for: each start takes a second.
+        # Start all before waiting for the first: each start takes 1 s.
         targets = [
-            self._begin_engine(service, number, deployment)
+            self._start_engine(service, index, deployment)
             for service, count in deployment.engines.items()
-            for number in range(count)
+            for index in range(count)
         ]
         targets.extend(
-            self._begin_plain(service, deployment.domains[0])
+            self._start_plain_service(service, deployment.domains[0])
             for service in deployment.plain_services
         )
         self.platform_url = platform.await_ready()
         entries = [
-            self._begin_entry(
-                f'entry-{number + 1}',
-                deployment.domains[number % len(deployment.domains)],
+            self._launch_entry(
+                f'entry-{index + 1}',
+                deployment.domains[index % len(deployment.domains)],
             )
-            for number in range(deployment.entries)
+            for index in range(deployment.entries)
         ]
         for target in targets:
-            self._note_target(target, deployment)
-        self.list_targets()
+            self._add_target(target, deployment)
+        self.publish_targets()
         for entry in entries:
-            self._list_entry(entry)
-
-    def start_entry(self, instance_id: str, domain: str) -> Running:
-        """Start an entry and list it at the platform."""
-        running = self._begin_entry(instance_id, domain)
-        self._list_entry(running)
-        return running
-
-    def start_standin(self, name: str, kind: str, *options: str) -> Running:
-        """Start a stand-in."""
-        return self._start(name, 'dandelionyoke_standins', kind, *options)
+            self._register_entry(entry)
+
+    def start_entry(self, instance_id: str, domain: str) -> RunningProcess:
+        """Start an entry and register it with the platform."""
+        processes = self._launch_entry(instance_id, domain)
+        self._register_entry(processes)
+        return processes
+
+    def start_standin(
+        self, name: str, kind: str, *options: str
+    ) -> RunningProcess:
+        """Start a stand-in of the given kind."""
+        return self._start_process(
+            name, 'dandelionyoke_standins', kind, *options
+        )
 
-    def _begin_engine(
-        self, service: str, number: int, deployment: Deployment
-    ) -> Running:
-        name = f'{service}-{number}'
+    def _start_engine(
+        self, service: str, index: int, deployment: Deployment
+    ) -> RunningProcess:
+        name = f'{service}-{index}'
         model = deployment.models[service]
         running = self.start_standin(
             name,
@@ -178,18 +183,18 @@
             *deployment.engine_options,
         )
         running.service = service
-        running.domain = deployment.domains[number % len(deployment.domains)]
+        running.domain = deployment.domains[index % len(deployment.domains)]
         running.kind = 'engine'
         return running
 
-    def _begin_plain(self, service: str, domain: str) -> Running:
+    def _start_plain_service(self, service: str, domain: str) -> RunningProcess:
         running = self.start_standin(f'{service}-0', 'plain')
         running.service = service
         running.domain = domain
         running.kind = 'plain'
         return running
 
-    def _begin_entry(self, instance_id: str, domain: str) -> Running:
+    def _launch_entry(self, instance_id: str, domain: str) -> RunningProcess:
         settings = self.logs / f'{instance_id}.ini'
         settings.write_text(
             ENTRY_SETTINGS.format(
@@ -200,40 +205,42 @@
                 balancer_notice_s=self._balancer_notice_s,
             )
         )
-        running = self._start(
+        running = self._start_process(
             instance_id, 'dandelionyoke_entry', '--settings', str(settings)
         )
         running.domain = domain
         return running
 
-    def _list_entry(self, running: Running) -> None:
+    def _register_entry(self, running: RunningProcess) -> None:
         running.await_ready()
-        running.second_address = running.await_line('PEERS ')
+        running.secondary_address = running.await_line('PEERS ')
         self.post(
             f'{self.platform_url}/instances',
             {
                 'instance_id': running.name,
                 'domain': running.domain,
                 'caller_address': running.address,
-                'peer_address': running.second_address,
+                'peer_address': running.secondary_address,
                 'state': 'live',
             },
         )
         self.entries.append(running)
 
-    def start_link(self, to: str) -> Running:
-        """Start a link; its second address takes its commands."""
-        there = urlsplit(to)
+    def start_link(self, to: str) -> RunningProcess:
+        """Start a link to an address; its secondary address is for control."""
+        destination = urlsplit(to)
         link = self.start_standin(
-            f'link-{there.port}', 'link', '--to', there.netloc
+            f'link-{destination.port}', 'link', '--to', destination.netloc
         )
         link.await_ready()
-        link.second_address = link.await_line('CONTROL ')
+        link.secondary_address = link.await_line('CONTROL ')
         return link
 
-    def _note_target(self, running: Running, deployment: Deployment) -> None:
+    def _add_target(
+        self, running: RunningProcess, deployment: Deployment
+    ) -> None:
         address = running.await_ready()
-        if running.name in deployment.linked:
+        if running.name in deployment.targets_behind_links:
             link = self.start_link(address)
             self.links[running.name] = link
             address = link.address
@@ -249,23 +256,27 @@
             }
         )
 
-    def start_load(self, *options: str) -> Running:
+    def start_load(self, *options: str) -> RunningProcess:
         """Start the load driver."""
-        return self._start('load', 'dandelionyoke_standins', 'load', *options)
+        return self._start_process(
+            'load', 'dandelionyoke_standins', 'load', *options
+        )
 
     def configure(self, text: str, reason: str = 'set up') -> None:
-        """Put a configuration in force by the operator's command."""
+        """Apply a configuration with the operator's command."""
         file = self.logs / 'configuration.ini'
         file.write_text(text)
-        self.operate('check', str(file))
-        self.operate(
+        self.run_operator('check', str(file))
+        self.run_operator(
             'apply', str(file), '--reason', reason, '--author', 'launcher'
         )
 
-    def operate(self, *arguments: str, statuses: Sequence[int] = (0,)) -> str:
-        """Run the operator's command; return what it printed."""
+    def run_operator(
+        self, *arguments: str, statuses: Sequence[int] = (0,)
+    ) -> str:
+        """Run the operator's command and return its output."""
         program = pathlib.Path(sys.executable).parent / 'dandelionyoke'
-        ended = subprocess.run(  # noqa: S603 - our own program
+        completed = subprocess.run(  # noqa: S603 - our own program
             [str(program), *arguments],
             check=False,
             env={**os.environ, 'DANDELIONYOKE_PLATFORM': self.platform_url},
@@ -273,9 +284,11 @@
             text=True,
             timeout=READY_TIMEOUT_S,
         )
-        if ended.returncode not in statuses:
-            raise RuntimeError(f'{arguments}: {ended.stdout}{ended.stderr}')
-        return ended.stdout
+        if completed.returncode not in statuses:
+            raise RuntimeError(
+                f'{arguments}: {completed.stdout}{completed.stderr}'
+            )
+        return completed.stdout
 
     def await_targets(self) -> None:
         """Wait until every entry reports all targets as usable."""
@@ -284,47 +297,51 @@
             while self._usable_targets(entry) < len(self.targets):
                 if time.monotonic() > deadline_s:
                     raise RuntimeError(f'{entry.name} sees too few targets')
-                time.sleep(POLL_S)
+                time.sleep(POLL_INTERVAL_S)
 
-    def _usable_targets(self, entry: Running) -> int:
+    def _usable_targets(self, entry: RunningProcess) -> int:
         return int(self.get(f'{entry.address}/status')['usable_targets'])
 
-    def list_targets(self) -> None:
-        """Tell the platform's stand-in which targets there are."""
+    def publish_targets(self) -> None:
+        """Send the list of targets to the platform's stand-in."""
         self.post(
             f'{self.platform_url}/standin/targets', {'targets': self.targets}
         )
 
     def post(self, url: str, body: Mapping[str, object]) -> Any:
-        """Post JSON and return the decoded answer."""
+        """Post JSON and return the decoded response."""
         return self._pool.request('POST', url, json=dict(body)).json()
 
     def get(self, url: str) -> Any:
-        """Get JSON."""
+        """Get and decode JSON."""
         return self._pool.request('GET', url).json()
 
     def close(self) -> None:
-        """End all that was started: entries first, so that they drain."""
+        """Stop all processes, entries first so that they can drain."""
         entries = [
-            running for running in self.running if running in self.entries
+            running for running in self.processes if running in self.entries
+        ]
+        others = [
+            running for running in self.processes if running not in entries
         ]
-        others = [running for running in self.running if running not in entries]
         for group in (entries, others):
             for running in group:
                 running.signal(signal.SIGCONT)
                 running.signal(signal.SIGTERM)
             for running in group:
-                self._end(running)
-        self.running.clear()
+                self._await_end(running)
+        self.processes.clear()
 
-    def _end(self, running: Running) -> None:
+    def _await_end(self, running: RunningProcess) -> None:
         try:
             running.wait()
         except subprocess.TimeoutExpired:
             running.process.kill()
             running.wait()
 
-    def _start(self, name: str, module: str, *arguments: str) -> Running:
+    def _start_process(
+        self, name: str, module: str, *arguments: str
+    ) -> RunningProcess:
         with (self.logs / f'{name}.log').open('w') as log:
             process = subprocess.Popen(  # noqa: S603 - our own modules
                 [sys.executable, '-W', 'ignore', '-m', module, *arguments],
@@ -333,13 +350,15 @@
                 text=True,
                 start_new_session=True,
             )
-        running = Running(name, process)
-        self.running.append(running)
-        threading.Thread(target=_pump, args=(running,), daemon=True).start()
+        running = RunningProcess(name, process)
+        self.processes.append(running)
+        threading.Thread(
+            target=_collect_output, args=(running,), daemon=True
+        ).start()
         return running
 
 
-def _pump(running: Running) -> None:
+def _collect_output(running: RunningProcess) -> None:
     stdout = running.process.stdout
     if stdout is not None:
         for line in stdout:
--- a/tests/operator/support.py
+++ b/tests/operator/support.py
@@ -1,4 +1,4 @@
-"""A store, a platform and a clock in memory, and runs of the program."""
+"""In-memory store, platform and clock, and a harness to run commands."""
 
 import io
 import itertools
@@ -26,13 +26,13 @@
 from dandelionyoke_operator._application import run
 from dandelionyoke_operator._environment import Environment
 from dandelionyoke_operator._errors import UnavailableError
-from dandelionyoke_operator._exit import ExitStatus
+from dandelionyoke_operator._exit_status import ExitStatus
 from dandelionyoke_operator._platform import EntryStatus
 from dandelionyoke_operator._repository import Repository
 
 NOON_S = 1_796_299_200.0
 
-FLEET = """\
+CONFIGURATION = """\
 [organisation duka-routes]
 priority = 7
 
@@ -52,10 +52,11 @@
 
 @attrs.define
 class MemoryStore:
-    """Compare-and-swap in memory, with the store's faults.
+    """In-memory store with compare-and-swap and fault injection.
 
-    `before_put` runs before the next write; `lost_answers` writes take
-    effect without an answer; the next `outage_calls` calls are refused.
+    `before_put` is called before the next write. The next `lost_answers`
+    writes take effect without an answer, and the next `outage_calls` calls
+    are refused. `calls` counts all calls.
     """
 
     content: dict[str, StoreItem] = attrs.field(factory=dict)
@@ -72,21 +73,21 @@
             self.outage_calls -= 1
             return StoreFailed('503', may_have_happened=False)
         if isinstance(action, StoreGet):
-            return self._present(action.key)
+            return self._current_item(action.key)
         if self.refuses_writes:
             return StoreFailed('429', may_have_happened=False)
         if isinstance(action, StoreDelete):
             return self._delete(action)
         assert isinstance(action, StorePut)
-        race, self.before_put = self.before_put, None
-        if race:
-            race()
+        callback, self.before_put = self.before_put, None
+        if callback:
+            callback()
         return self._put(action)
 
     def _put(self, action: StorePut) -> StoreResult:
-        present = self._present(action.key)
-        if present.revision != action.expected_revision:
-            return StoreConflict(present)
+        current = self._current_item(action.key)
+        if current.revision != action.expected_revision:
+            return StoreConflict(current)
         self.revision += 1
         self.content[action.key] = StoreItem(
             action.key, self.revision, action.value
@@ -97,55 +98,60 @@
         return StoreWritten(action.key, self.revision)
 
     def _delete(self, action: StoreDelete) -> StoreResult:
-        present = self._present(action.key)
-        if present.revision != action.expected_revision:
-            return StoreConflict(present)
+        current = self._current_item(action.key)
+        if current.revision != action.expected_revision:
+            return StoreConflict(current)
         self.revision += 1
         self.content.pop(action.key, None)
         return StoreWritten(action.key, self.revision)
 
-    def _present(self, key: str) -> StoreItem:
+    def _current_item(self, key: str) -> StoreItem:
         return self.content.get(key, StoreItem(key, 0, None))
 
 
 @attrs.define(slots=False)
 class MemoryPlatform:
-    """Entries that follow the store, but for those that lag or are silent."""
+    """Platform with entries that follow the store, except for faults.
+
+    `polls_behind` maps an entry to the number of status requests that it
+    answers with an old revision. Entries in `silent` do not answer.
+    """
 
     store: MemoryStore = attrs.field(factory=MemoryStore)
-    behind: dict[str, int] = attrs.field(factory=dict)
+    polls_behind: dict[str, int] = attrs.field(factory=dict)
     silent: set[str] = attrs.field(factory=set)
     leaving: set[str] = attrs.field(factory=set)
     listed: bool = True
-    names: tuple[str, ...] = ('kurasini-1', 'kurasini-2', 'ubungo-1')
-    asked: int = 0
+    instance_names: tuple[str, ...] = ('kurasini-1', 'kurasini-2', 'ubungo-1')
+    status_requests: int = 0
 
     def instances(self) -> tuple[Instance, ...]:
         if not self.listed:
             raise UnavailableError('no list', 'Try again')
         return tuple(
-            _instance(name, name in self.leaving) for name in self.names
+            _instance(name, name in self.leaving)
+            for name in self.instance_names
         )
 
     def entry_status(self, instance: Instance) -> EntryStatus | None:
-        self.asked += 1
+        self.status_requests += 1
         name = instance.instance_id
         if name in self.silent:
             return None
-        lag = self.behind.get(name, 0)
-        if lag:
-            self.behind[name] = lag - 1
+        remaining_polls = self.polls_behind.get(name, 0)
+        if remaining_polls:
+            self.polls_behind[name] = remaining_polls - 1
         return EntryStatus(
             instance.instance_id,
             instance.domain,
-            revision=self._head() - (1 if lag else 0),
+            revision=self._head_revision() - (1 if remaining_polls else 0),
             knowledge_age_s=0.5,
             in_progress=4,
             usable_targets=13,
             duties=('control',) if name == 'ubungo-1' else (),
         )
 
-    def _head(self) -> int:
+    def _head_revision(self) -> int:
         reader = Repository(self.store, Environment(()))
         return reader.load().snapshot.revision
 
@@ -161,8 +167,8 @@
 
 
 @attrs.frozen
-class Ended:
-    """How a run ended and what it wrote."""
+class CommandResult:
+    """Exit status and output of a run of the program."""
 
     status: ExitStatus
     output: str
@@ -174,8 +180,8 @@
 
 
 @attrs.define
-class Desk:
-    """An operator's desk: runs commands in this process, in virtual time."""
+class OperatorConsole:
+    """Harness that runs commands in the test process, in virtual time."""
 
     platform: MemoryPlatform = attrs.field(factory=MemoryPlatform)
     now_s: float = NOON_S
@@ -187,7 +193,7 @@
     key_numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
     change_numbers: Iterator[int] = attrs.field(factory=itertools.count)
 
-    def run(self, *arguments: str, stdin: str = '') -> Ended:
+    def run(self, *arguments: str, stdin: str = '') -> CommandResult:
         out, err = io.StringIO(), io.StringIO()
         status = run(
             Environment(
@@ -198,21 +204,21 @@
                 variables=self.variables,
                 user=self.user,
                 connect=self._connect,
-                wall_s=lambda: self.now_s,
+                wall_clock_s=lambda: self.now_s,
                 monotonic_s=lambda: self.now_s,
                 sleep=self._sleep,
                 new_key=lambda: f'dy-{next(self.key_numbers)}',
                 new_change_id=lambda: f'change-{next(self.change_numbers)}',
             )
         )
-        return Ended(status, out.getvalue(), err.getvalue())
+        return CommandResult(status, out.getvalue(), err.getvalue())
 
-    def apply(self, text: str, *options: str) -> Ended:
+    def apply(self, text: str, *options: str) -> CommandResult:
         return self.run('apply', '-', '--reason', 'call', *options, stdin=text)
 
     def _connect(self, url: str) -> MemoryPlatform:
         self.connected.append(url)
         return self.platform
 
-    def _sleep(self, pause_s: float) -> None:
-        self.now_s += pause_s
+    def _sleep(self, duration_s: float) -> None:
+        self.now_s += duration_s
