--- a/packages/standins/dandelionyoke_standins/_policy_caller.py
+++ b/packages/standins/dandelionyoke_standins/_policy_caller.py
@@ -1,4 +1,4 @@
-"""The path of a call through a node, as thin as the measures allow."""
+"""A minimal call path of a node: admission, routing and attempts."""
 
 from typing import ClassVar
 
@@ -32,33 +32,36 @@
 from dandelionyoke_standins._policy_ledger import Ending, Ledger
 from dandelionyoke_standins._policy_workload import Call
 
-MAX_FAILURES = 5
-RETRY_ROUTE_S = 0.25
+MAX_ATTEMPT_FAILURES = 5
+ROUTE_RETRY_DELAY_S = 0.25
 
 
 @attrs.frozen
 class CallArrived(Event):
-    """A call comes to this node."""
+    """Reports that a call arrived at this node."""
 
     call: Call
 
 
 @attrs.frozen
-class StartWork(Action):
-    """Send the rest of a call's work to a target."""
+class StartEngineAttempt(Action):
+    """Starts an attempt at a target for the output that is still missing.
+
+    `generated_tokens` is the output of earlier attempts.
+    """
 
     attempt_id: AttemptId
     target: Target
     call: Call
-    done: int
+    generated_tokens: int
 
 
 @attrs.define
-class Path:
-    """Where a call is."""
+class CallState:
+    """The progress of a call and its current attempt."""
 
     call: Call
-    done: int = 0
+    generated_tokens: int = 0
     attempts: int = 0
     failures: int = 0
     attempt_id: AttemptId | None = None
@@ -66,8 +69,8 @@
     avoid: frozenset[TargetId] = frozenset()
 
 
-class Caller:
-    """Takes calls through admission and routing, and counts their ends."""
+class CallPart:
+    """Admits and routes calls, retries attempts and records the outcomes."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         CallArrived,
@@ -87,129 +90,139 @@
         self._admitter = admitter
         self._router = router
         self._ledger = ledger
-        self._paths: dict[RequestId, Path] = {}
-        self._retries: dict[RequestId, float] = {}
+        self._states: dict[RequestId, CallState] = {}
+        self._retry_times_s: dict[RequestId, float] = {}
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the outputs."""
         match event:
             case CallArrived(call=call):
-                return self._arrive(call, now_s)
+                return self._admit(call, now_s)
             case Woken():
-                return self._retry(now_s)
+                return self._retry_unrouted(now_s)
             case CallRejected(request_id=request_id):
-                self._paths.pop(request_id)
-                self._ledger.end(request_id, Ending.REFUSED, now_s)
+                self._states.pop(request_id)
+                self._ledger.record_end(request_id, Ending.REFUSED, now_s)
                 return []
-        return self._follow(event, now_s)
+        return self._handle_call_event(event, now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when a call without a route is tried again."""
-        return min(self._retries.values(), default=None)
+        """Return when the next call without a route is retried."""
+        return min(self._retry_times_s.values(), default=None)
 
-    def _follow(self, event: Event, now_s: float) -> list[Output]:
-        path = self._paths.get(getattr(event, 'request_id', RequestId('')))
-        if path is None:
+    def _handle_call_event(self, event: Event, now_s: float) -> list[Output]:
+        state = self._states.get(getattr(event, 'request_id', RequestId('')))
+        if state is None:
             return []
         match event:
             case CallAdmitted():
-                return self._send(path, now_s)
+                return self._dispatch(state, now_s)
             case CallerGone():
-                return self._leave(path, now_s)
-        if getattr(event, 'attempt_id', None) != path.attempt_id:
+                return self._abandon(state, now_s)
+        if getattr(event, 'attempt_id', None) != state.attempt_id:
             return []
-        return self._advance(path, event, now_s)
+        return self._handle_attempt_event(state, event, now_s)
 
-    def _advance(self, path: Path, event: Event, now_s: float) -> list[Output]:
+    def _handle_attempt_event(
+        self, state: CallState, event: Event, now_s: float
+    ) -> list[Output]:
         match event:
             case TokensArrived(attempt_id=attempt_id, offset=offset):
-                path.done = offset
+                state.generated_tokens = offset
                 self._router.progressed(attempt_id, offset, now_s)
             case AttemptEnded():
-                self._finish(path, event.attempt_id, now_s)
+                self._complete(state, event.attempt_id, now_s)
             case AttemptRefused() | AttemptFailed():
-                return self._again(path, event, now_s)
+                return self._retry_attempt(state, event, now_s)
         return []
 
-    def _arrive(self, call: Call, now_s: float) -> list[Output]:
+    def _admit(self, call: Call, now_s: float) -> list[Output]:
         ticket = Ticket(
             call.request_id,
             call.customer.organisation,
-            call.kind.service,
+            call.call_class.service,
             call.prompt_tokens,
             call.max_output_tokens,
             now_s,
             call.deadline_s,
         )
-        path = Path(call)
+        state = CallState(call)
         decision = self._admitter.offer(ticket, now_s)
         if isinstance(decision, Admitted | Queued):
-            self._paths[call.request_id] = path
+            self._states[call.request_id] = state
         if isinstance(decision, Admitted):
-            return self._send(path, now_s)
+            return self._dispatch(state, now_s)
         if not isinstance(decision, Queued):
-            self._ledger.end(call.request_id, Ending.REFUSED, now_s)
+            self._ledger.record_end(call.request_id, Ending.REFUSED, now_s)
         return []
 
-    def _send(self, path: Path, now_s: float) -> list[Output]:
-        call = path.call
-        self._retries.pop(call.request_id, None)
+    def _dispatch(self, state: CallState, now_s: float) -> list[Output]:
+        call = state.call
+        self._retry_times_s.pop(call.request_id, None)
         need = RouteNeed(
             call.customer.organisation.organisation_id,
-            call.kind.service,
-            blocks=call.names,
-            prompt_tokens=call.prompt_tokens + path.done,
-            max_output_tokens=call.max_output_tokens - path.done,
-            steady=call.kind.steady,
-            avoid=path.avoid,
+            call.call_class.service,
+            blocks=call.shared_blocks,
+            prompt_tokens=call.prompt_tokens + state.generated_tokens,
+            max_output_tokens=call.max_output_tokens - state.generated_tokens,
+            steady=call.call_class.requires_on_demand,
+            avoid=state.avoid,
             deadline_s=call.deadline_s,
         )
         target = self._router.choose(need, now_s)
         if isinstance(target, NoRoute):
-            path.avoid = frozenset()
-            self._retries[call.request_id] = now_s + RETRY_ROUTE_S
+            state.avoid = frozenset()
+            self._retry_times_s[call.request_id] = now_s + ROUTE_RETRY_DELAY_S
             return []
-        path.attempts += 1
-        attempt_id = AttemptId(f'{call.request_id}/{path.attempts}')
-        path.attempt_id = attempt_id
-        path.target = target
+        state.attempts += 1
+        attempt_id = AttemptId(f'{call.request_id}/{state.attempts}')
+        state.attempt_id = attempt_id
+        state.target = target
         self._router.dispatched(attempt_id, target.target_id, need, now_s)
-        self._ledger.sent(call.request_id, target)
-        return [StartWork(attempt_id, target, call, path.done)]
-
-    def _again(self, path: Path, event: Event, now_s: float) -> list[Output]:
-        self._forget_attempt(path, now_s, failed=True)
-        path.failures += isinstance(event, AttemptFailed)
-        if path.failures >= MAX_FAILURES:
-            self._paths.pop(path.call.request_id)
-            self._admitter.finish(path.call.request_id, 0, path.done, now_s)
-            self._ledger.end(path.call.request_id, Ending.CUT, now_s)
+        self._ledger.record_dispatch(call.request_id, target)
+        return [
+            StartEngineAttempt(attempt_id, target, call, state.generated_tokens)
+        ]
+
+    def _retry_attempt(
+        self, state: CallState, event: Event, now_s: float
+    ) -> list[Output]:
+        self._end_attempt(state, now_s, failed=True)
+        state.failures += isinstance(event, AttemptFailed)
+        if state.failures >= MAX_ATTEMPT_FAILURES:
+            self._states.pop(state.call.request_id)
+            self._admitter.finish(
+                state.call.request_id, 0, state.generated_tokens, now_s
+            )
+            self._ledger.record_end(state.call.request_id, Ending.CUT, now_s)
             return []
-        return self._send(path, now_s)
+        return self._dispatch(state, now_s)
 
-    def _finish(self, path: Path, attempt_id: AttemptId, now_s: float) -> None:
-        call = path.call
-        self._forget_attempt(path, now_s, failed=False)
-        self._paths.pop(call.request_id)
+    def _complete(
+        self, state: CallState, attempt_id: AttemptId, now_s: float
+    ) -> None:
+        call = state.call
+        self._end_attempt(state, now_s, failed=False)
+        self._states.pop(call.request_id)
         self._admitter.finish(
             call.request_id, call.prompt_tokens, call.output_tokens, now_s
         )
-        self._ledger.end(call.request_id, Ending.WHOLE, now_s)
+        self._ledger.record_end(call.request_id, Ending.WHOLE, now_s)
 
-    def _leave(self, path: Path, now_s: float) -> list[Output]:
-        call = path.call
-        self._paths.pop(call.request_id)
-        self._retries.pop(call.request_id, None)
-        if path.attempt_id is None:
+    def _abandon(self, state: CallState, now_s: float) -> list[Output]:
+        call = state.call
+        self._states.pop(call.request_id)
+        self._retry_times_s.pop(call.request_id, None)
+        if state.attempt_id is None:
             self._admitter.withdraw(call.request_id, now_s)
-            self._ledger.end(call.request_id, Ending.LATE, now_s)
+            self._ledger.record_end(call.request_id, Ending.LATE, now_s)
             return []
-        attempt_id, target = path.attempt_id, path.target
-        self._forget_attempt(path, now_s, failed=False)
+        attempt_id, target = state.attempt_id, state.target
+        self._end_attempt(state, now_s, failed=False)
         self._admitter.finish(
-            call.request_id, call.prompt_tokens, path.done, now_s
+            call.request_id, call.prompt_tokens, state.generated_tokens, now_s
         )
-        self._ledger.end(call.request_id, Ending.LATE, now_s)
+        self._ledger.record_end(call.request_id, Ending.LATE, now_s)
         if target is None:
             return []
         return [
@@ -218,20 +231,22 @@
             )
         ]
 
-    def _forget_attempt(
-        self, path: Path, now_s: float, *, failed: bool
+    def _end_attempt(
+        self, state: CallState, now_s: float, *, failed: bool
     ) -> None:
-        if path.attempt_id is not None:
-            self._router.ended(path.attempt_id, now_s, failed)
-        if failed and path.target is not None:
-            path.avoid |= {path.target.target_id}
-        path.attempt_id = None
-        path.target = None
-
-    def _retry(self, now_s: float) -> list[Output]:
+        if state.attempt_id is not None:
+            self._router.ended(state.attempt_id, now_s, failed)
+        if failed and state.target is not None:
+            state.avoid |= {state.target.target_id}
+        state.attempt_id = None
+        state.target = None
+
+    def _retry_unrouted(self, now_s: float) -> list[Output]:
         due = [
-            self._paths[request_id]
-            for request_id, retry_s in self._retries.items()
+            self._states[request_id]
+            for request_id, retry_s in self._retry_times_s.items()
             if retry_s <= now_s
         ]
-        return [output for path in due for output in self._send(path, now_s)]
+        return [
+            output for state in due for output in self._dispatch(state, now_s)
+        ]
--- a/packages/standins/dandelionyoke_standins/_policy_clock.py
+++ b/packages/standins/dandelionyoke_standins/_policy_clock.py
@@ -1,4 +1,4 @@
-"""Virtual time."""
+"""Virtual clock that runs scheduled callbacks."""
 
 import heapq
 import itertools
@@ -6,26 +6,29 @@
 
 
 class VirtualClock:
-    """Does what is due, in order, and moves the time on to it."""
+    """Runs callbacks in order of time and advances the time to each one.
+
+    Callbacks of the same time run in the order in which they were scheduled.
+    """
 
     def __init__(self) -> None:
         self.now_s = 0.0
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._queue: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
 
-    def at(self, at_s: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
-        entry = (max(at_s, self.now_s), next(self._order), action)
-        heapq.heappush(self._heap, entry)
+    def call_at(self, at_s: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback at a time, or now if the time has passed."""
+        entry = (max(at_s, self.now_s), next(self._sequence), callback)
+        heapq.heappush(self._queue, entry)
 
-    def later(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Do something after a time."""
-        self.at(self.now_s + delay_s, action)
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay."""
+        self.call_at(self.now_s + delay_s, callback)
 
     def run(self, until_s: float) -> None:
-        """Let time pass."""
-        while self._heap and self._heap[0][0] <= until_s:
-            at_s, _, action = heapq.heappop(self._heap)
+        """Run all callbacks up to a time, then set the clock to it."""
+        while self._queue and self._queue[0][0] <= until_s:
+            at_s, _, callback = heapq.heappop(self._queue)
             self.now_s = at_s
-            action()
+            callback()
         self.now_s = until_s
--- a/packages/standins/dandelionyoke_standins/_policy_deployments.py
+++ b/packages/standins/dandelionyoke_standins/_policy_deployments.py
@@ -1,4 +1,4 @@
-"""The two users' deployments, in the sizes that the brief gives."""
+"""The deployments of the two users, with the sizes of the requirements."""
 
 from dandelionyoke_core import (
     Domain,
@@ -13,9 +13,10 @@
     TargetGroup,
 )
 
-# A few large organisations and some small ones, as parts of the demand.
-DEMANDS = (0.3, 0.25, 0.15, 0.1, 0.08, 0.06, 0.04, 0.02)
-# No limit of tokens or calls: the measures ask how capacity is shared.
+# Share of the demand of each organisation: a few large and some small ones.
+DEMAND_SHARES = (0.3, 0.25, 0.15, 0.1, 0.08, 0.06, 0.04, 0.02)
+# High enough to never apply: the scenarios measure how capacity is shared,
+# not the limits.
 NO_LIMIT = 1_000_000
 
 ASSISTANT = ServiceName('route-assistant')
@@ -24,7 +25,7 @@
 COBROS = ServiceName('cobros-app')
 
 
-def _customers(names: tuple[str, ...]) -> tuple[Customer, ...]:
+def _make_customers(names: tuple[str, ...]) -> tuple[Customer, ...]:
     return tuple(
         Customer(
             Organisation(
@@ -33,9 +34,9 @@
                 requests_per_s=NO_LIMIT,
                 concurrent_requests=NO_LIMIT,
             ),
-            demand,
+            demand_share,
         )
-        for name, demand in zip(names, DEMANDS, strict=True)
+        for name, demand_share in zip(names, DEMAND_SHARES, strict=True)
     )
 
 
@@ -47,14 +48,26 @@
         Domain('ubungo'): 2,
     },
     groups=(
-        TargetGroup(ASSISTANT, Domain('kurasini'), steady=3, reclaimable=1),
-        TargetGroup(ASSISTANT, Domain('mikocheni'), steady=2, reclaimable=1),
-        TargetGroup(ASSISTANT, Domain('ubungo'), steady=2, reclaimable=1),
-        TargetGroup(LEDGER, Domain('kurasini'), steady=1, plain=True),
-        TargetGroup(LEDGER, Domain('mikocheni'), steady=1, plain=True),
-        TargetGroup(LEDGER, Domain('ubungo'), steady=1, plain=True),
+        TargetGroup(
+            ASSISTANT,
+            Domain('kurasini'),
+            on_demand_count=3,
+            reclaimable_count=1,
+        ),
+        TargetGroup(
+            ASSISTANT,
+            Domain('mikocheni'),
+            on_demand_count=2,
+            reclaimable_count=1,
+        ),
+        TargetGroup(
+            ASSISTANT, Domain('ubungo'), on_demand_count=2, reclaimable_count=1
+        ),
+        TargetGroup(LEDGER, Domain('kurasini'), on_demand_count=1, plain=True),
+        TargetGroup(LEDGER, Domain('mikocheni'), on_demand_count=1, plain=True),
+        TargetGroup(LEDGER, Domain('ubungo'), on_demand_count=1, plain=True),
     ),
-    customers=_customers(
+    customers=_make_customers(
         (
             'dar-routes',
             'morogoro-routes',
@@ -98,7 +111,7 @@
             prompt_tokens=0,
             output_tokens=3,
             deadline_s=3,
-            steady=True,
+            requires_on_demand=True,
         ),
     ),
     reclaimable_share=0.3,
@@ -113,16 +126,22 @@
         Domain('moin-b'): 2,
     },
     groups=(
-        TargetGroup(MODELO, Domain('limon-a'), steady=2, reclaimable=1),
-        TargetGroup(MODELO, Domain('limon-b'), steady=2, reclaimable=1),
-        TargetGroup(MODELO, Domain('moin-a'), steady=2),
-        TargetGroup(MODELO, Domain('moin-b'), steady=1, reclaimable=1),
-        TargetGroup(COBROS, Domain('limon-a'), steady=1, plain=True),
-        TargetGroup(COBROS, Domain('limon-b'), steady=1, plain=True),
-        TargetGroup(COBROS, Domain('moin-a'), steady=1, plain=True),
-        TargetGroup(COBROS, Domain('moin-b'), steady=1, plain=True),
+        TargetGroup(
+            MODELO, Domain('limon-a'), on_demand_count=2, reclaimable_count=1
+        ),
+        TargetGroup(
+            MODELO, Domain('limon-b'), on_demand_count=2, reclaimable_count=1
+        ),
+        TargetGroup(MODELO, Domain('moin-a'), on_demand_count=2),
+        TargetGroup(
+            MODELO, Domain('moin-b'), on_demand_count=1, reclaimable_count=1
+        ),
+        TargetGroup(COBROS, Domain('limon-a'), on_demand_count=1, plain=True),
+        TargetGroup(COBROS, Domain('limon-b'), on_demand_count=1, plain=True),
+        TargetGroup(COBROS, Domain('moin-a'), on_demand_count=1, plain=True),
+        TargetGroup(COBROS, Domain('moin-b'), on_demand_count=1, plain=True),
     ),
-    customers=_customers(
+    customers=_make_customers(
         (
             'puerto-limon',
             'moin-agency',
@@ -166,7 +185,7 @@
             prompt_tokens=0,
             output_tokens=3,
             deadline_s=3,
-            steady=True,
+            requires_on_demand=True,
         ),
     ),
     reclaimable_share=0.3,
--- a/packages/standins/dandelionyoke_standins/_policy_engine.py
+++ b/packages/standins/dandelionyoke_standins/_policy_engine.py
@@ -1,7 +1,8 @@
-"""A small engine in virtual time: prefill, decode, batch, memory and lag.
+"""Simulated engine in virtual time: batching, prefill, decode, KV memory.
 
-It counts tokens and blocks and makes no text, so that minutes of a whole
-fleet pass in seconds.
+It counts tokens and blocks without generating text, so that minutes of a
+whole fleet are simulated in seconds. Load reports and cache events become
+visible with a delay.
 """
 
 import itertools
@@ -24,7 +25,10 @@
 
 @attrs.frozen
 class RoleRates:
-    """What a role makes of an engine's rates."""
+    """Factors that a role applies to an engine's rates.
+
+    `prefill_share` is the share of a step for prefills while attempts decode.
+    """
 
     prefill_factor: float
     decode_factor: float
@@ -41,8 +45,8 @@
 
 
 @attrs.frozen
-class EngineFakeSettings:
-    """Rates and bounds of an engine."""
+class SimulatedEngineSettings:
+    """Rates, capacities and reporting delays of an engine."""
 
     prefill_tokens_per_s: float = 8000
     decode_tokens_per_s: float = 800
@@ -55,108 +59,121 @@
 
 
 @attrs.define(eq=False)
-class Work:
-    """One attempt at an engine."""
+class EngineAttempt:
+    """One attempt at an engine.
+
+    `shared_blocks` are the prefix blocks that other attempts can reuse.
+    `shared_held` counts those that the attempt holds, `private_blocks` its
+    other blocks. `computed_tokens` are the tokens with KV cache entries.
+    """
 
     attempt_id: AttemptId
     prompt_tokens: int
     output_tokens: int
-    names: tuple[str, ...] = ()
+    shared_blocks: tuple[str, ...] = ()
     priority: int = 5
-    done: int = 0
-    computed: int = 0
+    generated_tokens: int = 0
+    computed_tokens: int = 0
     cached_blocks: int = 0
-    named: int = 0
-    private: int = 0
-    credit: float = 0
+    shared_held: int = 0
+    private_blocks: int = 0
+    decode_credit: float = 0
     preemptions: int = 0
 
     @property
     def context_tokens(self) -> int:
-        """Tokens that the next one rests on."""
-        return self.prompt_tokens + self.done
+        """Tokens of the prompt and the output so far."""
+        return self.prompt_tokens + self.generated_tokens
 
     @property
-    def pending(self) -> int:
-        """Tokens still to be computed before output goes on."""
-        return self.context_tokens - self.computed
+    def pending_tokens(self) -> int:
+        """Tokens to prefill before the attempt can decode."""
+        return self.context_tokens - self.computed_tokens
 
 
 @attrs.frozen
 class Progress:
-    """What an attempt put out in a step."""
+    """The total output of an attempt after a step that generated tokens."""
 
     attempt_id: AttemptId
-    done: int
+    generated_tokens: int
     ended: bool
 
 
-class EngineFake:
-    """One engine; `step` moves it on."""
+class SimulatedEngine:
+    """One engine; `step` advances it."""
 
     def __init__(
-        self, name: str, settings: EngineFakeSettings, role: Role = Role.MIXED
+        self,
+        engine_id: str,
+        settings: SimulatedEngineSettings,
+        role: Role = Role.MIXED,
     ) -> None:
         self.settings = settings
         self.role = role
         self.draining = False
-        self.changing_until_s: float | None = None
+        self.role_change_until_s: float | None = None
         self.preemptions = 0
-        self._name = name
+        self._engine_id = engine_id
         self._restarts = 0
-        self._decoded = 0
+        self._decoded_tokens = 0
         self._sampled_s = 0.0
         self._reports: deque[LoadReport] = deque()
-        self._begin(0)
+        self._reset(0)
 
     @property
-    def busy(self) -> bool:
-        """Whether there is work."""
+    def has_work(self) -> bool:
+        """Whether attempts run or wait."""
         return bool(self.waiting or self.running)
 
     def in_progress(self) -> tuple[AttemptId, ...]:
-        """Name the attempts that run or wait."""
-        return tuple(one.attempt_id for one in (*self.running, *self.waiting))
+        """Return the attempts that run or wait."""
+        return tuple(
+            candidate.attempt_id for candidate in (*self.running, *self.waiting)
+        )
 
     def restart(self, now_s: float) -> tuple[AttemptId, ...]:
-        """Crash, and come up empty; tell what was lost."""
+        """Crash and restart empty; return the lost attempts."""
         lost = self.in_progress()
         self._restarts += 1
-        self._begin(now_s)
+        self._reset(now_s)
         return lost
 
-    def become(self, role: Role, now_s: float) -> None:
-        """Take a role; the cache does not outlive the change."""
+    def switch_role(self, role: Role, now_s: float) -> None:
+        """Switch to a role, which clears the KV cache."""
         self.role = role
-        self.changing_until_s = None
-        self._memory.drop_cache(now_s)
-
-    def refusal(self, now_s: float) -> str | None:
-        """Give the cause for which new work is refused."""
-        if self.changing_until_s is not None and now_s < self.changing_until_s:
+        self.role_change_until_s = None
+        self._memory.clear_cache(now_s)
+
+    def refusal_cause(self, now_s: float) -> str | None:
+        """Return why new attempts are refused, or None."""
+        if (
+            self.role_change_until_s is not None
+            and now_s < self.role_change_until_s
+        ):
             return 'role'
         return 'draining' if self.draining else None
 
-    def add(self, work: Work) -> None:
-        """Queue an attempt behind those of its priority."""
-        self.waiting.append(work)
-        self.waiting.sort(key=lambda one: -one.priority)
+    def add(self, attempt: EngineAttempt) -> None:
+        """Queue an attempt behind waiting ones of the same priority."""
+        self.waiting.append(attempt)
+        self.waiting.sort(key=lambda candidate: -candidate.priority)
 
     def cancel(self, attempt_id: AttemptId) -> None:
-        """Drop an attempt."""
-        for one in (*self.running, *self.waiting):
-            if one.attempt_id == attempt_id:
-                self._drop(one)
+        """Remove an attempt that runs or waits."""
+        for candidate in (*self.running, *self.waiting):
+            if candidate.attempt_id == attempt_id:
+                self._remove(candidate)
 
     def step(self, step_s: float, now_s: float) -> list[Progress]:
-        """Work for a step; tell what came out."""
+        """Simulate one step; return the attempts that generated tokens."""
         self._admit(now_s)
         rates = ROLE_RATES[self.role]
         used_s = self._prefill(rates, step_s, now_s)
         return self._decode(rates, step_s - used_s, step_s, now_s)
 
     def report(self, now_s: float) -> LoadReport:
-        """Give the newest figures that are old enough."""
+        """Return the newest load report that is older than the report lag."""
         until_s = now_s - self.settings.report_lag_s
         while len(self._reports) > 1 and self._reports[1].measured_s <= until_s:
             self._reports.popleft()
@@ -164,35 +181,38 @@
         return attrs.evolve(report, age_s=now_s - report.measured_s)
 
     def sample(self, now_s: float) -> None:
-        """Take figures for later reports."""
-        pending = sum(one.pending for one in (*self.running, *self.waiting))
+        """Record a load report, which is visible after the report lag."""
+        pending = sum(
+            candidate.pending_tokens
+            for candidate in (*self.running, *self.waiting)
+        )
         elapsed_s = max(now_s - self._sampled_s, 0.001)
         report = LoadReport(
-            engine_id=self._name,
-            incarnation=f'{self._name}-{self._restarts}',
+            engine_id=self._engine_id,
+            incarnation=f'{self._engine_id}-{self._restarts}',
             measured_s=now_s,
             role=self.role,
             running=len(self.running),
             waiting=len(self.waiting),
             prefill_queue_tokens=pending,
-            decode_tokens_per_s=self._decoded / elapsed_s,
-            kv_used_blocks=self._memory.used,
-            kv_total_blocks=self._memory.total,
+            decode_tokens_per_s=self._decoded_tokens / elapsed_s,
+            kv_used_blocks=self._memory.used_blocks,
+            kv_total_blocks=self._memory.total_blocks,
             draining=self.draining,
             in_progress=self.in_progress(),
         )
-        self._decoded = 0
+        self._decoded_tokens = 0
         self._sampled_s = now_s
         self._reports.append(report)
 
     def cache_events(
         self, target_id: TargetId, after: int, now_s: float
     ) -> CacheEventsReported:
-        """Give the events that may be seen by now."""
+        """Return the events after a sequence number that are visible now."""
         until_s = now_s - self.settings.event_lag_s
-        kept = self._memory.events
-        first = kept[0][1].sequence if kept else 0
-        fresh = itertools.islice(kept, max(0, after + 1 - first), None)
+        stored = self._memory.events
+        first = stored[0][1].sequence if stored else 0
+        fresh = itertools.islice(stored, max(0, after + 1 - first), None)
         events = tuple(event for at_s, event in fresh if at_s <= until_s)
         if not events:
             return CacheEventsReported(target_id, after + 1, after + 1, ())
@@ -200,64 +220,76 @@
             target_id, events[0].sequence, events[-1].sequence + 1, events
         )
 
-    def _begin(self, now_s: float) -> None:
-        self.waiting: list[Work] = []
-        self.running: list[Work] = []
+    def _reset(self, now_s: float) -> None:
+        self.waiting: list[EngineAttempt] = []
+        self.running: list[EngineAttempt] = []
         self._memory = KvMemory(self.settings.kv_blocks)
-        self._decoded = 0
+        self._decoded_tokens = 0
         self._sampled_s = now_s
         self._reports.clear()
         self.sample(now_s)
 
     def _admit(self, now_s: float) -> None:
         while self.waiting and len(self.running) < self.settings.max_running:
-            work = self.waiting[0]
-            if not self._take_context(work, now_s):
+            attempt = self.waiting[0]
+            if not self._allocate_context(attempt, now_s):
                 return
             self.waiting.pop(0)
-            self.running.append(work)
-
-    def _take_context(self, work: Work, now_s: float) -> bool:
-        hit = self._memory.overlap(work.names)
-        self._memory.hold(work.names[:hit], now_s)
-        wanted = _blocks(work.context_tokens) - hit
-        if not self._memory.take(wanted, now_s):
-            self._memory.release(work.names[:hit])
+            self.running.append(attempt)
+
+    def _allocate_context(self, attempt: EngineAttempt, now_s: float) -> bool:
+        cached_blocks = self._memory.match_prefix(attempt.shared_blocks)
+        self._memory.acquire(attempt.shared_blocks[:cached_blocks], now_s)
+        private_needed = _block_count(attempt.context_tokens) - cached_blocks
+        if not self._memory.allocate_private(private_needed, now_s):
+            self._memory.release(attempt.shared_blocks[:cached_blocks])
             return False
-        work.named = hit
-        work.private = wanted
-        work.cached_blocks = max(work.cached_blocks, hit)
-        work.computed = min(hit * BLOCK_TOKENS, work.context_tokens - 1)
+        attempt.shared_held = cached_blocks
+        attempt.private_blocks = private_needed
+        attempt.cached_blocks = max(attempt.cached_blocks, cached_blocks)
+        attempt.computed_tokens = min(
+            cached_blocks * BLOCK_TOKENS, attempt.context_tokens - 1
+        )
         return True
 
     def _prefill(self, rates: RoleRates, step_s: float, now_s: float) -> float:
-        pending = [one for one in self.running if one.pending]
+        pending = [
+            candidate for candidate in self.running if candidate.pending_tokens
+        ]
         if not pending:
             return 0
-        alone = len(pending) == len(self.running)
-        share = 1 if alone else rates.prefill_share
+        only_prefills = len(pending) == len(self.running)
+        share = 1 if only_prefills else rates.prefill_share
         rate = self.settings.prefill_tokens_per_s * rates.prefill_factor
-        budget = int(step_s * share * rate)
-        left = budget
-        for work in sorted(pending, key=lambda one: -one.priority):
-            chunk = min(left, work.pending)
-            work.computed += chunk
-            left -= chunk
-            if not work.pending:
-                self._name_blocks(work, now_s)
-        return (budget - left) / rate
-
-    def _name_blocks(self, work: Work, now_s: float) -> None:
-        fresh = work.names[work.named :]
-        self._memory.private -= len(fresh)
-        work.private -= len(fresh)
-        self._memory.hold(fresh, now_s)
-        work.named = len(work.names)
+        token_budget = int(step_s * share * rate)
+        remaining_tokens = token_budget
+        for attempt in sorted(
+            pending, key=lambda candidate: -candidate.priority
+        ):
+            chunk = min(remaining_tokens, attempt.pending_tokens)
+            attempt.computed_tokens += chunk
+            remaining_tokens -= chunk
+            if not attempt.pending_tokens:
+                self._share_prefix_blocks(attempt, now_s)
+        return (token_budget - remaining_tokens) / rate
+
+    def _share_prefix_blocks(
+        self, attempt: EngineAttempt, now_s: float
+    ) -> None:
+        fresh = attempt.shared_blocks[attempt.shared_held :]
+        self._memory.private_blocks -= len(fresh)
+        attempt.private_blocks -= len(fresh)
+        self._memory.acquire(fresh, now_s)
+        attempt.shared_held = len(attempt.shared_blocks)
 
     def _decode(
         self, rates: RoleRates, left_s: float, step_s: float, now_s: float
     ) -> list[Progress]:
-        decoding = [one for one in self.running if not one.pending]
+        decoding = [
+            candidate
+            for candidate in self.running
+            if not candidate.pending_tokens
+        ]
         if not decoding:
             return []
         rate = self.settings.decode_tokens_per_s * rates.decode_factor
@@ -265,58 +297,66 @@
             left_s * rate / len(decoding),
             step_s * self.settings.stream_tokens_per_s,
         )
-        found = []
-        for work in decoding:
-            work.credit += credit
-            if work in self.running and self._emit(work, now_s):
-                found.append(self._progress(work))
-        return found
-
-    def _emit(self, work: Work, now_s: float) -> bool:
-        before = work.done
-        while work.credit >= 1 and work.done < work.output_tokens:
-            if not self._make_room(work, now_s):
+        progresses = []
+        for attempt in decoding:
+            attempt.decode_credit += credit
+            if attempt in self.running and self._generate(attempt, now_s):
+                progresses.append(self._progress(attempt))
+        return progresses
+
+    def _generate(self, attempt: EngineAttempt, now_s: float) -> bool:
+        before = attempt.generated_tokens
+        while (
+            attempt.decode_credit >= 1
+            and attempt.generated_tokens < attempt.output_tokens
+        ):
+            if not self._ensure_block(attempt, now_s):
                 break
-            work.done += 1
-            work.computed += 1
-            work.credit -= 1
-        self._decoded += work.done - before
-        return work.done > before
-
-    def _progress(self, work: Work) -> Progress:
-        ended = work.done >= work.output_tokens
+            attempt.generated_tokens += 1
+            attempt.computed_tokens += 1
+            attempt.decode_credit -= 1
+        self._decoded_tokens += attempt.generated_tokens - before
+        return attempt.generated_tokens > before
+
+    def _progress(self, attempt: EngineAttempt) -> Progress:
+        ended = attempt.generated_tokens >= attempt.output_tokens
         if ended:
-            self._drop(work)
-        return Progress(work.attempt_id, work.done, ended)
-
-    def _make_room(self, work: Work, now_s: float) -> bool:
-        if work.context_tokens < (work.named + work.private) * BLOCK_TOKENS:
+            self._remove(attempt)
+        return Progress(attempt.attempt_id, attempt.generated_tokens, ended)
+
+    def _ensure_block(self, attempt: EngineAttempt, now_s: float) -> bool:
+        if (
+            attempt.context_tokens
+            < (attempt.shared_held + attempt.private_blocks) * BLOCK_TOKENS
+        ):
             return True
-        while not self._memory.take(1, now_s):
-            victim = min(reversed(self.running), key=lambda one: one.priority)
+        while not self._memory.allocate_private(1, now_s):
+            victim = min(
+                reversed(self.running), key=lambda candidate: candidate.priority
+            )
             self._preempt(victim)
-            if victim is work:
+            if victim is attempt:
                 return False
-        work.private += 1
+        attempt.private_blocks += 1
         return True
 
-    def _preempt(self, work: Work) -> None:
+    def _preempt(self, attempt: EngineAttempt) -> None:
         self.preemptions += 1
-        work.preemptions += 1
-        self._drop(work)
-        work.computed = 0
-        self.add(work)
-
-    def _drop(self, work: Work) -> None:
-        if work in self.waiting:
-            self.waiting.remove(work)
+        attempt.preemptions += 1
+        self._remove(attempt)
+        attempt.computed_tokens = 0
+        self.add(attempt)
+
+    def _remove(self, attempt: EngineAttempt) -> None:
+        if attempt in self.waiting:
+            self.waiting.remove(attempt)
             return
-        self.running.remove(work)
-        self._memory.release(work.names[: work.named])
-        self._memory.private -= work.private
-        work.named = 0
-        work.private = 0
+        self.running.remove(attempt)
+        self._memory.release(attempt.shared_blocks[: attempt.shared_held])
+        self._memory.private_blocks -= attempt.private_blocks
+        attempt.shared_held = 0
+        attempt.private_blocks = 0
 
 
-def _blocks(tokens: int) -> int:
+def _block_count(tokens: int) -> int:
     return -(-tokens // BLOCK_TOKENS)
--- a/packages/standins/dandelionyoke_standins/_policy_measure.py
+++ b/packages/standins/dandelionyoke_standins/_policy_measure.py
@@ -1,12 +1,12 @@
-"""Measures the policy against the naive version, in virtual time."""
+"""Compares the system's policy with a naive baseline in virtual time."""
 
 import sys
 import time
 from collections.abc import Sequence
 
-from dandelionyoke_standins._policy_figures import Figures, figures
+from dandelionyoke_standins._policy_figures import Figures, compute_figures
 from dandelionyoke_standins._policy_runs import (
-    NodeMaker,
+    NodeFactory,
     Scenario,
     naive_node,
     run,
@@ -15,7 +15,7 @@
 from dandelionyoke_standins._policy_scenarios import scenarios
 
 SEED = 20260101
-VERSIONS: tuple[tuple[str, NodeMaker], ...] = (
+VERSIONS: tuple[tuple[str, NodeFactory], ...] = (
     ('naive', naive_node),
     ('system', system_node),
 )
@@ -29,53 +29,57 @@
 def main(arguments: Sequence[str]) -> int:
     """Run the scenarios whose name or user is given, or all of them.
 
-    The name of a version runs just that one, a number is another seed.
+    A version name (`naive` or `system`) selects that version only; a number
+    replaces the seed.
     """
-    seed = next((int(word) for word in arguments if word.isdigit()), SEED)
+    seed = next(
+        (int(argument) for argument in arguments if argument.isdigit()), SEED
+    )
     versions = [
-        (name, make)
-        for name, make in VERSIONS
+        (name, make_node)
+        for name, make_node in VERSIONS
         if name in arguments or not _names_version(arguments)
     ]
     _print(f'seed {seed}')
     _print(HEADER)
     for scenario in scenarios():
-        if _is_asked(scenario, arguments):
-            for version, make in versions:
-                _measure(scenario, version, make, seed)
+        if _is_selected(scenario, arguments):
+            for version, make_node in versions:
+                _measure(scenario, version, make_node, seed)
     return 0
 
 
 def _measure(
-    scenario: Scenario, version: str, make: NodeMaker, seed: int
+    scenario: Scenario, version: str, make_node: NodeFactory, seed: int
 ) -> None:
     began_s = time.perf_counter()
-    found = figures(run(scenario, make, seed))
+    measured = compute_figures(run(scenario, make_node, seed))
     took_s = time.perf_counter() - began_s
-    _print(_line(scenario, version, found))
+    _print(_format_row(scenario, version, measured))
     classes = ', '.join(
-        f'{name} {share:.1%}' for name, share in found.good_by_class.items()
+        f'{name} {share:.1%}'
+        for name, share in measured.goodput_by_class.items()
     )
     _print(
-        f'{"":10}{found.offered} calls in {took_s:.0f} s; {classes};'
-        f' worst {found.worst_organisation};'
-        f' {found.targets_at_end} targets at the end'
+        f'{"":10}{measured.offered} calls in {took_s:.0f} s; {classes};'
+        f' worst {measured.worst_organisation};'
+        f' {measured.targets_at_end} targets at the end'
     )
 
 
-def _line(scenario: Scenario, version: str, found: Figures) -> str:
-    harm = f'{found.reclaim_harmed}/{found.reclaim_broken}'
+def _format_row(scenario: Scenario, version: str, measured: Figures) -> str:
+    harm = f'{measured.reclaim_missed_deadline}/{measured.reclaim_interrupted}'
     return (
         f'{scenario.deployment.name:10}{scenario.name:16}{version:8}'
-        f'{found.good_share:7.1%}{found.first_token_p95_s:8.2f}'
-        f'{found.token_gap_p95_s:7.3f}{found.role_changes:6}'
-        f'{found.worst_share:8.1%}{found.cost_per_thousand:8.3f}'
-        f'{found.reclaimable_share:7.1%}{harm:>7}{found.cut:5}'
-        f'{found.refused:8}{found.late:6}{found.preemptions:8}'
+        f'{measured.goodput_share:7.1%}{measured.first_token_p95_s:8.2f}'
+        f'{measured.token_gap_p95_s:7.3f}{measured.role_changes:6}'
+        f'{measured.worst_fair_share_ratio:8.1%}{measured.cost_per_thousand_on_time:8.3f}'
+        f'{measured.reclaimable_share:7.1%}{harm:>7}{measured.cut:5}'
+        f'{measured.refused:8}{measured.late:6}{measured.preemptions:8}'
     )
 
 
-def _is_asked(scenario: Scenario, arguments: Sequence[str]) -> bool:
+def _is_selected(scenario: Scenario, arguments: Sequence[str]) -> bool:
     users = [name for name in arguments if name in {'mwakilema', 'aforo'}]
     names = [
         name
--- a/packages/standins/dandelionyoke_standins/_policy_naive.py
+++ b/packages/standins/dandelionyoke_standins/_policy_naive.py
@@ -1,8 +1,8 @@
-"""The naive version: right at a glance, and blind to much.
+"""The naive baseline that the system is compared with.
 
-It scans the whole fleet for the fewest calls that the last report tells of,
-keeps one first-come queue for all organisations, changes no roles and keeps
-the targets that it was given.
+It scans the whole fleet for the target with the fewest calls in its last
+report, has one first-come, first-served queue per service for all
+organisations, changes no roles and neither adds nor removes targets.
 """
 
 from collections import deque
@@ -34,13 +34,13 @@
     Woken,
 )
 
-LIST_S = 2.0
-POLL_S = 0.5
-CALLS_PER_TARGET = 32
+LIST_INTERVAL_S = 2.0
+POLL_INTERVAL_S = 0.5
+MAX_CALLS_PER_TARGET = 32
 
 
 class NaiveRouter:
-    """Takes the target with the fewest calls in its last report."""
+    """Chooses the target with the fewest calls in its last report."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -53,45 +53,45 @@
     def __init__(self) -> None:
         self._targets: dict[TargetId, Target] = {}
         self._reports: dict[TargetId, LoadReport] = {}
-        self._list_s: float | None = None
-        self._poll_s: float | None = None
+        self._next_list_s: float | None = None
+        self._next_poll_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Take an event and say what follows from it."""
+        """Handle an event and return the outputs."""
         match event:
             case Started():
-                self._list_s = now_s
-                self._poll_s = now_s
+                self._next_list_s = now_s
+                self._next_poll_s = now_s
             case TargetsListed(targets=targets):
-                self._targets = {one.target_id: one for one in targets}
+                self._targets = {target.target_id: target for target in targets}
             case LoadReported(target_id=target_id, report=report):
                 self._reports[target_id] = report
             case TargetUnreachable(target_id=target_id):
                 self._reports.pop(target_id, None)
         if isinstance(event, Started | Woken):
-            return self._read(now_s)
+            return self._request_updates(now_s)
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next reading is due."""
-        due = (self._list_s, self._poll_s)
+        """Return when the next listing or load poll is due."""
+        due = (self._next_list_s, self._next_poll_s)
         return min((due_s for due_s in due if due_s is not None), default=None)
 
     def choose(self, need: RouteNeed, now_s: float) -> Target | NoRoute:
-        """Scan the whole fleet."""
+        """Scan the whole fleet for the least loaded usable target."""
         usable = [
             target
             for target in self._targets.values()
             if target.service == need.service
             and target.state is Presence.LIVE
-            and self._may_take(target, need)
+            and self._is_usable(target, need)
         ]
         if not usable:
             return NoRoute('no usable target', 1)
-        return min(usable, key=self._calls)
+        return min(usable, key=self._reported_calls)
 
     def find(self, target_id: TargetId) -> Target | None:
-        """Look a target up."""
+        """Look up a target; None when it is not listed."""
         return self._targets.get(target_id)
 
     def dispatched(
@@ -101,41 +101,41 @@
         need: RouteNeed,
         now_s: float,
     ) -> None:
-        """Count nothing."""
+        """Do nothing; only reports count."""
 
     def progressed(
         self, attempt_id: AttemptId, output_tokens: int, now_s: float
     ) -> None:
-        """Count nothing."""
+        """Do nothing; only reports count."""
 
     def ended(
         self, attempt_id: AttemptId, now_s: float, failed: bool = False
     ) -> None:
-        """Count nothing."""
+        """Do nothing; only reports count."""
 
     def slots(self, service: ServiceName) -> int:
-        """Calls that the listed targets may run at once."""
-        return CALLS_PER_TARGET * sum(
+        """Return how many calls the listed targets may run at once."""
+        return MAX_CALLS_PER_TARGET * sum(
             target.service == service for target in self._targets.values()
         )
 
-    def _may_take(self, target: Target, need: RouteNeed) -> bool:
+    def _is_usable(self, target: Target, need: RouteNeed) -> bool:
         if need.steady and target.reclaimable:
             return False
         known = target.target_id in self._reports
         return known and target.target_id not in need.avoid
 
-    def _calls(self, target: Target) -> int:
+    def _reported_calls(self, target: Target) -> int:
         report = self._reports[target.target_id]
         return report.running + report.waiting
 
-    def _read(self, now_s: float) -> list[Output]:
+    def _request_updates(self, now_s: float) -> list[Output]:
         outputs: list[Output] = []
-        if self._list_s is not None and now_s >= self._list_s:
-            self._list_s = now_s + LIST_S
+        if self._next_list_s is not None and now_s >= self._next_list_s:
+            self._next_list_s = now_s + LIST_INTERVAL_S
             outputs.append(ListTargets())
-        if self._poll_s is not None and now_s >= self._poll_s:
-            self._poll_s = now_s + POLL_S
+        if self._next_poll_s is not None and now_s >= self._next_poll_s:
+            self._next_poll_s = now_s + POLL_INTERVAL_S
             outputs.extend(
                 PollLoad(target.target_id, target.address)
                 for target in self._targets.values()
@@ -144,7 +144,10 @@
 
 
 class NaiveAdmitter:
-    """One queue for everyone, first come first served."""
+    """Admits calls first come, first served, without regard to organisations.
+
+    Each entry uses an equal part of the slots.
+    """
 
     handles: ClassVar[tuple[type[Event], ...]] = (Woken,)
 
@@ -153,36 +156,36 @@
         self._entries = entries
         self._queues: dict[ServiceName, deque[Ticket]] = {}
         self._running: dict[RequestId, ServiceName] = {}
-        self._due_s: float | None = None
+        self._wakeup_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Let queued calls go where there is a place."""
-        self._due_s = None
+        """Admit queued calls while slots are free."""
+        self._wakeup_s = None
         outputs: list[Output] = []
         for service, queue in self._queues.items():
-            while queue and self._has_place(service):
+            while queue and self._has_free_slot(service):
                 ticket = queue.popleft()
                 self._running[ticket.request_id] = service
                 outputs.append(CallAdmitted(ticket.request_id))
         return outputs
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when places were given back."""
-        return self._due_s
+        """Return when slots were last released, or None."""
+        return self._wakeup_s
 
     def offer(
         self, ticket: Ticket, now_s: float
     ) -> Admitted | Queued | Refusal:
-        """Queue, or let go at once."""
+        """Admit a call at once or queue it."""
         queue = self._queues.setdefault(ticket.service, deque())
-        if not queue and self._has_place(ticket.service):
+        if not queue and self._has_free_slot(ticket.service):
             self._running[ticket.request_id] = ticket.service
             return Admitted()
         queue.append(ticket)
         return Queued()
 
     def withdraw(self, request_id: RequestId, now_s: float) -> None:
-        """Forget a call."""
+        """Remove a queued call, or release the slot of an admitted one."""
         self.finish(request_id, 0, 0, now_s)
 
     def finish(
@@ -192,19 +195,23 @@
         output_tokens: int,
         now_s: float,
     ) -> None:
-        """Give back the place of a call."""
+        """Release the slot of a call, or remove it from its queue."""
         if self._running.pop(request_id, None) is None:
             for queue in self._queues.values():
-                left = [one for one in queue if one.request_id != request_id]
+                left = [
+                    ticket
+                    for ticket in queue
+                    if ticket.request_id != request_id
+                ]
                 queue.clear()
                 queue.extend(left)
-        self._due_s = now_s
+        self._wakeup_s = now_s
 
     def come_back_s(self, service: ServiceName, now_s: float) -> float:
-        """Say a second."""
+        """Return a fixed estimate of one second."""
         return 1
 
-    def _has_place(self, service: ServiceName) -> bool:
-        running = sum(one == service for one in self._running.values())
-        places = self._router.slots(service) / self._entries
-        return running < max(1, places)
+    def _has_free_slot(self, service: ServiceName) -> bool:
+        running = sum(other == service for other in self._running.values())
+        slots_per_entry = self._router.slots(service) / self._entries
+        return running < max(1, slots_per_entry)
--- a/packages/standins/dandelionyoke_standins/_policy_nodes.py
+++ b/packages/standins/dandelionyoke_standins/_policy_nodes.py
@@ -1,4 +1,4 @@
-"""The entries of a run, what reaches them, and who is cut off."""
+"""The simulated nodes of a run and the network between their domains."""
 
 from functools import partial
 
@@ -13,80 +13,91 @@
     SharedRecord,
 )
 from dandelionyoke_standins._policy_clock import VirtualClock
-from dandelionyoke_standins._policy_peers import PeersFake, SpreadRecord
+from dandelionyoke_standins._policy_peers import BroadcastRecord, SimulatedPeers
 
-HOP_S = 0.001
-HEARTBEAT_S = 3.0
+NETWORK_DELAY_S = 0.001
+CUT_DETECTION_DELAY_S = 3.0
 
 
 @attrs.define(eq=False)
-class NodeBox:
-    """One entry: its parts, and when it wants to be woken."""
+class SimulatedNode:
+    """One node, its next wakeup and the record versions that it received."""
 
     instance_id: InstanceId
     domain: Domain
-    peers: PeersFake
-    node: Composition
-    wake_s: float | None = None
-    versions: dict[str, int] = attrs.field(factory=dict)
+    peers: SimulatedPeers
+    composition: Composition
+    wakeup_s: float | None = None
+    record_versions: dict[str, int] = attrs.field(factory=dict)
 
 
 class Network:
-    """Which domains reach each other, and the records that travel."""
+    """Delivers events and records between domains that are not isolated."""
 
     def __init__(self, clock: VirtualClock) -> None:
-        self.cut_off: frozenset[Domain] = frozenset()
-        self.nodes: tuple[NodeBox, ...] = ()
+        self.isolated_domains: frozenset[Domain] = frozenset()
+        self.nodes: tuple[SimulatedNode, ...] = ()
         self._clock = clock
 
-    def joined(self, one: Domain, other: Domain) -> bool:
-        """Tell whether two domains reach each other."""
-        if one == other:
+    def can_reach(self, first: Domain, other: Domain) -> bool:
+        """Return whether two domains can reach each other."""
+        if first == other:
             return True
-        return one not in self.cut_off and other not in self.cut_off
+        return (
+            first not in self.isolated_domains
+            and other not in self.isolated_domains
+        )
 
-    def set_cut(self, cut_off: frozenset[Domain]) -> None:
-        """Cut domains off, or join them; the entries notice it late."""
-        self.cut_off = cut_off
-        self._clock.later(HEARTBEAT_S, self._update_peers)
+    def isolate_domains(self, isolated_domains: frozenset[Domain]) -> None:
+        """Replace the set of isolated domains.
 
-    def spread(self, box: NodeBox, action: SpreadRecord) -> None:
-        """Let a record reach the peers in its scope."""
+        The nodes learn of it after the detection delay.
+        """
+        self.isolated_domains = isolated_domains
+        self._clock.call_later(CUT_DETECTION_DELAY_S, self._update_peers)
+
+    def broadcast(self, node: SimulatedNode, action: BroadcastRecord) -> None:
+        """Deliver a record to all reachable peers in its scope."""
         for other in self.nodes:
-            near = other.domain == box.domain
-            if other is box or not (near or action.everywhere):
+            same_domain = other.domain == node.domain
+            if other is node or not (same_domain or action.everywhere):
                 continue
-            if self.joined(box.domain, other.domain):
-                self._learn(other, box, action.record)
-
-    def give(self, box: NodeBox, event: Event, delay_s: float = HOP_S) -> None:
-        """Let an event reach a node."""
-        self._clock.later(delay_s, partial(self.handle, box, event))
+            if self.can_reach(node.domain, other.domain):
+                self._deliver_record(other, node, action.record)
+
+    def deliver(
+        self,
+        node: SimulatedNode,
+        event: Event,
+        delay_s: float = NETWORK_DELAY_S,
+    ) -> None:
+        """Deliver an event to a node after a delay."""
+        self._clock.call_later(delay_s, partial(self.handle, node, event))
 
-    def handle(self, box: NodeBox, event: Event) -> None:
-        """Let a node handle an event; whoever runs the world sets this."""
+    def handle(self, node: SimulatedNode, event: Event) -> None:
+        """Let a node handle an event; the subclass implements this."""
         raise NotImplementedError
 
-    def _learn(
-        self, other: NodeBox, box: NodeBox, record: SharedRecord
+    def _deliver_record(
+        self, other: SimulatedNode, node: SimulatedNode, record: SharedRecord
     ) -> None:
-        if other.versions.get(record.record_key, 0) < record.version:
-            other.versions[record.record_key] = record.version
-            self.give(other, RecordLearned(record, box.instance_id))
+        if other.record_versions.get(record.record_key, 0) < record.version:
+            other.record_versions[record.record_key] = record.version
+            self.deliver(other, RecordLearned(record, node.instance_id))
 
     def _update_peers(self) -> None:
-        for box in self.nodes:
-            reached = [
+        for node in self.nodes:
+            reachable = [
                 other
                 for other in self.nodes
-                if self.joined(box.domain, other.domain)
+                if self.can_reach(node.domain, other.domain)
             ]
-            box.peers.learn(
-                tuple(other.instance_id for other in reached),
+            node.peers.learn(
+                tuple(other.instance_id for other in reachable),
                 tuple(
                     other.instance_id
-                    for other in reached
-                    if other.domain == box.domain
+                    for other in reachable
+                    if other.domain == node.domain
                 ),
             )
-            self.give(box, box.peers.notice(), 0)
+            self.deliver(node, node.peers.to_event(), 0)
--- a/packages/standins/dandelionyoke_standins/_policy_orders.py
+++ b/packages/standins/dandelionyoke_standins/_policy_orders.py
@@ -1,4 +1,8 @@
-"""Carries out what the fleet's decisions want: drained, one at a time."""
+"""Applies the fleet part's decisions to the simulated targets.
+
+A target is drained before its role changes or it is removed, and has one
+change at a time.
+"""
 
 from collections.abc import Callable
 from functools import partial
@@ -17,116 +21,144 @@
     TargetsWanted,
 )
 from dandelionyoke_standins._policy_clock import VirtualClock
-from dandelionyoke_standins._policy_platform import PlatformFake, TargetBox
-from dandelionyoke_standins._policy_targets import TargetSide
+from dandelionyoke_standins._policy_platform import (
+    SimulatedPlatform,
+    SimulatedTarget,
+)
+from dandelionyoke_standins._policy_targets import TargetPool
 
-ROLE_CHANGE_S = 3.0
-LOOK_S = 0.25
-DRAIN_LIMIT_S = 90.0
+ROLE_CHANGE_DURATION_S = 3.0
+IDLE_CHECK_INTERVAL_S = 0.25
+DRAIN_TIMEOUT_S = 90.0
 
 
 @attrs.frozen
-class CarryOut(Action):
-    """Act on a wish of the fleet's decisions."""
+class ApplyDecision(Action):
+    """Applies a decision of the fleet part."""
 
-    wish: RoleWanted | TargetsWanted
+    decision: RoleWanted | TargetsWanted
 
 
 class OrdersPart:
-    """Turns the fleet's wishes into orders of the run."""
+    """Turns decisions of the fleet part into actions of the simulation."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (RoleWanted, TargetsWanted)
 
     _wakeup_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Pass a wish on."""
+        """Return the action that applies a decision."""
         if isinstance(event, RoleWanted | TargetsWanted):
-            return [CarryOut(event)]
+            return [ApplyDecision(event)]
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Never."""
+        """Return None: this part needs no wakeup."""
         return self._wakeup_s
 
 
-class OrderDesk:
-    """Drains targets, changes roles, adds targets and gives them back."""
+class OrderExecutor:
+    """Drains targets, changes roles, and adds and removes targets."""
 
     def __init__(
         self,
         clock: VirtualClock,
-        platform: PlatformFake,
-        targets: TargetSide,
+        platform: SimulatedPlatform,
+        targets: TargetPool,
     ) -> None:
         self.role_changes = 0
         self._clock = clock
         self._platform = platform
         self._targets = targets
-        self._busy: set[TargetId] = set()
+        self._changing: set[TargetId] = set()
 
-    def perform(self, action: CarryOut) -> None:
-        """Act on a wish."""
-        match action.wish:
+    def apply(self, action: ApplyDecision) -> None:
+        """Apply a decision."""
+        match action.decision:
             case RoleWanted(target_id=target_id, role=role):
-                self._change_role(self._platform.boxes[target_id], role)
+                self._change_role(self._platform.targets[target_id], role)
             case TargetsWanted():
-                self._change_targets(action.wish)
+                self._change_targets(action.decision)
 
-    def _change_role(self, box: TargetBox, role: Role) -> None:
-        target_id = box.target.target_id
-        if target_id in self._busy or box.engine.role is role:
+    def _change_role(
+        self, simulated_target: SimulatedTarget, role: Role
+    ) -> None:
+        target_id = simulated_target.target.target_id
+        if target_id in self._changing or simulated_target.engine.role is role:
             return
-        self._busy.add(target_id)
-        box.engine.draining = True
-        self._when_idle(box, partial(self._begin_role, box, role), 0)
-
-    def _begin_role(self, box: TargetBox, role: Role) -> None:
-        until_s = self._clock.now_s + ROLE_CHANGE_S
+        self._changing.add(target_id)
+        simulated_target.engine.draining = True
+        self._run_when_idle(
+            simulated_target,
+            partial(self._begin_role_change, simulated_target, role),
+            0,
+        )
+
+    def _begin_role_change(
+        self, simulated_target: SimulatedTarget, role: Role
+    ) -> None:
+        until_s = self._clock.now_s + ROLE_CHANGE_DURATION_S
         self.role_changes += 1
-        box.engine.draining = False
-        box.engine.changing_until_s = until_s
-        self._clock.at(until_s, partial(self._end_role, box, role))
-
-    def _end_role(self, box: TargetBox, role: Role) -> None:
-        box.engine.become(role, self._clock.now_s)
-        self._busy.discard(box.target.target_id)
-
-    def _change_targets(self, wish: TargetsWanted) -> None:
-        kinds = ((False, wish.add_steady), (True, wish.add_reclaimable))
-        for reclaimable, count in kinds:
+        simulated_target.engine.draining = False
+        simulated_target.engine.role_change_until_s = until_s
+        self._clock.call_at(
+            until_s, partial(self._end_role_change, simulated_target, role)
+        )
+
+    def _end_role_change(
+        self, simulated_target: SimulatedTarget, role: Role
+    ) -> None:
+        simulated_target.engine.switch_role(role, self._clock.now_s)
+        self._changing.discard(simulated_target.target.target_id)
+
+    def _change_targets(self, decision: TargetsWanted) -> None:
+        additions = (
+            (False, decision.add_steady),
+            (True, decision.add_reclaimable),
+        )
+        for reclaimable, count in additions:
             for _ in range(count):
                 self._platform.add(
-                    wish.service,
-                    wish.domain,
+                    decision.service,
+                    decision.domain,
                     self._clock.now_s,
                     reclaimable=reclaimable,
                 )
-        for target_id in wish.remove:
-            self._remove(self._platform.boxes[target_id])
+        for target_id in decision.remove:
+            self._drain_and_remove(self._platform.targets[target_id])
 
-    def _remove(self, box: TargetBox) -> None:
-        target_id = box.target.target_id
-        if target_id in self._busy:
+    def _drain_and_remove(self, simulated_target: SimulatedTarget) -> None:
+        target_id = simulated_target.target.target_id
+        if target_id in self._changing:
             return
-        self._busy.add(target_id)
-        box.engine.draining = True
-        self._platform.mark(box, Presence.LEAVING)
-        end = partial(self._targets.end_target, box, reclaimed=False)
-        self._when_idle(box, end, 0)
-
-    def _when_idle(
-        self, box: TargetBox, then: Callable[[], None], waited_s: float
+        self._changing.add(target_id)
+        simulated_target.engine.draining = True
+        self._platform.set_state(simulated_target, Presence.LEAVING)
+        remove_target = partial(
+            self._targets.remove_target, simulated_target, reclaimed=False
+        )
+        self._run_when_idle(simulated_target, remove_target, 0)
+
+    def _run_when_idle(
+        self,
+        simulated_target: SimulatedTarget,
+        callback: Callable[[], None],
+        waited_s: float,
     ) -> None:
-        if box.gone_s is not None:
+        if simulated_target.removed_s is not None:
             return
-        # New work may still be on its way right after the drain began.
-        if waited_s and not box.engine.busy:
-            then()
+        # Attempts may still be in flight right after the drain starts.
+        if waited_s and not simulated_target.engine.has_work:
+            callback()
             return
-        if waited_s > DRAIN_LIMIT_S:
-            box.engine.draining = False
-            self._busy.discard(box.target.target_id)
+        if waited_s > DRAIN_TIMEOUT_S:
+            simulated_target.engine.draining = False
+            self._changing.discard(simulated_target.target.target_id)
             return
-        again = partial(self._when_idle, box, then, waited_s + LOOK_S)
-        self._clock.later(LOOK_S, again)
+        check_again = partial(
+            self._run_when_idle,
+            simulated_target,
+            callback,
+            waited_s + IDLE_CHECK_INTERVAL_S,
+        )
+        self._clock.call_later(IDLE_CHECK_INTERVAL_S, check_again)
--- a/packages/standins/dandelionyoke_standins/_policy_peers.py
+++ b/packages/standins/dandelionyoke_standins/_policy_peers.py
@@ -1,4 +1,4 @@
-"""Who lives, and how records spread, in a run."""
+"""The known live peers of a node, and the broadcast of shared records."""
 
 from typing import ClassVar
 
@@ -16,8 +16,8 @@
 
 
 @attrs.define
-class PeersFake:
-    """The entries that a node takes for live."""
+class SimulatedPeers:
+    """The instances that a node considers live."""
 
     live: tuple[InstanceId, ...]
     live_in_domain: tuple[InstanceId, ...]
@@ -27,36 +27,36 @@
         live: tuple[InstanceId, ...],
         live_in_domain: tuple[InstanceId, ...],
     ) -> None:
-        """Take a new list."""
+        """Replace the live instances."""
         self.live = tuple(sorted(live))
         self.live_in_domain = tuple(sorted(live_in_domain))
 
-    def notice(self) -> PeersKnown:
-        """Say who lives."""
+    def to_event(self) -> PeersKnown:
+        """Return the live instances as an event for the node's parts."""
         return PeersKnown(self.live, self.live_in_domain)
 
 
 @attrs.frozen
-class SpreadRecord(Action):
-    """Give a record to the peers in reach."""
+class BroadcastRecord(Action):
+    """Sends a record to the reachable peers, in the domain or everywhere."""
 
     record: SharedRecord
     everywhere: bool
 
 
-class Spreader:
-    """Hands the records that parts share to the network of the run."""
+class BroadcastPart:
+    """Turns records that parts share into broadcasts of the simulation."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (ShareRecord,)
 
     _wakeup_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Pass a record on."""
+        """Return the action that broadcasts a record."""
         if isinstance(event, ShareRecord):
-            return [SpreadRecord(event.record, event.everywhere)]
+            return [BroadcastRecord(event.record, event.everywhere)]
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Never."""
+        """Return None: this part needs no wakeup."""
         return self._wakeup_s
--- a/packages/standins/dandelionyoke_standins/_policy_platform.py
+++ b/packages/standins/dandelionyoke_standins/_policy_platform.py
@@ -1,4 +1,4 @@
-"""The targets of a run: ordered, listed late, reclaimed, crashed."""
+"""The platform of a run: it starts, lists and bills the targets."""
 
 from collections.abc import Iterator
 
@@ -14,67 +14,73 @@
     TargetKind,
 )
 from dandelionyoke_standins._policy_engine import (
-    EngineFake,
-    EngineFakeSettings,
+    SimulatedEngine,
+    SimulatedEngineSettings,
 )
 from dandelionyoke_standins._policy_workload import Deployment, TargetGroup
 
-STEADY_PRICE_PER_H = 1.0
-RECLAIMABLE_PRICE_PER_H = 0.35
-BOOT_S = 60.0
-SECONDS_PER_H = 3600
+ON_DEMAND_PRICE_PER_HOUR = 1.0
+RECLAIMABLE_PRICE_PER_HOUR = 0.35
+BOOT_TIME_S = 60.0
+SECONDS_PER_HOUR = 3600
 
 
 @attrs.define(eq=False)
-class TargetBox:
-    """A target with its engine and the time that is paid for."""
+class SimulatedTarget:
+    """A target with its engine and the period for which it is billed."""
 
     target: Target
-    engine: EngineFake
+    engine: SimulatedEngine
     ready_s: float
-    paid_from_s: float
-    gone_s: float | None = None
-    ticking: bool = False
+    billed_from_s: float
+    removed_s: float | None = None
+    is_stepping: bool = False
 
-    def serves(self, now_s: float) -> bool:
-        """Whether it answers at all."""
-        return self.gone_s is None and now_s >= self.ready_s
+    def is_serving(self, now_s: float) -> bool:
+        """Return whether the target has booted and is not removed."""
+        return self.removed_s is None and now_s >= self.ready_s
 
     def cost(self, until_s: float) -> float:
-        """What it cost up to a time."""
-        end_s = until_s if self.gone_s is None else self.gone_s
-        price = STEADY_PRICE_PER_H
+        """Return the cost of the target up to a time."""
+        end_s = until_s if self.removed_s is None else self.removed_s
+        price = ON_DEMAND_PRICE_PER_HOUR
         if self.target.reclaimable:
-            price = RECLAIMABLE_PRICE_PER_H
-        return max(0, end_s - self.paid_from_s) * price / SECONDS_PER_H
+            price = RECLAIMABLE_PRICE_PER_HOUR
+        return max(0, end_s - self.billed_from_s) * price / SECONDS_PER_HOUR
 
 
-class PlatformFake:
-    """Every target that there was, and the list as the platform gives it."""
+class SimulatedPlatform:
+    """All targets of a run, including removed ones, and the target listing."""
 
     def __init__(
-        self, deployment: Deployment, settings: EngineFakeSettings
+        self, deployment: Deployment, settings: SimulatedEngineSettings
     ) -> None:
-        self.boxes: dict[TargetId, TargetBox] = {}
+        self.targets: dict[TargetId, SimulatedTarget] = {}
         self._settings = settings
         self._listing: tuple[Target, ...] = ()
         for group in deployment.groups:
-            self._fill(group)
+            self._add_group(group)
         self.refresh(0)
 
     def refresh(self, now_s: float) -> None:
-        """Bring the list up to date; in between it lags."""
+        """Update the listing, which is stale between updates."""
         self._listing = tuple(
-            box.target for box in self.boxes.values() if box.serves(now_s)
+            simulated_target.target
+            for simulated_target in self.targets.values()
+            if simulated_target.is_serving(now_s)
         )
 
     def listing(self) -> tuple[Target, ...]:
-        """Give the list."""
+        """Return the targets as of the last update."""
         return self._listing
 
-    def live(self, now_s: float) -> Iterator[TargetBox]:
-        """Go through the targets that answer."""
-        return (box for box in self.boxes.values() if box.serves(now_s))
+    def live(self, now_s: float) -> Iterator[SimulatedTarget]:
+        """Return the targets that serve now."""
+        return (
+            simulated_target
+            for simulated_target in self.targets.values()
+            if simulated_target.is_serving(now_s)
+        )
 
     def add(
         self,
@@ -84,32 +90,41 @@
         *,
         reclaimable: bool,
         plain: bool = False,
-        boot_s: float = BOOT_S,
-    ) -> TargetBox:
-        """Order a target; it is paid at once and serves after its boot."""
-        name = TargetId(f'{service}-{domain}-{len(self.boxes)}')
+        boot_s: float = BOOT_TIME_S,
+    ) -> SimulatedTarget:
+        """Start a target; it is billed at once and serves after its boot."""
+        name = TargetId(f'{service}-{domain}-{len(self.targets)}')
         kind = TargetKind.PLAIN if plain else TargetKind.ENGINE
         target = Target(name, service, domain, name, kind, reclaimable)
-        engine = EngineFake(name, self._settings, Role.MIXED)
-        box = TargetBox(target, engine, now_s + boot_s, now_s)
-        self.boxes[name] = box
-        return box
+        engine = SimulatedEngine(name, self._settings, Role.MIXED)
+        simulated_target = SimulatedTarget(
+            target, engine, now_s + boot_s, now_s
+        )
+        self.targets[name] = simulated_target
+        return simulated_target
 
-    def mark(self, box: TargetBox, state: Presence) -> None:
-        """Say that a target is leaving or reclaimed."""
-        box.target = attrs.evolve(box.target, state=state)
+    def set_state(
+        self, simulated_target: SimulatedTarget, state: Presence
+    ) -> None:
+        """Set the state of a target, such as leaving or reclaimed."""
+        simulated_target.target = attrs.evolve(
+            simulated_target.target, state=state
+        )
 
     def cost(self, until_s: float) -> float:
-        """What all targets cost up to a time."""
-        return sum(box.cost(until_s) for box in self.boxes.values())
+        """Return the cost of all targets up to a time."""
+        return sum(
+            simulated_target.cost(until_s)
+            for simulated_target in self.targets.values()
+        )
 
-    def _fill(self, group: TargetGroup) -> None:
-        for number in range(group.steady + group.reclaimable):
+    def _add_group(self, group: TargetGroup) -> None:
+        for number in range(group.on_demand_count + group.reclaimable_count):
             self.add(
                 group.service,
                 group.domain,
                 0,
-                reclaimable=number >= group.steady,
+                reclaimable=number >= group.on_demand_count,
                 plain=group.plain,
                 boot_s=0,
             )
--- a/packages/standins/dandelionyoke_standins/_policy_runs.py
+++ b/packages/standins/dandelionyoke_standins/_policy_runs.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: nodes, world, faults, and the figures of it."""
+"""Sets up and runs a scenario with nodes of the system or of the baseline."""
 
 from collections.abc import Callable
 from functools import partial
@@ -20,61 +20,67 @@
     ServiceKind,
     Snapshot,
 )
-from dandelionyoke_standins._policy_caller import Caller
-from dandelionyoke_standins._policy_engine import EngineFakeSettings
+from dandelionyoke_standins._policy_caller import CallPart
+from dandelionyoke_standins._policy_engine import SimulatedEngineSettings
 from dandelionyoke_standins._policy_ledger import Ledger
 from dandelionyoke_standins._policy_naive import NaiveAdmitter, NaiveRouter
-from dandelionyoke_standins._policy_nodes import NodeBox
+from dandelionyoke_standins._policy_nodes import SimulatedNode
 from dandelionyoke_standins._policy_orders import OrdersPart
-from dandelionyoke_standins._policy_peers import PeersFake, Spreader
-from dandelionyoke_standins._policy_platform import PlatformFake
+from dandelionyoke_standins._policy_peers import BroadcastPart, SimulatedPeers
+from dandelionyoke_standins._policy_platform import SimulatedPlatform
 from dandelionyoke_standins._policy_workload import (
     Call,
     Demand,
     Deployment,
-    arrivals,
+    generate_calls,
 )
-from dandelionyoke_standins._policy_world import World
+from dandelionyoke_standins._policy_world import Simulation
 
-SETTLE_S = 3.0
-END_S = 65.0
+WARM_UP_S = 3.0
+# Longer than the deadline of every call class.
+DRAIN_S = 65.0
 
-Fault = Callable[[World], None]
+Fault = Callable[[Simulation], None]
 
 
 @attrs.frozen
 class Scenario:
-    """A demand, and what goes wrong when."""
+    """A deployment with a demand and timed faults.
+
+    The time of each fault is in seconds after the warm-up.
+    """
 
     name: str
     deployment: Deployment
     demand: Demand
     faults: tuple[tuple[float, Fault], ...] = ()
-    engine: EngineFakeSettings = attrs.field(factory=EngineFakeSettings)
+    engine: SimulatedEngineSettings = attrs.field(
+        factory=SimulatedEngineSettings
+    )
 
 
 @attrs.frozen
 class Run:
-    """What a run leaves behind."""
+    """A finished run with its ledger and the state of the simulation."""
 
     scenario: Scenario
     ledger: Ledger
-    world: World
+    simulation: Simulation
 
 
 @attrs.frozen
-class DirectoryFake:
-    """A configuration that never changes."""
+class StaticDirectory:
+    """A configuration directory that never changes."""
 
     snapshot: Snapshot
 
     def knowledge_age_s(self, now_s: float) -> float | None:
-        """Always fresh."""
+        """Return zero: the configuration is never stale."""
         return 0
 
 
-def snapshot_of(deployment: Deployment) -> Snapshot:
-    """Write a deployment down as a configuration."""
+def make_snapshot(deployment: Deployment) -> Snapshot:
+    """Make the configuration snapshot of a deployment."""
     kinds = {group.service: group.plain for group in deployment.groups}
     return Snapshot(
         revision=1,
@@ -97,11 +103,11 @@
     deployment: Deployment,
     domain: Domain,
     instance_id: InstanceId,
-    peers: PeersFake,
+    peers: SimulatedPeers,
     ledger: Ledger,
 ) -> Composition:
-    """Put a node of the system together."""
-    directory = DirectoryFake(snapshot_of(deployment))
+    """Compose a node of the system."""
+    directory = StaticDirectory(make_snapshot(deployment))
     routing = RoutingPart(
         RoutingSettings(),
         directory,
@@ -113,10 +119,10 @@
     admission = AdmissionPart(
         AdmissionSettings(), directory, peers, routing, instance_id
     )
-    caller = Caller(admission, routing, ledger)
+    calls = CallPart(admission, routing, ledger)
     fleet = FleetPart(FleetSettings(), directory, routing, admission, domain)
     return Composition(
-        (routing, admission, caller, Spreader(), fleet, OrdersPart())
+        (routing, admission, calls, BroadcastPart(), fleet, OrdersPart())
     )
 
 
@@ -124,58 +130,58 @@
     deployment: Deployment,
     domain: Domain,
     instance_id: InstanceId,
-    peers: PeersFake,
+    peers: SimulatedPeers,
     ledger: Ledger,
 ) -> Composition:
-    """Put a node of the naive version together."""
+    """Compose a node of the naive baseline."""
     router = NaiveRouter()
     admitter = NaiveAdmitter(router, sum(deployment.entries.values()))
-    caller = Caller(admitter, router, ledger)
-    return Composition((router, admitter, caller))
+    calls = CallPart(admitter, router, ledger)
+    return Composition((router, admitter, calls))
 
 
-NodeMaker = Callable[
-    [Deployment, Domain, InstanceId, PeersFake, Ledger], Composition
+NodeFactory = Callable[
+    [Deployment, Domain, InstanceId, SimulatedPeers, Ledger], Composition
 ]
 
 
-def run(scenario: Scenario, make: NodeMaker, seed: int) -> Run:
-    """Run a scenario to its end."""
+def run(scenario: Scenario, make_node: NodeFactory, seed: int) -> Run:
+    """Run a scenario until all its calls have ended."""
     deployment = scenario.deployment
     ledger = Ledger()
-    platform = PlatformFake(deployment, scenario.engine)
-    world = World(platform, ledger)
-    world.start(_boxes(deployment, make, ledger))
-    for call in arrivals(deployment, scenario.demand, seed):
-        world.clock.at(
-            call.arrived_s + SETTLE_S,
-            partial(world.arrive, _later(call, SETTLE_S)),
+    platform = SimulatedPlatform(deployment, scenario.engine)
+    simulation = Simulation(platform, ledger)
+    simulation.start(_make_nodes(deployment, make_node, ledger))
+    for call in generate_calls(deployment, scenario.demand, seed):
+        simulation.clock.call_at(
+            call.arrived_s + WARM_UP_S,
+            partial(simulation.start_call, _delayed(call, WARM_UP_S)),
         )
     for at_s, fault in scenario.faults:
-        world.clock.at(at_s + SETTLE_S, partial(fault, world))
-    world.clock.run(scenario.demand.duration_s + SETTLE_S + END_S)
-    return Run(scenario, ledger, world)
+        simulation.clock.call_at(at_s + WARM_UP_S, partial(fault, simulation))
+    simulation.clock.run(scenario.demand.duration_s + WARM_UP_S + DRAIN_S)
+    return Run(scenario, ledger, simulation)
 
 
-def _later(call: Call, by_s: float) -> Call:
-    return attrs.evolve(call, arrived_s=call.arrived_s + by_s)
+def _delayed(call: Call, delay_s: float) -> Call:
+    return attrs.evolve(call, arrived_s=call.arrived_s + delay_s)
 
 
-def _boxes(
-    deployment: Deployment, make: NodeMaker, ledger: Ledger
-) -> list[NodeBox]:
-    places = [
+def _make_nodes(
+    deployment: Deployment, make_node: NodeFactory, ledger: Ledger
+) -> list[SimulatedNode]:
+    entries = [
         (InstanceId(f'entry-{domain}-{number}'), domain)
         for domain, count in deployment.entries.items()
         for number in range(count)
     ]
-    boxes = []
-    for name, domain in places:
-        peers = PeersFake((), ())
+    nodes = []
+    for name, domain in entries:
+        peers = SimulatedPeers((), ())
         peers.learn(
-            tuple(other for other, _ in places),
-            tuple(other for other, where in places if where == domain),
+            tuple(other for other, _ in entries),
+            tuple(other for other, place in entries if place == domain),
         )
-        node = make(deployment, domain, name, peers, ledger)
-        boxes.append(NodeBox(name, domain, peers, node))
-    return boxes
+        composition = make_node(deployment, domain, name, peers, ledger)
+        nodes.append(SimulatedNode(name, domain, peers, composition))
+    return nodes
--- a/packages/standins/dandelionyoke_standins/_policy_targets.py
+++ b/packages/standins/dandelionyoke_standins/_policy_targets.py
@@ -1,4 +1,4 @@
-"""The targets of a run at work: attempts, progress, and what breaks."""
+"""Runs the attempts at the targets of a run and injects faults into them."""
 
 from collections.abc import Sequence
 from functools import partial
@@ -16,173 +16,211 @@
     TargetId,
     TokensArrived,
 )
-from dandelionyoke_standins._policy_caller import StartWork
+from dandelionyoke_standins._policy_caller import StartEngineAttempt
 from dandelionyoke_standins._policy_clock import VirtualClock
-from dandelionyoke_standins._policy_engine import EngineFake, Progress, Work
+from dandelionyoke_standins._policy_engine import (
+    EngineAttempt,
+    Progress,
+    SimulatedEngine,
+)
 from dandelionyoke_standins._policy_ledger import Ledger
-from dandelionyoke_standins._policy_nodes import HOP_S, Network, NodeBox
-from dandelionyoke_standins._policy_platform import PlatformFake, TargetBox
+from dandelionyoke_standins._policy_nodes import (
+    NETWORK_DELAY_S,
+    Network,
+    SimulatedNode,
+)
+from dandelionyoke_standins._policy_platform import (
+    SimulatedPlatform,
+    SimulatedTarget,
+)
 
-STEP_S = 0.04
-SAMPLE_S = 0.25
-SILENCE_S = 2.0
-# Nodes hear of some of the tokens only; the ledger counts each.
-TELL_TOKENS = 12
+ENGINE_STEP_S = 0.04
+REPORT_SAMPLE_INTERVAL_S = 0.25
+NO_ANSWER_TIMEOUT_S = 2.0
+# Nodes get an event for about every twelfth token only; the ledger records
+# every token.
+PROGRESS_EVENT_TOKENS = 12
 
 
 @attrs.frozen
-class Place:
-    """Whose attempt runs where."""
+class RunningAttempt:
+    """The node, call and target of an attempt that runs or waits."""
 
-    box: NodeBox
+    node: SimulatedNode
     request_id: RequestId
     target_id: TargetId
 
 
-class TargetSide:
-    """Runs the engines, and breaks them."""
+class TargetPool:
+    """Steps the engines, delivers their progress and injects faults."""
 
     def __init__(
         self,
         clock: VirtualClock,
         network: Network,
-        platform: PlatformFake,
+        platform: SimulatedPlatform,
         ledger: Ledger,
     ) -> None:
         self._clock = clock
         self._network = network
         self._platform = platform
         self._ledger = ledger
-        self._places: dict[AttemptId, Place] = {}
+        self._running: dict[AttemptId, RunningAttempt] = {}
 
-    def engine(self, target_id: TargetId) -> EngineFake:
-        """Find an engine."""
-        return self._platform.boxes[target_id].engine
+    def engine(self, target_id: TargetId) -> SimulatedEngine:
+        """Return the engine of a target."""
+        return self._platform.targets[target_id].engine
 
-    def reaches(self, box: NodeBox, target_id: TargetId) -> bool:
-        """Tell whether an entry gets an answer from a target."""
-        target_box = self._platform.boxes[target_id]
-        if not target_box.serves(self._clock.now_s):
+    def reaches(self, node: SimulatedNode, target_id: TargetId) -> bool:
+        """Return whether a target serves and the node can reach it."""
+        simulated_target = self._platform.targets[target_id]
+        if not simulated_target.is_serving(self._clock.now_s):
             return False
-        return self._network.joined(box.domain, target_box.target.domain)
+        return self._network.can_reach(
+            node.domain, simulated_target.target.domain
+        )
 
-    def start_work(self, box: NodeBox, action: StartWork) -> None:
-        """Take an attempt, refuse it, or stay silent."""
+    def start_attempt(
+        self, node: SimulatedNode, action: StartEngineAttempt
+    ) -> None:
+        """Queue an attempt at its engine, refuse it, or let it time out."""
         target_id = action.target.target_id
         request_id = action.call.request_id
-        if not self.reaches(box, target_id):
-            silent = AttemptFailed(request_id, action.attempt_id, True, '')
-            self._network.give(box, silent, SILENCE_S)
+        if not self.reaches(node, target_id):
+            no_answer = AttemptFailed(request_id, action.attempt_id, True, '')
+            self._network.deliver(node, no_answer, NO_ANSWER_TIMEOUT_S)
             return
-        cause = self.engine(target_id).refusal(self._clock.now_s)
+        cause = self.engine(target_id).refusal_cause(self._clock.now_s)
         if cause is not None:
             refused = AttemptRefused(request_id, action.attempt_id, cause)
-            self._network.give(box, refused, 2 * HOP_S)
+            self._network.deliver(node, refused, 2 * NETWORK_DELAY_S)
             return
-        self._places[action.attempt_id] = Place(box, request_id, target_id)
-        self.engine(target_id).add(_work(action))
-        self._keep_ticking(self._platform.boxes[target_id])
+        self._running[action.attempt_id] = RunningAttempt(
+            node, request_id, target_id
+        )
+        self.engine(target_id).add(_engine_attempt(action))
+        self._schedule_step(self._platform.targets[target_id])
 
     def cancel(self, target_id: TargetId, attempt_id: AttemptId) -> None:
-        """Drop an attempt."""
-        self._places.pop(attempt_id, None)
+        """Cancel an attempt."""
+        self._running.pop(attempt_id, None)
         self.engine(target_id).cancel(attempt_id)
 
     def sample_reports(self) -> None:
-        """Take figures for the reports, again and again."""
-        for box in self._platform.live(self._clock.now_s):
-            box.engine.sample(self._clock.now_s)
-        self._clock.later(SAMPLE_S, self.sample_reports)
-
-    # What goes wrong.
-
-    def crash(self, target_box: TargetBox) -> None:
-        """Let an engine crash and come up again."""
-        lost = target_box.engine.restart(self._clock.now_s)
-        self._break(lost, 'crashed')
-
-    def end_target(self, target_box: TargetBox, *, reclaimed: bool) -> None:
-        """Let a target vanish, with what still runs there."""
-        lost = target_box.engine.in_progress()
-        target_box.gone_s = self._clock.now_s
+        """Record load reports of all engines, periodically."""
+        for simulated_target in self._platform.live(self._clock.now_s):
+            simulated_target.engine.sample(self._clock.now_s)
+        self._clock.call_later(REPORT_SAMPLE_INTERVAL_S, self.sample_reports)
+
+    # Faults.
+
+    def crash(self, simulated_target: SimulatedTarget) -> None:
+        """Crash and restart an engine; its attempts fail."""
+        lost = simulated_target.engine.restart(self._clock.now_s)
+        self._fail_attempts(lost, 'crashed')
+
+    def remove_target(
+        self, simulated_target: SimulatedTarget, *, reclaimed: bool
+    ) -> None:
+        """Remove a target; its attempts fail."""
+        lost = simulated_target.engine.in_progress()
+        simulated_target.removed_s = self._clock.now_s
         for attempt_id in lost if reclaimed else ():
-            self._ledger.reclaimed(self._places[attempt_id].request_id)
-        self._break(lost, 'vanished')
+            self._ledger.record_reclaim(self._running[attempt_id].request_id)
+        self._fail_attempts(lost, 'vanished')
 
-    def cut(self, domain: Domain) -> None:
-        """Cut a domain off from the others and from the platform."""
-        self._network.set_cut(self._network.cut_off | {domain})
+    def isolate_domain(self, domain: Domain) -> None:
+        """Isolate a domain from the other domains and the platform.
+
+        Attempts across the cut fail after the timeout.
+        """
+        self._network.isolate_domains(self._network.isolated_domains | {domain})
         lost = [
             attempt_id
-            for attempt_id, place in self._places.items()
-            if not self.reaches(place.box, place.target_id)
+            for attempt_id, running in self._running.items()
+            if not self.reaches(running.node, running.target_id)
         ]
-        self._clock.later(SILENCE_S, partial(self._break, lost, 'silent'))
+        self._clock.call_later(
+            NO_ANSWER_TIMEOUT_S, partial(self._fail_attempts, lost, 'silent')
+        )
 
-    def heal(self) -> None:
-        """Join all domains again."""
-        self._network.set_cut(frozenset())
+    def reconnect_domains(self) -> None:
+        """End the isolation of all domains."""
+        self._network.isolate_domains(frozenset())
 
     def reclaim(self, domain: Domain, notice_s: float) -> None:
-        """Take all reclaimable targets of a domain, on short notice."""
-        for box in tuple(self._platform.live(self._clock.now_s)):
-            if box.target.domain == domain and box.target.reclaimable:
-                self._platform.mark(box, Presence.RECLAIMED)
-                end = partial(self.end_target, box, reclaimed=True)
-                self._clock.later(notice_s, end)
-
-    def _keep_ticking(self, target_box: TargetBox) -> None:
-        if not target_box.ticking:
-            target_box.ticking = True
-            self._clock.later(STEP_S, partial(self._tick, target_box))
-
-    def _tick(self, target_box: TargetBox) -> None:
-        target_box.ticking = False
-        if not target_box.serves(self._clock.now_s):
+        """Reclaim all reclaimable targets of a domain after the notice."""
+        for reclaimed in tuple(self._platform.live(self._clock.now_s)):
+            if (
+                reclaimed.target.domain == domain
+                and reclaimed.target.reclaimable
+            ):
+                self._platform.set_state(reclaimed, Presence.RECLAIMED)
+                remove_target = partial(
+                    self.remove_target, reclaimed, reclaimed=True
+                )
+                self._clock.call_later(notice_s, remove_target)
+
+    def _schedule_step(self, simulated_target: SimulatedTarget) -> None:
+        if not simulated_target.is_stepping:
+            simulated_target.is_stepping = True
+            self._clock.call_later(
+                ENGINE_STEP_S, partial(self._step, simulated_target)
+            )
+
+    def _step(self, simulated_target: SimulatedTarget) -> None:
+        simulated_target.is_stepping = False
+        if not simulated_target.is_serving(self._clock.now_s):
             return
-        engine = target_box.engine
-        for progress in engine.step(STEP_S, self._clock.now_s):
-            self._put_out(progress)
-        if engine.busy:
-            self._keep_ticking(target_box)
+        engine = simulated_target.engine
+        for progress in engine.step(ENGINE_STEP_S, self._clock.now_s):
+            self._deliver_progress(progress)
+        if engine.has_work:
+            self._schedule_step(simulated_target)
 
-    def _put_out(self, progress: Progress) -> None:
+    def _deliver_progress(self, progress: Progress) -> None:
         attempt_id = progress.attempt_id
-        place = self._places.get(attempt_id)
-        if place is None or not self.reaches(place.box, place.target_id):
+        running = self._running.get(attempt_id)
+        if running is None or not self.reaches(running.node, running.target_id):
             return
-        request_id = place.request_id
+        request_id = running.request_id
         if progress.ended:
-            self._places.pop(attempt_id)
+            self._running.pop(attempt_id)
             ended = AttemptEnded(
-                request_id, attempt_id, 'stop', progress.done, 0
+                request_id, attempt_id, 'stop', progress.generated_tokens, 0
+            )
+            self._network.deliver(running.node, ended)
+        elif self._is_reported(request_id, progress):
+            tokens = TokensArrived(
+                request_id, attempt_id, progress.generated_tokens, ()
             )
-            self._network.give(place.box, ended)
-        elif self._is_told(request_id, progress):
-            tokens = TokensArrived(request_id, attempt_id, progress.done, ())
-            self._network.give(place.box, tokens)
-        self._ledger.progress(request_id, progress.done, self._clock.now_s)
+            self._network.deliver(running.node, tokens)
+        self._ledger.record_progress(
+            request_id, progress.generated_tokens, self._clock.now_s
+        )
 
-    def _is_told(self, request_id: RequestId, progress: Progress) -> bool:
-        is_first = self._ledger.stories[request_id].first_s is None
-        return is_first or progress.done % TELL_TOKENS < 2
+    def _is_reported(self, request_id: RequestId, progress: Progress) -> bool:
+        is_first = self._ledger.outcomes[request_id].first_token_s is None
+        return is_first or progress.generated_tokens % PROGRESS_EVENT_TOKENS < 2
 
-    def _break(self, attempt_ids: Sequence[AttemptId], cause: str) -> None:
+    def _fail_attempts(
+        self, attempt_ids: Sequence[AttemptId], cause: str
+    ) -> None:
         for attempt_id in attempt_ids:
-            place = self._places.pop(attempt_id, None)
-            if place is not None:
+            running = self._running.pop(attempt_id, None)
+            if running is not None:
                 failed = AttemptFailed(
-                    place.request_id, attempt_id, True, cause
+                    running.request_id, attempt_id, True, cause
                 )
-                self._network.give(place.box, failed)
+                self._network.deliver(running.node, failed)
 
 
-def _work(action: StartWork) -> Work:
+def _engine_attempt(action: StartEngineAttempt) -> EngineAttempt:
     call = action.call
-    return Work(
+    return EngineAttempt(
         action.attempt_id,
         call.prompt_tokens,
         call.output_tokens,
-        call.names,
-        done=action.done,
+        call.shared_blocks,
+        generated_tokens=action.generated_tokens,
     )
--- a/packages/standins/dandelionyoke_standins/_policy_workload.py
+++ b/packages/standins/dandelionyoke_standins/_policy_workload.py
@@ -1,4 +1,7 @@
-"""Who calls what and when: the two users' deployments, with fixed seeds."""
+"""Descriptions of deployments and demand, and the calls that follow.
+
+The same seed gives the same calls.
+"""
 
 from collections.abc import Iterator, Mapping
 from random import Random
@@ -15,15 +18,16 @@
 )
 
 MAX_OUTPUT_FACTOR = 2
-SPREAD = 0.4
+LENGTH_VARIATION = 0.4
 
 
 @attrs.frozen
 class CallClass:
-    """Calls of one kind.
+    """A class of similar calls.
 
-    `shared_tokens` of the prompt are the same for all calls about one of
-    the organisation's `documents`.
+    `shared_tokens` of the prompt are a prefix that all calls about one of the
+    organisation's `documents` share. Calls with `requires_on_demand` must not
+    run on reclaimable targets.
     """
 
     name: str
@@ -33,15 +37,15 @@
     deadline_s: float
     shared_tokens: int = 0
     documents: int = 1
-    steady: bool = False
+    requires_on_demand: bool = False
 
 
 @attrs.frozen
 class Customer:
-    """An organisation and its part of the demand."""
+    """An organisation and its share of the demand."""
 
     organisation: Organisation
-    demand: float
+    demand_share: float
 
 
 @attrs.frozen
@@ -50,14 +54,14 @@
 
     service: ServiceName
     domain: Domain
-    steady: int
-    reclaimable: int = 0
+    on_demand_count: int
+    reclaimable_count: int = 0
     plain: bool = False
 
 
 @attrs.frozen
 class Deployment:
-    """One user's customers, calls, entries and targets."""
+    """The entries, targets, customers and call classes of one user."""
 
     name: str
     entries: Mapping[Domain, int]
@@ -67,120 +71,136 @@
     reclaimable_share: float
 
     def domains(self) -> tuple[Domain, ...]:
-        """Name the failure domains."""
+        """Return the failure domains."""
         return tuple(self.entries)
 
 
 @attrs.frozen
 class Phase:
-    """Calls a second of each class, until a time."""
+    """Calls per second of each class up to a time."""
 
     until_s: float
-    rates: Mapping[str, float]
+    calls_per_s: Mapping[str, float]
 
 
 @attrs.frozen
 class Call:
-    """One call as it will come."""
+    """One call with its arrival time and length.
+
+    `entry` is the index of the node that receives it.
+    """
 
     request_id: RequestId
     customer: Customer
-    kind: CallClass
+    call_class: CallClass
     arrived_s: float
     prompt_tokens: int
     output_tokens: int
     entry: int
-    names: tuple[str, ...] = attrs.field(repr=False)
+    shared_blocks: tuple[str, ...] = attrs.field(repr=False)
 
     @property
     def max_output_tokens(self) -> int:
-        """What the caller asks for at most; it knows no better."""
-        return self.kind.output_tokens * MAX_OUTPUT_FACTOR
+        """Output limit of the request; callers overestimate the length."""
+        return self.call_class.output_tokens * MAX_OUTPUT_FACTOR
 
     @property
     def deadline_s(self) -> float:
-        """When the caller stops waiting."""
-        return self.arrived_s + self.kind.deadline_s
+        """Time at which the caller stops waiting."""
+        return self.arrived_s + self.call_class.deadline_s
 
 
 @attrs.frozen
 class Demand:
-    """The phases, and who asks for how many times its usual share."""
+    """The phases of the demand.
+
+    `surges` maps organisations to a multiple of their usual share.
+    """
 
     phases: tuple[Phase, ...]
     surges: Mapping[OrganisationId, float] = attrs.field(factory=dict)
 
     @property
     def duration_s(self) -> float:
-        """When the last call may come."""
+        """Time after which no call arrives."""
         return self.phases[-1].until_s
 
 
-def arrivals(
+def generate_calls(
     deployment: Deployment, demand: Demand, seed: int
 ) -> Iterator[Call]:
-    """Give the calls in order; the same for the same seed."""
-    maker = _CallMaker(deployment, demand, Random(seed))
+    """Generate the calls in order of arrival, the same for the same seed."""
+    generator = _CallGenerator(deployment, demand, Random(seed))
     at_s = 0.0
     for phase in demand.phases:
-        yield from maker.calls(phase, at_s)
+        yield from generator.calls(phase, at_s)
         at_s = phase.until_s
 
 
-class _CallMaker:
+class _CallGenerator:
     def __init__(
         self, deployment: Deployment, demand: Demand, random: Random
     ) -> None:
         self._customers = deployment.customers
-        self._kinds = {kind.name: kind for kind in deployment.classes}
+        self._classes = {
+            call_class.name: call_class for call_class in deployment.classes
+        }
         self._entries = sum(deployment.entries.values())
         self._weights = _weights(deployment, demand)
         self._random = random
         self._number = 0
 
     def calls(self, phase: Phase, from_s: float) -> Iterator[Call]:
-        usual = sum(customer.demand for customer in self._customers)
-        surge = sum(self._weights) / usual
-        per_s = surge * sum(phase.rates.values())
-        at_s = from_s + self._random.expovariate(per_s)
+        total_share = sum(customer.demand_share for customer in self._customers)
+        surge_factor = sum(self._weights) / total_share
+        total_per_s = surge_factor * sum(phase.calls_per_s.values())
+        at_s = from_s + self._random.expovariate(total_per_s)
         while at_s < phase.until_s:
             yield self._call(phase, at_s)
-            at_s += self._random.expovariate(per_s)
+            at_s += self._random.expovariate(total_per_s)
 
     def _call(self, phase: Phase, at_s: float) -> Call:
         random = self._random
         self._number += 1
         customer = random.choices(self._customers, self._weights)[0]
-        rates = phase.rates
-        name = random.choices(tuple(rates), tuple(rates.values()))[0]
-        kind = self._kinds[name]
-        own_tokens = kind.prompt_tokens - kind.shared_tokens
+        calls_per_s = phase.calls_per_s
+        name = random.choices(tuple(calls_per_s), tuple(calls_per_s.values()))[
+            0
+        ]
+        call_class = self._classes[name]
+        own_tokens = call_class.prompt_tokens - call_class.shared_tokens
         return Call(
             request_id=RequestId(f'r{self._number}'),
             customer=customer,
-            kind=kind,
+            call_class=call_class,
             arrived_s=at_s,
-            prompt_tokens=kind.shared_tokens + self._around(own_tokens),
-            output_tokens=max(1, self._around(kind.output_tokens)),
+            prompt_tokens=call_class.shared_tokens + self._vary(own_tokens),
+            output_tokens=max(1, self._vary(call_class.output_tokens)),
             entry=random.randrange(self._entries),
-            names=self._names(customer, kind),
+            shared_blocks=self._shared_blocks(customer, call_class),
         )
 
-    def _names(self, customer: Customer, kind: CallClass) -> tuple[str, ...]:
-        document = self._random.randrange(kind.documents)
-        owner = customer.organisation.organisation_id
-        blocks = kind.shared_tokens // BLOCK_TOKENS
+    def _shared_blocks(
+        self, customer: Customer, call_class: CallClass
+    ) -> tuple[str, ...]:
+        document = self._random.randrange(call_class.documents)
+        organisation_id = customer.organisation.organisation_id
+        blocks = call_class.shared_tokens // BLOCK_TOKENS
         return tuple(
-            f'{owner}/{kind.name}/{document}/{block}' for block in range(blocks)
+            f'{organisation_id}/{call_class.name}/{document}/{block}'
+            for block in range(blocks)
         )
 
-    def _around(self, tokens: int) -> int:
-        return round(tokens * self._random.uniform(1 - SPREAD, 1 + SPREAD))
+    def _vary(self, tokens: int) -> int:
+        return round(
+            tokens
+            * self._random.uniform(1 - LENGTH_VARIATION, 1 + LENGTH_VARIATION)
+        )
 
 
 def _weights(deployment: Deployment, demand: Demand) -> list[float]:
     return [
-        customer.demand
+        customer.demand_share
         * demand.surges.get(customer.organisation.organisation_id, 1)
         for customer in deployment.customers
     ]
--- a/packages/standins/dandelionyoke_standins/_policy_world.py
+++ b/packages/standins/dandelionyoke_standins/_policy_world.py
@@ -1,4 +1,4 @@
-"""The world around the nodes of a run."""
+"""The simulation around the nodes of a run: platform, targets and calls."""
 
 from collections.abc import Sequence
 from functools import partial
@@ -21,107 +21,124 @@
     TargetUnreachable,
     Woken,
 )
-from dandelionyoke_standins._policy_caller import CallArrived, StartWork
+from dandelionyoke_standins._policy_caller import (
+    CallArrived,
+    StartEngineAttempt,
+)
 from dandelionyoke_standins._policy_clock import VirtualClock
 from dandelionyoke_standins._policy_ledger import Ledger
-from dandelionyoke_standins._policy_nodes import Network, NodeBox
-from dandelionyoke_standins._policy_orders import CarryOut, OrderDesk
-from dandelionyoke_standins._policy_peers import SpreadRecord
-from dandelionyoke_standins._policy_platform import PlatformFake
-from dandelionyoke_standins._policy_targets import TargetSide
+from dandelionyoke_standins._policy_nodes import Network, SimulatedNode
+from dandelionyoke_standins._policy_orders import ApplyDecision, OrderExecutor
+from dandelionyoke_standins._policy_peers import BroadcastRecord
+from dandelionyoke_standins._policy_platform import SimulatedPlatform
+from dandelionyoke_standins._policy_targets import TargetPool
 from dandelionyoke_standins._policy_workload import Call
 
-POLL_S = 0.003
-DUTY_UNTIL_S = 1e9
-LISTING_LAG_S = 2.0
+ANSWER_DELAY_S = 0.003
+DUTY_EXPIRY_S = 1e9
+LISTING_REFRESH_INTERVAL_S = 2.0
 
 
-class World(Network):
-    """Performs what the nodes ask for."""
+class Simulation(Network):
+    """Delivers events to the nodes and performs their actions."""
 
-    def __init__(self, platform: PlatformFake, ledger: Ledger) -> None:
+    def __init__(self, platform: SimulatedPlatform, ledger: Ledger) -> None:
         self.clock = VirtualClock()
         super().__init__(self.clock)
         self.platform = platform
         self.ledger = ledger
-        self.targets = TargetSide(self.clock, self, platform, ledger)
-        self.desk = OrderDesk(self.clock, platform, self.targets)
+        self.targets = TargetPool(self.clock, self, platform, ledger)
+        self.orders = OrderExecutor(self.clock, platform, self.targets)
 
-    def start(self, nodes: Sequence[NodeBox]) -> None:
-        """Start all nodes, the clock of the list and of the reports."""
+    def start(self, nodes: Sequence[SimulatedNode]) -> None:
+        """Start all nodes, the listing updates and the load reports."""
         self.nodes = tuple(nodes)
-        for box in self.nodes:
-            self.give(box, Started(0), 0)
-        for box in _first_of_each_domain(self.nodes):
-            self.give(box, DutyGained(CONTROL_DUTY, 1, DUTY_UNTIL_S), 0)
+        for node in self.nodes:
+            self.deliver(node, Started(0), 0)
+        for node in _first_of_each_domain(self.nodes):
+            self.deliver(node, DutyGained(CONTROL_DUTY, 1, DUTY_EXPIRY_S), 0)
         self._refresh_listing()
         self.targets.sample_reports()
 
-    def arrive(self, call: Call) -> None:
-        """Let a call come in, and its caller leave at its deadline."""
-        self.ledger.open(call)
-        box = self.nodes[call.entry]
-        self.give(box, CallArrived(call))
-        gone = CallerGone(call.request_id)
-        self.clock.at(call.deadline_s, partial(self.handle, box, gone))
-
-    def handle(self, box: NodeBox, event: Event) -> None:
-        """Let a node handle an event, and perform what follows."""
-        for action in box.node.handle(event, self.clock.now_s):
-            self._perform(box, action)
-        due_s = box.node.next_wakeup_s()
-        if due_s is None or (box.wake_s is not None and box.wake_s <= due_s):
+    def start_call(self, call: Call) -> None:
+        """Deliver a call to its node; the caller leaves at the deadline."""
+        self.ledger.add_call(call)
+        node = self.nodes[call.entry]
+        self.deliver(node, CallArrived(call))
+        caller_gone = CallerGone(call.request_id)
+        self.clock.call_at(
+            call.deadline_s, partial(self.handle, node, caller_gone)
+        )
+
+    def handle(self, node: SimulatedNode, event: Event) -> None:
+        """Let a node handle an event, and perform the resulting actions."""
+        for action in node.composition.handle(event, self.clock.now_s):
+            self._perform(node, action)
+        due_s = node.composition.next_wakeup_s()
+        if due_s is None or (
+            node.wakeup_s is not None and node.wakeup_s <= due_s
+        ):
             return
-        box.wake_s = due_s
-        self.clock.at(due_s, partial(self._wake, box, due_s))
+        node.wakeup_s = due_s
+        self.clock.call_at(due_s, partial(self._wake, node, due_s))
 
-    def _wake(self, box: NodeBox, due_s: float) -> None:
-        if box.wake_s == due_s:
-            box.wake_s = None
-        self.handle(box, Woken())
+    def _wake(self, node: SimulatedNode, due_s: float) -> None:
+        if node.wakeup_s == due_s:
+            node.wakeup_s = None
+        self.handle(node, Woken())
 
-    def _perform(self, box: NodeBox, action: Action) -> None:
+    def _perform(self, node: SimulatedNode, action: Action) -> None:
         match action:
             case ListTargets():
-                self._list(box)
+                self._answer_listing(node)
             case PollLoad(target_id=target_id):
-                self._poll(box, target_id)
+                self._answer_load_poll(node, target_id)
             case PollCacheEvents():
-                self._poll_cache(box, action)
-            case StartWork():
-                self.targets.start_work(box, action)
+                self._answer_cache_poll(node, action)
+            case StartEngineAttempt():
+                self.targets.start_attempt(node, action)
             case CancelAttempt(target_id=target_id, attempt_id=attempt_id):
                 self.targets.cancel(target_id, attempt_id)
-            case SpreadRecord():
-                self.spread(box, action)
-            case CarryOut() if box.domain not in self.cut_off:
-                self.desk.perform(action)
-
-    def _list(self, box: NodeBox) -> None:
-        if box.domain in self.cut_off:
-            self.give(box, ListingFailed('cut off'), POLL_S)
+            case BroadcastRecord():
+                self.broadcast(node, action)
+            case ApplyDecision() if node.domain not in self.isolated_domains:
+                self.orders.apply(action)
+
+    def _answer_listing(self, node: SimulatedNode) -> None:
+        if node.domain in self.isolated_domains:
+            self.deliver(node, ListingFailed('cut off'), ANSWER_DELAY_S)
             return
-        self.give(box, TargetsListed(self.platform.listing()), POLL_S)
-
-    def _poll(self, box: NodeBox, target_id: TargetId) -> None:
-        if not self.targets.reaches(box, target_id):
-            self.give(box, TargetUnreachable(target_id, 'silent'), POLL_S)
+        self.deliver(
+            node, TargetsListed(self.platform.listing()), ANSWER_DELAY_S
+        )
+
+    def _answer_load_poll(
+        self, node: SimulatedNode, target_id: TargetId
+    ) -> None:
+        if not self.targets.reaches(node, target_id):
+            self.deliver(
+                node, TargetUnreachable(target_id, 'silent'), ANSWER_DELAY_S
+            )
             return
         report = self.targets.engine(target_id).report(self.clock.now_s)
-        self.give(box, LoadReported(target_id, report), POLL_S)
+        self.deliver(node, LoadReported(target_id, report), ANSWER_DELAY_S)
 
-    def _poll_cache(self, box: NodeBox, action: PollCacheEvents) -> None:
-        if self.targets.reaches(box, action.target_id):
-            told = self.targets.engine(action.target_id).cache_events(
+    def _answer_cache_poll(
+        self, node: SimulatedNode, action: PollCacheEvents
+    ) -> None:
+        if self.targets.reaches(node, action.target_id):
+            reported = self.targets.engine(action.target_id).cache_events(
                 action.target_id, action.after_sequence, self.clock.now_s
             )
-            self.give(box, told, POLL_S)
+            self.deliver(node, reported, ANSWER_DELAY_S)
 
     def _refresh_listing(self) -> None:
         self.platform.refresh(self.clock.now_s)
-        self.clock.later(LISTING_LAG_S, self._refresh_listing)
+        self.clock.call_later(LISTING_REFRESH_INTERVAL_S, self._refresh_listing)
 
 
-def _first_of_each_domain(nodes: Sequence[NodeBox]) -> list[NodeBox]:
-    holders = {box.domain: box for box in reversed(nodes)}
-    return list(holders.values())
+def _first_of_each_domain(
+    nodes: Sequence[SimulatedNode],
+) -> list[SimulatedNode]:
+    first_nodes = {node.domain: node for node in reversed(nodes)}
+    return list(first_nodes.values())
