--- a/packages/standins/dandelionyoke_standins/_node_measure.py
+++ b/packages/standins/dandelionyoke_standins/_node_measure.py
@@ -1,9 +1,9 @@
-"""What a whole node costs while nothing happens, by the fleet's size.
+"""Cost of an idle node as a function of the fleet size.
 
 Nodes, engines and the platform run in virtual time; the engines are idle.
-Printed for each size, for a node and a second: messages and bytes that it
-sends to peers, processor time in `handle`, calls at the store, the lists and
-the targets. The slope against the size is what counts.
+For each number of nodes it prints, per node and second: messages and bytes
+sent to peers, processor time in `handle`, store calls, listings and target
+polls. The growth with the number of nodes matters, not the absolute figures.
 """
 
 import sys
@@ -36,7 +36,7 @@
     message_to_mapping,
 )
 from dandelionyoke_standins._engine import EngineSettings
-from dandelionyoke_standins._world import Handler, World
+from dandelionyoke_standins._world import NodeHandler, World
 from dandelionyoke_standins._world_platform import WorldSettings
 from dandelionyoke_standins._world_setup import (
     DeploymentPlan,
@@ -45,21 +45,21 @@
     deploy,
 )
 
-SIZES = (12, 48, 96)
-ENGINES_A_NODE = 890 / 410
+NODE_COUNTS = (12, 48, 96)
+ENGINES_PER_NODE = 890 / 410
 DOMAINS = ('a-1', 'a-2', 'a-3', 'b-1', 'b-2', 'b-3')
-ORGANISATIONS = 40
-SETTLE_S = 15.0
+ORGANISATION_COUNT = 40
+WARM_UP_S = 15.0
 MEASURE_S = 20.0
 SEED = 7
-MICROSECONDS = 1_000_000
-LISTS = (ListTargets, ListInstances)
-POLLS = (PollLoad, PollCacheEvents)
+MICROSECONDS_PER_S = 1_000_000
+LIST_ACTIONS = (ListTargets, ListInstances)
+POLL_ACTIONS = (PollLoad, PollCacheEvents)
 
 
 @attrs.define
-class Meter:
-    """What all nodes together did since it was reset."""
+class CostMeter:
+    """Costs of all nodes together since the last reset."""
 
     processor_s: float = 0
     messages: int = 0
@@ -67,91 +67,95 @@
     lists: int = 0
     polls: int = 0
     store_calls: int = 0
-    by_message: Counter[str] = attrs.field(factory=Counter)
+    bytes_by_message: Counter[str] = attrs.field(factory=Counter)
 
     def reset(self) -> None:
-        """Forget all."""
+        """Set all counts to zero."""
         self.processor_s = 0
         self.messages = 0
         self.sent_bytes = 0
         self.lists = 0
         self.polls = 0
         self.store_calls = 0
-        self.by_message.clear()
+        self.bytes_by_message.clear()
 
     def count(self, action: Action) -> None:
-        """Count one action."""
+        """Count an action of a node."""
         if isinstance(action, SendPeer):
             size = len(cbor2.dumps(message_to_mapping(action.message)))
             self.messages += 1
             self.sent_bytes += size
-            self._count_kinds(action.message, size)
-        elif isinstance(action, LISTS):
+            self._count_bytes(action.message, size)
+        elif isinstance(action, LIST_ACTIONS):
             self.lists += 1
-        elif isinstance(action, POLLS):
+        elif isinstance(action, POLL_ACTIONS):
             self.polls += 1
         elif hasattr(action, 'operation_id'):
             self.store_calls += 1
 
-    def _count_kinds(self, message: PeerMessage, size: int) -> None:
-        """Divide a batch's bytes among the kinds of its records."""
+    def _count_bytes(self, message: PeerMessage, size: int) -> None:
+        """Count bytes by message type, and by record type within a batch."""
         if not isinstance(message, RecordBatch):
-            self.by_message[type(message).__name__] += size
+            self.bytes_by_message[type(message).__name__] += size
             return
         for entry in message.entries:
             record = dict(entry.record)
-            self.by_message[str(record['type'])] += len(cbor2.dumps(record))
+            self.bytes_by_message[str(record['type'])] += len(
+                cbor2.dumps(record)
+            )
 
 
 class MeteredNode:
-    """A node whose handling is timed and whose actions are counted."""
+    """Wrapper that times a node's event handling and counts its actions."""
 
-    def __init__(self, node: Handler, meter: Meter) -> None:
+    def __init__(self, node: NodeHandler, meter: CostMeter) -> None:
         self._node = node
         self._meter = meter
 
     def handle(self, event: Event, now_s: float) -> list[Action]:
-        """Take one event; return the actions that follow."""
-        began_s = time.process_time()
+        """Handle one event; return the resulting actions."""
+        started_s = time.process_time()
         actions = self._node.handle(event, now_s)
-        self._meter.processor_s += time.process_time() - began_s
+        self._meter.processor_s += time.process_time() - started_s
         for action in actions:
             self._meter.count(action)
         return actions
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the next `Woken` is due, or None."""
+        """Return when the next `Woken` event is due, or None."""
         return self._node.next_wakeup_s()
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Measure the sizes that are given, or all."""
-    sizes = tuple(int(argument) for argument in arguments) or SIZES
+    """Measure the given numbers of nodes, or the default ones."""
+    node_counts = tuple(int(argument) for argument in arguments) or NODE_COUNTS
     _print('nodes engines msgs/s bytes/s cpu_us/s store/s lists/s polls/s')
-    for size in sizes:
-        _measure(size)
+    for node_count in node_counts:
+        _measure(node_count)
     return 0
 
 
-def _measure(size: int) -> None:
-    meter = Meter()
+def _measure(node_count: int) -> None:
+    meter = CostMeter()
     world = World(SEED, WorldSettings(engine_step_s=MEASURE_S))
     group = EngineGroup(
         'assistant',
-        int(size * ENGINES_A_NODE),
+        int(node_count * ENGINES_PER_NODE),
         EngineSettings(models=('crate-lm',)),
     )
-    plan = DeploymentPlan(DOMAINS, size, (group,))
+    plan = DeploymentPlan(DOMAINS, node_count, (group,))
     deploy(world, plan, lambda node: MeteredNode(node, meter))
-    commit(world, _operations())
-    world.run(SETTLE_S)
+    commit(world, _configuration())
+    world.run(WARM_UP_S)
     meter.reset()
-    world.run(SETTLE_S + MEASURE_S)
-    _report(size, group.count, meter)
+    world.run(WARM_UP_S + MEASURE_S)
+    _report(node_count, group.count, meter)
 
 
-def _operations() -> list[Put]:
-    names = [OrganisationId(f'org-{one}') for one in range(ORGANISATIONS)]
+def _configuration() -> list[Put]:
+    names = [
+        OrganisationId(f'org-{number}') for number in range(ORGANISATION_COUNT)
+    ]
     return [
         *(Put(Organisation(name)) for name in names),
         *(Put(ApiKey(hash_key(name), name)) for name in names),
@@ -160,20 +164,21 @@
     ]
 
 
-def _report(size: int, engines: int, meter: Meter) -> None:
-    per = size * MEASURE_S
+def _report(node_count: int, engines: int, meter: CostMeter) -> None:
+    node_seconds = node_count * MEASURE_S
     _print(
-        f'{size:5} {engines:7} {meter.messages / per:6.1f}'
-        f' {meter.sent_bytes / per:7.0f}'
-        f' {meter.processor_s * MICROSECONDS / per:8.0f}'
-        f' {meter.store_calls / per:7.2f} {meter.lists / per:7.2f}'
-        f' {meter.polls / per:7.2f}'
+        f'{node_count:5} {engines:7} {meter.messages / node_seconds:6.1f}'
+        f' {meter.sent_bytes / node_seconds:7.0f}'
+        f' {meter.processor_s * MICROSECONDS_PER_S / node_seconds:8.0f}'
+        f' {meter.store_calls / node_seconds:7.2f}'
+        f' {meter.lists / node_seconds:7.2f}'
+        f' {meter.polls / node_seconds:7.2f}'
     )
-    shares = ', '.join(
-        f'{name} {size_bytes / per:.0f}'
-        for name, size_bytes in meter.by_message.most_common()
+    rates = ', '.join(
+        f'{name} {size_bytes / node_seconds:.0f}'
+        for name, size_bytes in meter.bytes_by_message.most_common()
     )
-    _print(f'      bytes/s by message: {shares}')
+    _print(f'      bytes/s by message: {rates}')
 
 
 def _print(line: str) -> None:
--- a/packages/standins/dandelionyoke_standins/_world_platform.py
+++ b/packages/standins/dandelionyoke_standins/_world_platform.py
@@ -1,4 +1,4 @@
-"""The platform as nodes in virtual time meet it: late, and cut off at times."""
+"""Platform calls of simulated nodes, with delays and partitions."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol, TypeVar
@@ -32,7 +32,10 @@
 from dandelionyoke_standins._platform import PlatformModel
 from dandelionyoke_standins._store import StoreChanges
 from dandelionyoke_standins._targets import TargetOrder
-from dandelionyoke_standins._world_store import listing, perform_store
+from dandelionyoke_standins._world_store import (
+    listing_from_changes,
+    perform_store,
+)
 
 PLATFORM = 'platform'
 
@@ -41,7 +44,10 @@
 
 @attrs.frozen
 class WorldSettings:
-    """Delays one way, in seconds; each has up to `jitter_share` more."""
+    """One-way delays in seconds, and the interval of engine steps.
+
+    Jitter adds up to `jitter_share` of a delay to it.
+    """
 
     store_delay_s: float = 0.002
     peer_delay_s: float = 0.0005
@@ -50,25 +56,25 @@
     engine_step_s: float = 0.05
 
 
-class Surroundings(Protocol):
-    """What the platform needs of the world around it."""
+class Environment(Protocol):
+    """The part of the simulation that the platform adapter uses."""
 
     settings: WorldSettings
     now_s: float
 
-    def later(self, delay_s: float, happen: Callable[[], None]) -> None:
-        """Do something after a delay."""
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay."""
 
-    def jittered(self, delay_s: float) -> float:
-        """Lengthen a delay by chance."""
+    def add_jitter(self, delay_s: float) -> float:
+        """Lengthen a delay by a random jitter."""
 
     def send_later(
         self, instance_id: InstanceId, delay_s: float, event: Event
     ) -> None:
-        """Give a node an event after a delay."""
+        """Deliver an event to a node after a delay with jitter."""
 
     def reaches(self, instance_id: InstanceId, place: str) -> bool:
-        """Tell whether a node reaches a place."""
+        """Return whether no partition separates a node from a place."""
 
 
 @attrs.define(eq=False)
@@ -77,117 +83,126 @@
     action: StoreWatch
 
 
-class PlatformDesk:
-    """Carries the platform's calls out on its model."""
+class PlatformAdapter:
+    """Adapter that performs the nodes' calls on the platform model."""
 
-    def __init__(self, world: Surroundings, model: PlatformModel) -> None:
+    def __init__(self, world: Environment, model: PlatformModel) -> None:
         self._world = world
         self._model = model
         self._watches: list[_Watch] = []
 
-    def ask(self, instance_id: InstanceId, action: Action) -> None:
-        """Take a call of a list, an order or a usage report."""
-        self._world.later(
-            self._world.jittered(self._world.settings.store_delay_s),
-            lambda: self._platform_answers(instance_id, action),
+    def submit(self, instance_id: InstanceId, action: Action) -> None:
+        """Schedule a listing, a target order or a usage report."""
+        self._world.call_later(
+            self._world.add_jitter(self._world.settings.store_delay_s),
+            lambda: self._answer(instance_id, action),
         )
 
-    def _platform_answers(
-        self, instance_id: InstanceId, action: Action
-    ) -> None:
-        event = self._platform_event(instance_id, action)
+    def _answer(self, instance_id: InstanceId, action: Action) -> None:
+        event = self._perform(instance_id, action)
         self._world.send_later(
             instance_id, self._world.settings.store_delay_s, event
         )
 
-    def _platform_event(self, instance_id: InstanceId, action: Action) -> Event:
-        is_up = self._world.reaches(instance_id, PLATFORM)
-        is_up = is_up and not self._model.faults.outage
+    def _perform(self, instance_id: InstanceId, action: Action) -> Event:
+        is_available = self._world.reaches(instance_id, PLATFORM)
+        is_available = is_available and not self._model.faults.outage
         match action:
             case SendTargetOrder():
-                return self._order_targets(action, is_up=is_up)
+                return self._order_targets(action, is_available=is_available)
             case SubmitUsage():
-                return self._take_usage(action, is_up=is_up)
-        if not is_up:
-            return ListingFailed('the platform is out')
+                return self._report_usage(action, is_available=is_available)
+        if not is_available:
+            return ListingFailed('the platform is unavailable')
         if isinstance(action, ListTargets):
             targets = self._model.targets(self._world.now_s)
-            return TargetsListed(_structured(targets, Target))
+            return TargetsListed(_convert(targets, Target))
         instances = self._model.instances(self._world.now_s)
-        return InstancesListed(_structured(instances, Instance))
+        return InstancesListed(_convert(instances, Instance))
 
-    def _order_targets(self, action: SendTargetOrder, *, is_up: bool) -> Event:
+    def _order_targets(
+        self, action: SendTargetOrder, *, is_available: bool
+    ) -> Event:
         order = action.order
-        if not is_up or self._world.now_s >= action.not_after_s:
+        if not is_available or self._world.now_s >= action.not_after_s:
             return TargetOrderAnswered(order.order_id, OrderState.UNKNOWN)
-        raw = cattrs.structure(cattrs.unstructure(order), TargetOrder)
-        answer = self._model.order_targets(raw, self._world.now_s)
+        model_order = cattrs.structure(cattrs.unstructure(order), TargetOrder)
+        answer = self._model.order_targets(model_order, self._world.now_s)
         return TargetOrderAnswered(
             order.order_id, OrderState(answer.state), answer.cause
         )
 
-    def _take_usage(self, action: SubmitUsage, *, is_up: bool) -> Event:
+    def _report_usage(
+        self, action: SubmitUsage, *, is_available: bool
+    ) -> Event:
         window = action.window
-        if not is_up or self._world.now_s >= action.not_after_s:
+        if not is_available or self._world.now_s >= action.not_after_s:
             return UsageAnswered(window.window_id, None)
-        raw = cattrs.structure(
+        model_window = cattrs.structure(
             cattrs.unstructure(window), platform_models.UsageWindow
         )
         try:
-            self._model.report_usage(raw, self._world.now_s)
+            self._model.report_usage(model_window, self._world.now_s)
         except StandinError:
             return UsageAnswered(window.window_id, None)
         return UsageAnswered(window.window_id, accepted=True)
 
-    def ask_store(self, instance_id: InstanceId, action: Action) -> None:
-        """Take a call of the store."""
-        delay_s = self._world.jittered(self._world.settings.store_delay_s)
+    def submit_store_call(
+        self, instance_id: InstanceId, action: Action
+    ) -> None:
+        """Schedule a store call."""
+        delay_s = self._world.add_jitter(self._world.settings.store_delay_s)
         if isinstance(action, StoreWatch):
             end_s = self._world.now_s + action.wait_s
-            self._world.later(
-                delay_s, lambda: self._watch(instance_id, action, end_s)
+            self._world.call_later(
+                delay_s,
+                lambda: self._register_watch(instance_id, action, end_s),
             )
         else:
-            self._world.later(
-                delay_s, lambda: self._store_answers(instance_id, action)
+            self._world.call_later(
+                delay_s, lambda: self._perform_store_call(instance_id, action)
             )
 
-    def _store_answers(self, instance_id: InstanceId, action: Action) -> None:
+    def _perform_store_call(
+        self, instance_id: InstanceId, action: Action
+    ) -> None:
         if not self._world.reaches(instance_id, PLATFORM):
-            self._store_failed(instance_id, action)
+            self._fail_store_call(instance_id, action)
             return
         self._model.meter.count(type(action).__name__, self._world.now_s)
-        stored = perform_store(self._model, action, self._world.now_s)
-        self._store_answered(instance_id, action, stored)
+        result = perform_store(self._model, action, self._world.now_s)
+        self._deliver_store_result(instance_id, action, result)
 
-    def _store_failed(self, instance_id: InstanceId, action: Action) -> None:
-        failed = StoreFailed('the platform is cut off', may_have_happened=False)
-        self._store_answered(instance_id, action, failed)
+    def _fail_store_call(self, instance_id: InstanceId, action: Action) -> None:
+        failed = StoreFailed(
+            'the platform is unreachable', may_have_happened=False
+        )
+        self._deliver_store_result(instance_id, action, failed)
 
-    def _store_answered(
-        self, instance_id: InstanceId, action: Action, stored: StoreResult
+    def _deliver_store_result(
+        self, instance_id: InstanceId, action: Action, result: StoreResult
     ) -> None:
-        event = StoreAnswered(_operation_id(action), stored)
+        event = StoreAnswered(_operation_id(action), result)
         delay_s = self._world.settings.store_delay_s
         delay_s += self._model.faults.delay_s
         self._world.send_later(instance_id, delay_s, event)
-        self.tell_watches()
+        self.answer_watches()
 
-    def _watch(
+    def _register_watch(
         self, instance_id: InstanceId, action: StoreWatch, end_s: float
     ) -> None:
         if not self._world.reaches(instance_id, PLATFORM):
-            self._store_failed(instance_id, action)
+            self._fail_store_call(instance_id, action)
             return
         self._model.meter.count('StoreWatch', self._world.now_s)
         watch = _Watch(instance_id, action)
         self._watches.append(watch)
-        self._world.later(
+        self._world.call_later(
             max(0, end_s - self._world.now_s), lambda: self._end_watch(watch)
         )
-        self.tell_watches()
+        self.answer_watches()
 
-    def tell_watches(self) -> None:
+    def answer_watches(self) -> None:
         """Answer the watches whose keys have changed."""
         for watch in tuple(self._watches):
             if self._changes(watch).items:
@@ -198,10 +213,11 @@
             return
         self._watches.remove(watch)
         if not self._world.reaches(watch.instance_id, PLATFORM):
-            self._store_failed(watch.instance_id, watch.action)
+            self._fail_store_call(watch.instance_id, watch.action)
             return
         event = StoreAnswered(
-            watch.action.operation_id, listing(self._changes(watch))
+            watch.action.operation_id,
+            listing_from_changes(self._changes(watch)),
         )
         delay_s = self._world.settings.store_delay_s
         self._world.send_later(watch.instance_id, delay_s, event)
@@ -217,7 +233,7 @@
     return operation_id
 
 
-def _structured(
+def _convert(
     records: Iterable[Any], record_type: type[Record]
 ) -> tuple[Record, ...]:
     return tuple(
--- a/packages/standins/dandelionyoke_standins/_world_setup.py
+++ b/packages/standins/dandelionyoke_standins/_world_setup.py
@@ -1,4 +1,4 @@
-"""A deployment in virtual time: nodes, engines, a configuration."""
+"""Setup of a simulated deployment: nodes, targets and a configuration."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -22,17 +22,18 @@
 from dandelionyoke_standins._engine import EngineModel, EngineSettings
 from dandelionyoke_standins._plain import PlainModel
 from dandelionyoke_standins._targets import Target
-from dandelionyoke_standins._world import Handler, World
+from dandelionyoke_standins._world import NodeHandler, World
 from dandelionyoke_standins._world_store import perform_store
 from dandelionyoke_standins._world_targets import VirtualEngine
 
-# Two starts under one name are told apart by their second of start.
+# An incarnation tells the starts of one instance apart; real nodes use the
+# second of their start.
 FIRST_INCARNATION = 1_000
 
 
 @attrs.frozen
 class EngineGroup:
-    """Engines of one service; they are spread over the domains in turn."""
+    """Engines of one service, assigned to the domains in round-robin order."""
 
     service: str
     count: int
@@ -42,7 +43,7 @@
 
 @attrs.frozen
 class DeploymentPlan:
-    """What a virtual deployment consists of."""
+    """The domains, number of entries and targets of a deployment."""
 
     domains: Sequence[str] = ('kurasini', 'mikocheni', 'ubungo')
     entries: int = 6
@@ -53,25 +54,28 @@
 def deploy(
     world: World,
     plan: DeploymentPlan,
-    wrap: Callable[[Handler], Handler] | None = None,
+    wrap_node: Callable[[NodeHandler], NodeHandler] | None = None,
 ) -> tuple[InstanceId, ...]:
-    """Start all of a plan; return the entries' names.
+    """Start the targets and entries of a plan; return the instance IDs.
 
-    `wrap` may put something around each node, such as a meter.
+    `wrap_node` may wrap each node, for example in a meter.
     """
     targets: list[Target] = []
     for group in plan.engines:
         targets.extend(_add_engines(world, group, plan.domains))
     for service in plan.plain_services:
         address = f'plain://{service}'
-        world.plains[address] = PlainModel()
+        world.plain_services[address] = PlainModel()
         targets.append(
             Target(f'{service}-0', service, plan.domains[0], address, 'plain')
         )
     world.platform.replace_targets(targets, [])
     return tuple(
         add_entry(
-            world, number, plan.domains[number % len(plan.domains)], wrap=wrap
+            world,
+            number,
+            plan.domains[number % len(plan.domains)],
+            wrap_node=wrap_node,
         )
         for number in range(plan.entries)
     )
@@ -82,7 +86,7 @@
     number: int,
     domain: str,
     incarnation: int = FIRST_INCARNATION,
-    wrap: Callable[[Handler], Handler] | None = None,
+    wrap_node: Callable[[NodeHandler], NodeHandler] | None = None,
 ) -> InstanceId:
     """Start one entry."""
     instance_id = InstanceId(f'entry-{number:03}')
@@ -95,7 +99,7 @@
     seed = world.random.getrandbits(64)
     settings = NodeSettings(instance, incarnation)
     node = Node(settings, random.Random(seed))
-    world.add_node(instance, node if wrap is None else wrap(node))
+    world.add_node(instance, node if wrap_node is None else wrap_node(node))
     world.send(instance_id, Started(wall_s=0))
     return instance_id
 
@@ -103,18 +107,21 @@
 def commit(
     world: World, operations: Sequence[Operation], name: str = 'change'
 ) -> int:
-    """Commit a change at once; return its revision."""
+    """Commit a change without delay; return its revision.
+
+    Raises ValueError when the change is not committed.
+    """
     committer = Committer(
         Proposal(ChangeId(name), None, 'operator', name, 0, tuple(operations))
     )
-    waiting = list(committer.begin())
-    while waiting:
-        action = waiting.pop(0)
-        stored = perform_store(world.platform, action, world.now_s)
+    pending = list(committer.begin())
+    while pending:
+        action = pending.pop(0)
+        result = perform_store(world.platform, action, world.now_s)
         operation_id = action.operation_id  # type: ignore[attr-defined]
-        event = StoreAnswered(operation_id, stored)
-        waiting.extend(committer.handle(event, world.now_s))
-    world.tell_watches()
+        event = StoreAnswered(operation_id, result)
+        pending.extend(committer.handle(event, world.now_s))
+    world.answer_watches()
     outcome = committer.outcome
     if not isinstance(outcome, Committed):
         raise ValueError(f'{name} was not committed: {outcome!r}')
@@ -130,8 +137,8 @@
         domain = domains[number % len(domains)]
         address = f'engine://{target_id}'
         settings = attrs.evolve(group.settings, engine_id=target_id)
-        chance = random.Random(world.random.getrandbits(64))
-        model = EngineModel(settings, chance, world.now_s)
+        engine_random = random.Random(world.random.getrandbits(64))
+        model = EngineModel(settings, engine_random, world.now_s)
         world.add_engine(address, VirtualEngine(model), domain)
         targets.append(
             Target(
--- a/packages/standins/dandelionyoke_standins/_world_store.py
+++ b/packages/standins/dandelionyoke_standins/_world_store.py
@@ -1,4 +1,4 @@
-"""Store actions of a node, carried out on the platform's model."""
+"""Store actions of nodes, performed on the platform model."""
 
 from collections.abc import Callable
 from typing import Any
@@ -35,7 +35,7 @@
 def perform_store(
     platform: PlatformModel, action: Action, now_s: float
 ) -> StoreResult:
-    """Carry out a store action with the platform's faults of the moment."""
+    """Perform a store action, subject to the platform's current faults."""
     key = getattr(action, 'key', None)
     platform.store.expire(now_s)
     try:
@@ -43,27 +43,29 @@
     except StandinError as error:
         return StoreFailed(repr(error), may_have_happened=False)
     try:
-        stored = _stored(platform.store, action, now_s)
+        result = _perform(platform.store, action, now_s)
         if isinstance(action, StorePut | StoreDelete):
             platform.faults.after_write(key)
     except LostAnswerError:
         return StoreFailed('the answer was lost', may_have_happened=True)
     except StandinError as error:
-        return _refused(action, error)
-    return stored
+        return _failure_result(action, error)
+    return result
 
 
-def listing(changes: StoreChanges) -> StoreListing:
-    """Turn the model's changes into the core's record."""
-    return StoreListing(changes.revision, tuple(map(_item, changes.items)))
+def listing_from_changes(changes: StoreChanges) -> StoreListing:
+    """Convert the model's changes to the core's listing."""
+    return StoreListing(
+        changes.revision, tuple(map(_item_from_entry, changes.items))
+    )
 
 
-def _stored(store: StoreModel, action: Action, now_s: float) -> StoreResult:
-    carry_out = _CARRIERS[type(action)]
-    return carry_out(store, action, now_s)
+def _perform(store: StoreModel, action: Action, now_s: float) -> StoreResult:
+    perform = _PERFORMERS[type(action)]
+    return perform(store, action, now_s)
 
 
-def _refused(action: Action, error: StandinError) -> StoreResult:
+def _failure_result(action: Action, error: StandinError) -> StoreResult:
     if isinstance(error, ConflictError):
         return StoreConflict(StoreItem(**error.answer))
     if isinstance(error, MissingError) and isinstance(
@@ -74,7 +76,7 @@
 
 
 def _get(store: StoreModel, action: StoreGet, now_s: float) -> StoreResult:
-    return _item(store.read(action.key))
+    return _item_from_entry(store.read(action.key))
 
 
 def _put(store: StoreModel, action: StorePut, now_s: float) -> StoreResult:
@@ -92,7 +94,7 @@
 
 
 def _list(store: StoreModel, action: StoreList, now_s: float) -> StoreResult:
-    return listing(store.list_prefix(action.prefix))
+    return listing_from_changes(store.list_prefix(action.prefix))
 
 
 def _grant(store: StoreModel, action: LeaseGrant, now_s: float) -> StoreResult:
@@ -112,12 +114,12 @@
     return LeaseLapsed(action.lease_id)
 
 
-def _item(entry: StoreEntry) -> StoreItem:
+def _item_from_entry(entry: StoreEntry) -> StoreItem:
     return StoreItem(entry.key, entry.revision, entry.value)
 
 
-_Carrier = Callable[[StoreModel, Any, float], StoreResult]
-_CARRIERS: dict[type[Action], _Carrier] = {  # noqa: WPS407 - filled once
+_Performer = Callable[[StoreModel, Any, float], StoreResult]
+_PERFORMERS: dict[type[Action], _Performer] = {  # noqa: WPS407 - filled once
     StoreGet: _get,
     StorePut: _put,
     StoreDelete: _delete,
--- a/packages/standins/dandelionyoke_standins/_world_targets.py
+++ b/packages/standins/dandelionyoke_standins/_world_targets.py
@@ -1,4 +1,4 @@
-"""Targets in virtual time: engines and plain services behind addresses."""
+"""Actions for targets, performed on engine and plain service models."""
 
 import json
 from collections.abc import Mapping
@@ -47,7 +47,10 @@
 
 @attrs.define
 class _Stream:
-    """A node that reads an attempt: where its answers go and how far."""
+    """A node's stream of an attempt's output, and the offset it has read to.
+
+    `engine_attempt_id` differs from `attempt_id` when an attempt was resumed.
+    """
 
     node_id: str
     request_id: RequestId
@@ -58,14 +61,14 @@
 
 @attrs.frozen
 class Delivery:
-    """An event for a node."""
+    """An event to deliver to a node."""
 
     node_id: str
     event: Event
 
 
 class VirtualEngine:
-    """An engine model with the streams that nodes read from it."""
+    """An engine model and the output streams that nodes read from it."""
 
     def __init__(self, model: EngineModel) -> None:
         self.model = model
@@ -79,7 +82,7 @@
     def take(
         self, node_id: str, action: Action, now_s: float
     ) -> list[Delivery]:
-        """Take any engine action; give what its node gets at once."""
+        """Perform an engine action; return the immediate deliveries."""
         event: Event | None = None
         match action:
             case StartAttempt():
@@ -87,7 +90,7 @@
             case ResumeAttempt():
                 return self.resume(node_id, action, now_s)
             case CancelAttempt():
-                self.drop(node_id, action.attempt_id)
+                self.stop_reading(node_id, action.attempt_id)
                 self.cancel(action, now_s)
             case PollLoad():
                 event = self.report(action, now_s)
@@ -102,7 +105,7 @@
     def start(
         self, node_id: str, action: StartAttempt, now_s: float
     ) -> list[Delivery]:
-        """Take an attempt, or say why not."""
+        """Start an attempt; deliver that it was accepted, refused or failed."""
         ids = (action.request_id, action.attempt_id)
         if self.is_down:
             failed = AttemptFailed(*ids, sent=False, cause='engine down')
@@ -118,9 +121,9 @@
         try:
             self.model.generate(request, now_s)
         except (NotRunError, MissingError) as refusal:
-            refused = _refused(ids, refusal.answer)
+            refused = _refusal_event(ids, refusal.answer)
             return [Delivery(node_id, refused)]
-        self._follow(
+        self._open_stream(
             node_id, action, action.attempt_id, len(action.resume_tokens)
         )
         return [Delivery(node_id, AttemptAccepted(*ids))]
@@ -128,31 +131,31 @@
     def resume(
         self, node_id: str, action: ResumeAttempt, now_s: float
     ) -> list[Delivery]:
-        """Read on an attempt from an offset."""
+        """Resume reading an attempt's output at an offset."""
         ids = (action.request_id, action.attempt_id)
-        known = action.resumed_attempt_id
+        resumed_id = action.resumed_attempt_id
         if self.is_down:
             failed = AttemptFailed(*ids, sent=False, cause='engine down')
             return [Delivery(node_id, failed)]
         try:
-            self.model.output_from(known, action.offset)
+            self.model.output_from(resumed_id, action.offset)
         except MissingError:
             unknown = AttemptFailed(*ids, sent=True, cause='unknown_attempt')
             return [Delivery(node_id, unknown)]
-        self._follow(node_id, action, known, action.offset)
+        self._open_stream(node_id, action, resumed_id, action.offset)
         return [Delivery(node_id, AttemptAccepted(*ids))]
 
     def cancel(self, action: CancelAttempt, now_s: float) -> None:
-        """End an attempt."""
+        """Cancel an attempt."""
         if not self.is_down:
             self.model.cancel(action.attempt_id, now_s)
 
-    def drop(self, node_id: str, attempt_id: AttemptId) -> None:
-        """Stop reading; the engine does not notice."""
+    def stop_reading(self, node_id: str, attempt_id: AttemptId) -> None:
+        """Stop reading an attempt, which continues at the engine."""
         self._streams.pop((node_id, attempt_id), None)
 
     def report(self, action: PollLoad, now_s: float) -> Event:
-        """Answer a poll."""
+        """Return the answer to a load poll."""
         if self.is_down:
             return TargetUnreachable(action.target_id, 'engine down')
         report = attrs.asdict(self.model.load_report(now_s))
@@ -163,7 +166,7 @@
     def cache_events(
         self, action: PollCacheEvents, now_s: float
     ) -> Event | None:
-        """Answer a read of cache events; None when the engine is down."""
+        """Return the answer to a cache event poll; None when down."""
         if self.is_down:
             return None
         found = self.model.cache_events(action.after_sequence, now_s)
@@ -172,16 +175,16 @@
             found.first,
             found.next,
             tuple(
-                CacheEvent(one.sequence, one.kind == 'stored', one.block)
-                for one in found.events
+                CacheEvent(event.sequence, event.kind == 'stored', event.block)
+                for event in found.events
             ),
         )
 
     def order(self, action: SendEngineOrder, now_s: float) -> Event:
-        """Take an order."""
+        """Perform an order and return its state."""
         order = action.order
         if self.is_down:
-            return _order_unknown(action.target_id, order.order_id)
+            return _unknown_order_event(action.target_id, order.order_id)
         answer = self.model.order(
             EngineOrder(
                 order.order_id, order.fence, order.kind.value, order.argument
@@ -196,13 +199,13 @@
         )
 
     def read_order(self, action: ReadEngineOrder, now_s: float) -> Event:
-        """Tell what became of an order."""
+        """Return the state of an earlier order."""
         if self.is_down:
-            return _order_unknown(action.target_id, action.order_id)
+            return _unknown_order_event(action.target_id, action.order_id)
         try:
             answer = self.model.order_state(action.order_id, now_s)
         except MissingError:
-            return _order_unknown(action.target_id, action.order_id)
+            return _unknown_order_event(action.target_id, action.order_id)
         return EngineOrderAnswered(
             action.target_id,
             action.order_id,
@@ -211,17 +214,19 @@
         )
 
     def advance(self, now_s: float) -> list[Delivery]:
-        """Work until now; give what the streams' readers get."""
+        """Advance the engine to now; return the deliveries to readers."""
         self.model.advance(now_s)
         deliveries: list[Delivery] = []
         for key, stream in tuple(self._streams.items()):
-            events = self._read(stream)
-            deliveries.extend(Delivery(stream.node_id, one) for one in events)
+            events = self._read_stream(stream)
+            deliveries.extend(
+                Delivery(stream.node_id, event) for event in events
+            )
             if events and not isinstance(events[-1], TokensArrived):
                 self._streams.pop(key)
         return deliveries
 
-    def _read(self, stream: _Stream) -> list[Event]:
+    def _read_stream(self, stream: _Stream) -> list[Event]:
         ids = (stream.request_id, stream.attempt_id)
         if self.is_down:
             return [AttemptFailed(*ids, sent=True, cause='connection reset')]
@@ -233,10 +238,10 @@
             events.append(TokensArrived(*ids, stream.offset, output.tokens))
             stream.offset += len(output.tokens)
         if output.end is not None:
-            events.append(self._end(stream, output))
+            events.append(self._end_event(stream, output))
         return events
 
-    def _end(self, stream: _Stream, output: Output) -> Event:
+    def _end_event(self, stream: _Stream, output: Output) -> Event:
         ids = (stream.request_id, stream.attempt_id)
         end = output.end
         if end is None or end.reason == 'error':
@@ -251,7 +256,7 @@
             record.cached_tokens,
         )
 
-    def _follow(
+    def _open_stream(
         self,
         node_id: str,
         action: StartAttempt | ResumeAttempt,
@@ -267,10 +272,10 @@
         )
 
 
-def take_plain(
+def perform_plain(
     model: PlainModel, node_id: str, action: Action, now_s: float
 ) -> list[Delivery]:
-    """Take an action for a plain service; give what its node gets."""
+    """Perform an action at a plain service; return the deliveries."""
     event: Event | None = None
     match action:
         case CallService():
@@ -284,7 +289,7 @@
 def _call_plain(
     model: PlainModel, action: CallService, now_s: float
 ) -> Event | None:
-    """Run a call; None when the service stays silent."""
+    """Run a call; return None when the service does not respond."""
     ids = (action.request_id, action.attempt_id)
     if model.faults.refuse:
         return AttemptRefused(*ids, model.faults.refuse)
@@ -308,8 +313,8 @@
     return ServiceAnswered(*ids, HTTP_OK, JSON_TYPE, body)
 
 
-def unreachable(action: Action) -> Event | None:
-    """What a node is told when nothing answers at an address."""
+def unreachable_event(action: Action) -> Event | None:
+    """Return the event for an action at an unreachable address, if any."""
     match action:
         case StartAttempt() | ResumeAttempt() | CallService():
             return AttemptFailed(
@@ -321,13 +326,13 @@
         case PollLoad():
             return TargetUnreachable(action.target_id, 'no connection')
         case SendEngineOrder():
-            return _order_unknown(action.target_id, action.order.order_id)
+            return _unknown_order_event(action.target_id, action.order.order_id)
         case ReadEngineOrder():
-            return _order_unknown(action.target_id, action.order_id)
+            return _unknown_order_event(action.target_id, action.order_id)
     return None
 
 
-def _refused(
+def _refusal_event(
     ids: tuple[RequestId, AttemptId], answer: Mapping[str, Any]
 ) -> Event:
     cause = str(answer.get('cause', ''))
@@ -336,7 +341,7 @@
     return AttemptRefused(*ids, cause, answer.get('retry_after_s'))
 
 
-def _order_unknown(target_id: Any, order_id: Any) -> Event:
+def _unknown_order_event(target_id: Any, order_id: Any) -> Event:
     return EngineOrderAnswered(
         target_id, order_id, OrderState.UNKNOWN, 'no answer'
     )
