--- a/packages/standins/dandelionyoke_standins/_spread.py
+++ b/packages/standins/dandelionyoke_standins/_spread.py
@@ -1,8 +1,8 @@
-"""Measures how fast news spreads among many nodes, and what that costs.
+"""Propagation times of changes among many nodes, and their cost.
 
-Run as `python -m dandelionyoke_standins._spread [nodes ...]`. Everything is
-in virtual time and follows from the seeds, but for the handling time, which
-is this thread's processor time in the node and in the codec.
+Run as `python -m dandelionyoke_standins._spread [nodes ...]`. All figures are
+in virtual time and determined by the seeds, except for the core shares, which
+are this thread's processor time in the node and in the codec.
 """
 
 import random as random_module
@@ -37,49 +37,53 @@
 from dandelionyoke_standins._spread_store import VirtualStore
 from dandelionyoke_standins._spread_world import World
 
-SIZES = (8, 64, 410)
+NODE_COUNTS = (8, 64, 410)
 CHANGES_PER_DAY = 5200
 DAY_S = 86_400.0
-ORGANISATIONS = 720
-KEYS_EACH = 2
-MODELS = 13
+ORGANISATION_COUNT = 720
+KEYS_PER_ORGANISATION = 2
+MODEL_COUNT = 13
 WARM_UP_S = 40.0
-STEADY_S = 120.0
+STEADY_DURATION_S = 120.0
 PAUSE_S = 20.0
-LONG_CUT_S = 3600.0
-# An hour of this many nodes' heartbeats would take most of an hour.
-LONG_CUT_NODES = 64
-SHORT_CUT_S = 300.0
+LONG_PARTITION_S = 3600.0
+# With more nodes, simulating an hour of heartbeats takes most of an hour.
+MAX_LONG_PARTITION_NODES = 64
+SHORT_PARTITION_S = 300.0
 PLATFORM = 'platform'
 
-Report = Callable[[str], object]
+ReportLine = Callable[[str], object]
 
 
 @attrs.frozen
 class SpreadSettings:
-    """What is measured, and how often."""
+    """Numbers of nodes to measure, and of repetitions."""
 
-    sizes: tuple[int, ...] = SIZES
+    node_counts: tuple[int, ...] = NODE_COUNTS
     changes: int = 30
     faults: int = 5
     seeds: tuple[int, ...] = (1, 2, 3)
 
 
-def domains_of(nodes: int) -> tuple[tuple[str, int], ...]:
-    """Share nodes out to domains: three for today's size, else six."""
+def distribute_nodes(nodes: int) -> tuple[tuple[str, int], ...]:
+    """Distribute nodes to domains: three below 16 nodes, otherwise six.
+
+    Below 16 nodes it is the current deployment.
+    """
     names = (
         ('n1', 'n2', 's1')
         if nodes < 16
         else ('n1', 'n2', 'n3', 's1', 's2', 's3')
     )
-    each, left = divmod(nodes, len(names))
+    per_domain, remainder = divmod(nodes, len(names))
     return tuple(
-        (name, each + (place < left)) for place, name in enumerate(names)
+        (name, per_domain + (index < remainder))
+        for index, name in enumerate(names)
     )
 
 
 def commit(store: VirtualStore, operations: Iterable[Operation]) -> None:
-    """Commit a change as the operator's command does, at once."""
+    """Commit a change as the operator's command does, without delay."""
     committer = Committer(
         Proposal(
             change_id=ChangeId(f'change-{store.revision}'),
@@ -102,80 +106,96 @@
         raise RuntimeError(f'not committed: {outcome}')
 
 
-def target_configuration() -> tuple[Operation, ...]:
-    """Make a configuration of the size that the system is meant for."""
+def full_size_configuration() -> tuple[Operation, ...]:
+    """Make a configuration of the largest size that the system is built for."""
     operations: list[Operation] = [Put(Service(ServiceName('chat')))]
     operations.extend(
         Put(Model(ModelName(f'model-{number}'), ServiceName('chat')))
-        for number in range(MODELS)
+        for number in range(MODEL_COUNT)
     )
-    for number in range(ORGANISATIONS):
-        name = OrganisationId(f'organisation-{number}')
-        operations.append(Put(Organisation(name)))
+    for number in range(ORGANISATION_COUNT):
+        organisation_id = OrganisationId(f'organisation-{number}')
+        operations.append(Put(Organisation(organisation_id)))
         operations.extend(
-            Put(ApiKey(hash_key(f'{number}/{key}'), name, 'issued'))
-            for key in range(KEYS_EACH)
+            Put(ApiKey(hash_key(f'{number}/{key}'), organisation_id, 'issued'))
+            for key in range(KEYS_PER_ORGANISATION)
         )
     return tuple(operations)
 
 
-def small_change(number: int) -> tuple[Operation, ...]:
-    """Issue one key."""
-    owner = OrganisationId(f'organisation-{number % ORGANISATIONS}')
+def issue_key(number: int) -> tuple[Operation, ...]:
+    """Return the change that issues one key."""
+    owner = OrganisationId(f'organisation-{number % ORGANISATION_COUNT}')
     return (Put(ApiKey(hash_key(f'new {number}'), owner, 'night shift')),)
 
 
 class SpreadRun:
-    """One world of a size and a seed, and what is measured in it."""
+    """One simulation with a number of nodes and a seed, and its measures."""
 
     def __init__(self, nodes: int, seed: int, settings: SpreadSettings) -> None:
         self._settings = settings
         self._random = random_module.Random(seed)
-        self._world = World(seed, WorldSettings(domains_of(nodes)))
-        self._number = 0
-        commit(self._world.store, target_configuration())
+        self._world = World(seed, WorldSettings(distribute_nodes(nodes)))
+        self._change_number = 0
+        commit(self._world.store, full_size_configuration())
         for _ in range(2):
             self._commit()
         self._world.run(WARM_UP_S)
 
-    def steady(self) -> dict[str, float]:
-        """Measure the cost at the target's rate of changes."""
+    def measure_steady_cost(self) -> dict[str, float]:
+        """Measure the cost at `CHANGES_PER_DAY`."""
         world = self._world
         nodes = world.live_nodes()
-        _reset(world)
-        begun_s = world.now_s
+        _reset_counters(world)
+        started_s = world.now_s
         ages: list[float] = []
-        while world.now_s - begun_s < STEADY_S:
+        while world.now_s - started_s < STEADY_DURATION_S:
             pause_s = self._random.expovariate(CHANGES_PER_DAY / DAY_S)
-            world.run(min(pause_s, STEADY_S))
+            world.run(min(pause_s, STEADY_DURATION_S))
             self._commit()
-            ages.extend(_ages(world))
-        per = len(nodes) * (world.now_s - begun_s)
+            ages.extend(_knowledge_ages(world))
+        node_seconds = len(nodes) * (world.now_s - started_s)
         return {
-            'messages_per_node_s': sum(n.sent.total() for n in nodes) / per,
+            'messages_per_node_s': sum(
+                live_node.sent.total() for live_node in nodes
+            )
+            / node_seconds,
             'sent_bytes_per_node_s': (
-                sum(n.sent_bytes.total() for n in nodes) / per
+                sum(live_node.sent_bytes.total() for live_node in nodes)
+                / node_seconds
             ),
-            'handling_core_share': sum(n.handling_s for n in nodes) / per,
-            'coding_core_share': sum(n.coding_s for n in nodes) / per,
+            'handling_core_share': sum(
+                live_node.handling_time_s for live_node in nodes
+            )
+            / node_seconds,
+            'coding_core_share': sum(
+                live_node.codec_time_s for live_node in nodes
+            )
+            / node_seconds,
             'store_calls_per_s': (
-                world.store.calls.total() / (world.now_s - begun_s)
+                world.store.calls.total() / (world.now_s - started_s)
             ),
             'age_p50_s': _quantile(ages, 0.5),
             'age_max_s': max(ages),
-            'links_max': max(len(n.membership.linked) for n in nodes),
+            'links_max': max(
+                len(live_node.membership.linked) for live_node in nodes
+            ),
         }
 
-    def in_force(self) -> list[float]:
-        """Take the times to in force, node by node, without a fault."""
+    def activation_times(self) -> list[float]:
+        """Return the times until changes are in force on each node."""
         times: list[float] = []
         for _ in range(self._settings.changes):
-            times.extend(self._spread_one())
+            times.extend(self._time_one_change())
             self._world.run(self._random.uniform(0, 4))
         return times
 
-    def in_force_under_faults(self) -> list[float]:
-        """Take them with a paused, a killed and a cut-off part each time."""
+    def activation_times_under_faults(self) -> list[float]:
+        """Return these times under faults.
+
+        During each change, one node is paused, one is killed, and one domain
+        cannot reach the platform.
+        """
         world = self._world
         times: list[float] = []
         for number in range(self._settings.faults):
@@ -185,81 +205,92 @@
             world.kill(second)
             world.cut(domain, PLATFORM)
             world.run(self._random.uniform(0, 5))
-            times.extend(self._spread_one())
+            times.extend(self._time_one_change())
             world.heal()
             world.start(f'new-{number}', second.instance.domain)
             world.run(WARM_UP_S)
         return times
 
-    def store_is_out(self) -> list[float]:
-        """Take the times from the end of an outage with a change after it."""
+    def activation_times_after_outage(self) -> list[float]:
+        """Return these times for a change right after a store outage."""
         world = self._world
         world.store.is_out = True
         world.run(60)
         world.store.is_out = False
-        return self._spread_one()
+        return self._time_one_change()
 
-    def detection(self) -> list[float]:
-        """Take the times until all have missed a killed instance."""
+    def detection_times(self) -> list[float]:
+        """Return the times until no node lists a killed instance as live."""
         world = self._world
         times: list[float] = []
         for number in range(self._settings.faults):
-            gone = self._random.choice(world.live_nodes())
-            world.kill(gone)
-            is_missed = partial(_is_missed, world, gone.instance.instance_id)
-            times.append(world.run_until(is_missed, 60))
-            world.start(f'again-{number}', gone.instance.domain)
+            killed = self._random.choice(world.live_nodes())
+            world.kill(killed)
+            is_detected = partial(
+                _is_detected_by_all, world, killed.instance.instance_id
+            )
+            times.append(world.run_until(is_detected, 60))
+            world.start(f'again-{number}', killed.instance.domain)
             world.run(WARM_UP_S)
         return times
 
-    def pauses(self) -> dict[str, float]:
-        """Pause one instance at a time for 20 s."""
+    def measure_pauses(self) -> dict[str, float]:
+        """Pause one instance at a time for 20 s.
+
+        Measures how long it takes until all nodes list each other as live
+        again, and how often nodes dropped an instance other than the paused
+        one.
+        """
         world = self._world
-        returns: list[float] = []
-        others = 0
+        return_times: list[float] = []
+        false_drops = 0
         for _ in range(self._settings.faults):
             node = self._random.choice(world.live_nodes())
-            name = node.instance.instance_id
-            before = len(world.live_nodes())
-            _reset(world)
+            instance_id = node.instance.instance_id
+            node_count = len(world.live_nodes())
+            _reset_counters(world)
             world.pause(node, PAUSE_S)
             world.run(PAUSE_S)
-            returns.append(world.run_until(partial(_sees_all, world), 60))
-            others += _losses(world, name, before)
+            return_times.append(
+                world.run_until(partial(_all_see_all, world), 60)
+            )
+            false_drops += _count_false_drops(world, instance_id, node_count)
             world.run(WARM_UP_S)
         return {
-            'return_max_s': max(returns),
-            'others_dropped': others,
+            'return_max_s': max(return_times),
+            'others_dropped': false_drops,
         }
 
-    def regions(self, cut_s: float) -> dict[str, float]:
-        """Cut the regions apart, and take how they find together again."""
+    def measure_region_partition(self, cut_s: float) -> dict[str, float]:
+        """Partition the two regions and measure the recovery."""
         world = self._world
-        names = {node.instance.domain for node in world.live_nodes()}
-        for north in names:
-            for south in names:
+        domains = {node.instance.domain for node in world.live_nodes()}
+        for north in domains:
+            for south in domains:
                 if north.startswith('n') and south.startswith('s'):
                     world.cut(north, south)
         world.run(cut_s)
-        apart = max(len(n.membership.live) for n in world.live_nodes())
-        _reset(world)
+        largest_view = max(
+            len(live_node.membership.live) for live_node in world.live_nodes()
+        )
+        _reset_counters(world)
         world.heal()
-        took_s = world.run_until(lambda: _sees_all(world), 300)
+        took_s = world.run_until(lambda: _all_see_all(world), 300)
         nodes = world.live_nodes()
         sent = [node.sent_bytes.total() for node in nodes]
         return {
             'cut_s': cut_s,
-            'live_in_larger_half': apart,
+            'live_in_larger_half': largest_view,
             'recovered_s': took_s,
             'bytes_per_node': sum(sent) / len(sent),
             'bytes_max': max(sent),
         }
 
-    def record_cost(self, everywhere: bool) -> dict[str, float]:
-        """Share one record and take what that costs."""
+    def measure_record_cost(self, everywhere: bool) -> dict[str, float]:
+        """Share one record and measure the messages and bytes per node."""
         world = self._world
         world.run(1)
-        _reset(world)
+        _reset_counters(world)
         record = SharedRecord(f'probe/{everywhere}', 1, lifetime_s=60)
         sender = world.live_nodes()[0]
         world.give(sender, ShareRecord(record, everywhere))
@@ -272,79 +303,90 @@
         ]
         kind = 'RecordBatch'
         return {
-            'sends_per_node': sum(n.sent[kind] for n in reached) / len(reached),
+            'sends_per_node': sum(live_node.sent[kind] for live_node in reached)
+            / len(reached),
             'bytes_per_node': (
-                sum(n.sent_bytes[kind] for n in reached) / len(reached)
+                sum(live_node.sent_bytes[kind] for live_node in reached)
+                / len(reached)
             ),
         }
 
     def _commit(self) -> None:
-        self._number += 1
-        commit(self._world.store, small_change(self._number))
+        self._change_number += 1
+        commit(self._world.store, issue_key(self._change_number))
 
-    def _spread_one(self) -> list[float]:
+    def _time_one_change(self) -> list[float]:
         world = self._world
         self._commit()
-        begun_s = world.now_s
+        started_s = world.now_s
         revision = max(node.revision for node in world.live_nodes()) + 1
-        waiting = {
+        pending = {
             node.instance.instance_id: node
             for node in world.live_nodes()
             if not node.is_paused
         }
-        world.run_until(lambda: _all_at(waiting.values(), revision), 120)
+        world.run_until(
+            lambda: _all_have_revision(pending.values(), revision), 120
+        )
         return [
-            _first_at(node, revision) - begun_s for node in waiting.values()
+            _activation_time_s(node, revision) - started_s
+            for node in pending.values()
         ]
 
 
-def measure_spread(settings: SpreadSettings, report: Report) -> None:
-    """Measure all sizes, and report one line for each figure."""
-    for nodes in settings.sizes:
-        _measure_size(nodes, settings, report)
+def measure_spread(settings: SpreadSettings, report: ReportLine) -> None:
+    """Measure all numbers of nodes; report one line per group of figures."""
+    for nodes in settings.node_counts:
+        _measure_node_count(nodes, settings, report)
 
 
-def _measure_size(nodes: int, settings: SpreadSettings, report: Report) -> None:
+def _measure_node_count(
+    nodes: int, settings: SpreadSettings, report: ReportLine
+) -> None:
     in_force: list[float] = []
     under_faults: list[float] = []
     after_outage: list[float] = []
-    detection: list[float] = []
+    detection_times: list[float] = []
     for seed in settings.seeds:
         run = SpreadRun(nodes, seed, settings)
-        in_force.extend(run.in_force())
-        under_faults.extend(run.in_force_under_faults())
-        after_outage.extend(run.store_is_out())
-        detection.extend(run.detection())
+        in_force.extend(run.activation_times())
+        under_faults.extend(run.activation_times_under_faults())
+        after_outage.extend(run.activation_times_after_outage())
+        detection_times.extend(run.detection_times())
     run = SpreadRun(nodes, 0, settings)
-    cut_s = LONG_CUT_S if nodes <= LONG_CUT_NODES else SHORT_CUT_S
+    cut_s = (
+        LONG_PARTITION_S
+        if nodes <= MAX_LONG_PARTITION_NODES
+        else SHORT_PARTITION_S
+    )
     for name, figures in (
-        ('steady', run.steady()),
+        ('steady', run.measure_steady_cost()),
         ('in force', _distribution(in_force)),
         ('in force under faults', _distribution(under_faults)),
         ('in force after an outage', _distribution(after_outage)),
-        ('dead instance missed', _distribution(detection)),
-        ('record everywhere', run.record_cost(everywhere=True)),
-        ('record in domain', run.record_cost(everywhere=False)),
-        ('paused for 20 s', run.pauses()),
-        ('regions apart', run.regions(cut_s)),
+        ('dead instance missed', _distribution(detection_times)),
+        ('record everywhere', run.measure_record_cost(everywhere=True)),
+        ('record in domain', run.measure_record_cost(everywhere=False)),
+        ('paused for 20 s', run.measure_pauses()),
+        ('regions apart', run.measure_region_partition(cut_s)),
     ):
-        told = ' '.join(
+        formatted = ' '.join(
             f'{key}={amount:.4g}' for key, amount in figures.items()
         )
-        report(f'{nodes} nodes, {name}: {told}')
+        report(f'{nodes} nodes, {name}: {formatted}')
 
 
-def _reset(world: World) -> None:
+def _reset_counters(world: World) -> None:
     world.store.calls.clear()
     for node in world.nodes.values():
         node.sent.clear()
         node.sent_bytes.clear()
-        node.handling_s = 0
-        node.coding_s = 0
+        node.handling_time_s = 0
+        node.codec_time_s = 0
         node.recorder.peers.clear()
 
 
-def _ages(world: World) -> list[float]:
+def _knowledge_ages(world: World) -> list[float]:
     ages = (
         node.configuration.knowledge_age_s(world.now_s)
         for node in world.live_nodes()
@@ -352,33 +394,39 @@
     return [age_s for age_s in ages if age_s is not None]
 
 
-def _all_at(nodes: Iterable[VirtualNode], revision: int) -> bool:
+def _all_have_revision(nodes: Iterable[VirtualNode], revision: int) -> bool:
     return all(node.revision >= revision for node in nodes)
 
 
-def _first_at(node: VirtualNode, revision: int) -> float:
+def _activation_time_s(node: VirtualNode, revision: int) -> float:
     return next(
-        (at_s for at_s, at in node.recorder.in_force if at >= revision),
+        (
+            at_s
+            for at_s, active_revision in node.recorder.in_force
+            if active_revision >= revision
+        ),
         float('inf'),
     )
 
 
-def _is_missed(world: World, name: InstanceId) -> bool:
-    return all(name not in node.membership.live for node in world.live_nodes())
+def _is_detected_by_all(world: World, instance_id: InstanceId) -> bool:
+    return all(
+        instance_id not in node.membership.live for node in world.live_nodes()
+    )
 
 
-def _sees_all(world: World) -> bool:
+def _all_see_all(world: World) -> bool:
     nodes = world.live_nodes()
     return all(len(node.membership.live) == len(nodes) for node in nodes)
 
 
-def _losses(world: World, name: str, count: int) -> int:
-    """Count the times that a node dropped another than the paused one."""
+def _count_false_drops(world: World, paused_id: str, node_count: int) -> int:
+    """Count how often nodes dropped an instance other than the paused one."""
     return sum(
         1
         for node in world.live_nodes()
         for _, known in node.recorder.peers
-        if len(known.live) < count - (name not in known.live)
+        if len(known.live) < node_count - (paused_id not in known.live)
     )
 
 
@@ -397,10 +445,10 @@
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Measure the sizes that are named, or all."""
-    sizes = tuple(int(argument) for argument in arguments) or SIZES
+    """Measure the given numbers of nodes, or the default ones."""
+    node_counts = tuple(int(argument) for argument in arguments) or NODE_COUNTS
     measure_spread(
-        SpreadSettings(sizes=sizes),
+        SpreadSettings(node_counts=node_counts),
         lambda line: sys.stdout.write(f'{line}\n') and sys.stdout.flush(),
     )
 
--- a/packages/standins/dandelionyoke_standins/_spread_node.py
+++ b/packages/standins/dandelionyoke_standins/_spread_node.py
@@ -1,4 +1,4 @@
-"""One node's membership and configuration, and what they cost."""
+"""A simulated node of membership and configuration that counts its costs."""
 
 import random as random_module
 import time
@@ -30,8 +30,11 @@
 )
 
 
-class Recorder:
-    """Remembers what a node's parts told each other, and when."""
+class EventRecorder:
+    """Recorder of the events that the parts of a node send each other.
+
+    Configurations in force, withdrawn keys and peers have the time in seconds.
+    """
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         ConfigurationInForce,
@@ -47,7 +50,7 @@
         self.learned: list[RecordLearned] = []
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
-        """Remember a notice."""
+        """Record an event."""
         match event:
             case ConfigurationInForce(snapshot=snapshot):
                 self.in_force.append((now_s, snapshot.revision))
@@ -60,11 +63,11 @@
         return []
 
     def next_wakeup_s(self) -> float | None:
-        """Tell that it is never woken."""
+        """Return None: the recorder needs no wakeup."""
 
 
 class VirtualNode:
-    """One node and what it cost so far."""
+    """One node with its state in the simulation and its costs so far."""
 
     def __init__(
         self,
@@ -85,15 +88,15 @@
             instance.instance_id,
             instance.domain,
         )
-        self.recorder = Recorder()
+        self.recorder = EventRecorder()
         self.logs: list[WriteLog] = []
         self.is_alive = True
         self.is_paused = False
-        self.backlog: list[Event] = []
-        self.waiting: list[Callable[[], object]] = []
-        self.wakeup_s: float | None = None
-        self.handling_s = 0.0
-        self.coding_s = 0.0
+        self.pending_events: list[Event] = []
+        self.pending_callbacks: list[Callable[[], object]] = []
+        self.scheduled_wakeup_s: float | None = None
+        self.handling_time_s = 0.0
+        self.codec_time_s = 0.0
         self.sent: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
         self._composition = Composition(
@@ -102,40 +105,45 @@
 
     @property
     def revision(self) -> int:
-        """The revision in force."""
+        """Configuration revision in force."""
         return self.configuration.snapshot.revision
 
     def handle(self, event: Event, now_s: float) -> list[Action]:
-        """Take an event, and count what it costs."""
-        begun_s = time.thread_time()
+        """Handle an event and add the processor time."""
+        started_s = time.thread_time()
         actions = self._composition.handle(event, now_s)
-        self.handling_s += time.thread_time() - begun_s
+        self.handling_time_s += time.thread_time() - started_s
         return actions
 
-    def code(self, message: PeerMessage) -> PeerMessage:
-        """Write a message as on the wire, and read it back.
+    def encode_and_decode(self, message: PeerMessage) -> PeerMessage:
+        """Encode a message as on the wire, and decode it again.
 
-        The reader's time is counted here too; over all nodes it evens out.
+        The sender is charged for the receiver's decoding too; the average
+        over all nodes is the same.
         """
-        begun_s = time.thread_time()
+        started_s = time.thread_time()
         frame = cbor2.dumps(message_to_mapping(message))
-        read = message_from_mapping(cbor2.loads(frame))
-        self.coding_s += time.thread_time() - begun_s
+        decoded = message_from_mapping(cbor2.loads(frame))
+        self.codec_time_s += time.thread_time() - started_s
         self.sent_bytes[type(message).__name__] += len(frame)
-        return read
+        return decoded
 
     def next_wakeup_s(self) -> float | None:
-        """Tell when the node has to be woken."""
+        """Return when the node has to be woken, or None."""
         return self._composition.next_wakeup_s()
 
 
 @attrs.frozen
 class WorldSettings:
-    """What a world consists of."""
+    """The domains, their numbers of nodes, and the settings of the nodes.
+
+    `listing_lag_s` is the delay until the platform lists a started instance
+    or drops a killed one.
+    """
 
     domains: tuple[tuple[str, int], ...]
     listing_lag_s: float = 30.0
-    checks_codec: bool = True
+    uses_codec: bool = True
     membership: MembershipSettings = attrs.field(factory=MembershipSettings)
     configuration: ConfigurationSettings = attrs.field(
         factory=ConfigurationSettings
