--- a/packages/standins/dandelionyoke_standins/_meter.py
+++ b/packages/standins/dandelionyoke_standins/_meter.py
@@ -1,4 +1,4 @@
-"""Counts of calls per kind, their highest per second, and rate limits."""
+"""Call counts per kind, their highest rate per second, and rate limits."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -8,8 +8,8 @@
 
 from dandelionyoke_standins._errors import RateLimitError
 
-# The kinds that the store's limits count together.
-KIND_GROUPS = MappingProxyType(
+# The group of each kind of store call; the store's limits apply to groups.
+GROUP_OF_KIND = MappingProxyType(
     {
         'read': 'store_reads',
         'list': 'store_reads',
@@ -22,45 +22,50 @@
 
 @attrs.frozen
 class CallCounts:
-    """What was called since the start, per kind and group of kinds."""
+    """Calls since the start, per kind and group of kinds."""
 
     calls: dict[str, int]
     highest_per_s: dict[str, int]
 
 
 class CallMeter:
-    """Counts calls in whole seconds of the time passed in."""
+    """Call counter that limits groups of kinds per whole second."""
 
     def __init__(self, limits_per_s: Mapping[str, int] | None = None) -> None:
         self._limits_per_s = dict(limits_per_s or {})
         self._calls: Counter[str] = Counter()
-        self._highest: Counter[str] = Counter()
-        self._this_second: Counter[str] = Counter()
-        self._second = 0
+        self._highest_per_s: Counter[str] = Counter()
+        self._second_counts: Counter[str] = Counter()
+        self._current_second = 0
 
     def count(self, kind: str, now_s: float) -> None:
-        """Count a call; refuse it when this second holds too many."""
-        if int(now_s) != self._second:
-            self._second = int(now_s)
-            self._this_second.clear()
+        """Count a call.
+
+        Raises RateLimitError when its group is over its limit in this second.
+        """
+        if int(now_s) != self._current_second:
+            self._current_second = int(now_s)
+            self._second_counts.clear()
         self._count(kind)
-        group = KIND_GROUPS.get(kind)
+        group = GROUP_OF_KIND.get(kind)
         if group is not None:
             self._count(group)
-            self._check(group)
+            self._enforce_limit(group)
 
     @property
     def counts(self) -> CallCounts:
         """The counts up to now."""
-        return CallCounts(dict(self._calls), dict(self._highest))
+        return CallCounts(dict(self._calls), dict(self._highest_per_s))
 
     def _count(self, name: str) -> None:
         self._calls[name] += 1
-        self._this_second[name] += 1
-        seen = self._this_second[name]
-        self._highest[name] = max(self._highest[name], seen)
+        self._second_counts[name] += 1
+        calls_this_second = self._second_counts[name]
+        self._highest_per_s[name] = max(
+            self._highest_per_s[name], calls_this_second
+        )
 
-    def _check(self, group: str) -> None:
+    def _enforce_limit(self, group: str) -> None:
         limit = self._limits_per_s.get(group)
-        if limit is not None and self._this_second[group] > limit:
+        if limit is not None and self._second_counts[group] > limit:
             raise RateLimitError(cause='rate', limit_per_s=limit)
