--- a/packages/standins/dandelionyoke_standins/_policy_caller.py
+++ b/packages/standins/dandelionyoke_standins/_policy_caller.py
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class CallArrived(Event):
-    """Reports that a call arrived at this node."""
+    """Arrival of a call at this node."""
 
     call: Call
 
 
 @attrs.frozen
 class StartEngineAttempt(Action):
-    """Starts an attempt at a target for the output that is still missing.
+    """Request to start an attempt at a target for the missing output.
 
     `generated_tokens` is the output of earlier attempts.
     """
@@ -70,7 +70,7 @@
 
 
 class CallPart:
-    """Admits and routes calls, retries attempts and records the outcomes."""
+    """Node part that admits and routes calls, and records their outcomes."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         CallArrived,
--- a/packages/standins/dandelionyoke_standins/_policy_clock.py
+++ b/packages/standins/dandelionyoke_standins/_policy_clock.py
@@ -6,7 +6,7 @@
 
 
 class VirtualClock:
-    """Runs callbacks in order of time and advances the time to each one.
+    """Scheduler that runs callbacks and advances the time to each one.
 
     Callbacks of the same time run in the order in which they were scheduled.
     """
--- a/packages/standins/dandelionyoke_standins/_policy_ledger.py
+++ b/packages/standins/dandelionyoke_standins/_policy_ledger.py
@@ -50,7 +50,7 @@
 
 
 class Ledger:
-    """Collects the outcomes of all calls of a run."""
+    """The outcomes of all calls of a run."""
 
     def __init__(self) -> None:
         self.outcomes: dict[RequestId, CallOutcome] = {}
--- a/packages/standins/dandelionyoke_standins/_policy_measure.py
+++ b/packages/standins/dandelionyoke_standins/_policy_measure.py
@@ -1,4 +1,4 @@
-"""Compares the system's policy with a naive baseline in virtual time."""
+"""Comparison of the system's policy with a naive baseline, in virtual time."""
 
 import sys
 import time
--- a/packages/standins/dandelionyoke_standins/_policy_naive.py
+++ b/packages/standins/dandelionyoke_standins/_policy_naive.py
@@ -40,7 +40,7 @@
 
 
 class NaiveRouter:
-    """Chooses the target with the fewest calls in its last report."""
+    """Router that chooses the target with the fewest reported calls."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
@@ -144,7 +144,7 @@
 
 
 class NaiveAdmitter:
-    """Admits calls first come, first served, without regard to organisations.
+    """First come, first served admission without regard to organisations.
 
     Each entry uses an equal part of the slots.
     """
--- a/packages/standins/dandelionyoke_standins/_policy_nodes.py
+++ b/packages/standins/dandelionyoke_standins/_policy_nodes.py
@@ -32,7 +32,9 @@
 
 
 class Network:
-    """Delivers events and records between domains that are not isolated."""
+    """Delivery of events and records between domains.
+
+    Isolated domains reach no other domain."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self.isolated_domains: frozenset[Domain] = frozenset()
--- a/packages/standins/dandelionyoke_standins/_policy_orders.py
+++ b/packages/standins/dandelionyoke_standins/_policy_orders.py
@@ -1,4 +1,4 @@
-"""Applies the fleet part's decisions to the simulated targets.
+"""Application of the fleet part's decisions to the simulated targets.
 
 A target is drained before its role changes or it is removed, and has one
 change at a time.
@@ -34,13 +34,13 @@
 
 @attrs.frozen
 class ApplyDecision(Action):
-    """Applies a decision of the fleet part."""
+    """Request to apply a decision of the fleet part."""
 
     decision: RoleWanted | TargetsWanted
 
 
 class OrdersPart:
-    """Turns decisions of the fleet part into actions of the simulation."""
+    """Node part that requests the simulation to apply the fleet's decisions."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (RoleWanted, TargetsWanted)
 
@@ -58,7 +58,7 @@
 
 
 class OrderExecutor:
-    """Drains targets, changes roles, and adds and removes targets."""
+    """Executor that drains, adds and removes targets and changes roles."""
 
     def __init__(
         self,
--- a/packages/standins/dandelionyoke_standins/_policy_peers.py
+++ b/packages/standins/dandelionyoke_standins/_policy_peers.py
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class BroadcastRecord(Action):
-    """Sends a record to the reachable peers, in the domain or everywhere."""
+    """Request to send a record to reachable peers, in the domain or everywhere."""
 
     record: SharedRecord
     everywhere: bool
 
 
 class BroadcastPart:
-    """Turns records that parts share into broadcasts of the simulation."""
+    """Node part that requests broadcasts of the records that parts share."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (ShareRecord,)
 
--- a/packages/standins/dandelionyoke_standins/_policy_runs.py
+++ b/packages/standins/dandelionyoke_standins/_policy_runs.py
@@ -1,4 +1,4 @@
-"""Sets up and runs a scenario with nodes of the system or of the baseline."""
+"""Setup and run of a scenario with nodes of the system or the baseline."""
 
 from collections.abc import Callable
 from functools import partial
--- a/packages/standins/dandelionyoke_standins/_policy_targets.py
+++ b/packages/standins/dandelionyoke_standins/_policy_targets.py
@@ -1,4 +1,4 @@
-"""Runs the attempts at the targets of a run and injects faults into them."""
+"""The attempts at the targets of a run, and injected target faults."""
 
 from collections.abc import Sequence
 from functools import partial
@@ -52,7 +52,7 @@
 
 
 class TargetPool:
-    """Steps the engines, delivers their progress and injects faults."""
+    """The targets of a run: engine steps, progress events and faults."""
 
     def __init__(
         self,
--- a/packages/standins/dandelionyoke_standins/_policy_world.py
+++ b/packages/standins/dandelionyoke_standins/_policy_world.py
@@ -40,7 +40,7 @@
 
 
 class Simulation(Network):
-    """Delivers events to the nodes and performs their actions."""
+    """Simulation that delivers events to nodes and performs their actions."""
 
     def __init__(self, platform: SimulatedPlatform, ledger: Ledger) -> None:
         self.clock = VirtualClock()
