--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -143,7 +143,7 @@
     ListingFailed as ListingFailed,
     LoadReported as LoadReported,
     ModelCalled as ModelCalled,
-    ModelsAsked as ModelsAsked,
+    ModelListRequested as ModelListRequested,
     Notice as Notice,
     PeerConnected as PeerConnected,
     PeerDisconnected as PeerDisconnected,
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -83,7 +83,7 @@
 
 
 @attrs.frozen
-class ModelsAsked(Event):
+class ModelListRequested(Event):
     """A caller requests the list of models that its key may use."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_node_queries.py
+++ b/packages/core/dandelionyoke_core/_node_queries.py
@@ -10,7 +10,7 @@
     RefuseCall,
 )
 from dandelionyoke_core._capacity import CapacityView
-from dandelionyoke_core._events import Event, ModelsAsked, StatusAsked
+from dandelionyoke_core._events import Event, ModelListRequested, StatusAsked
 from dandelionyoke_core._notices import DutyGained, DutyLost
 from dandelionyoke_core._ports import Authenticator, Directory, Output, Peers
 from dandelionyoke_core._records import Instance
@@ -23,7 +23,7 @@
     """Answers model and status queries; makes no decisions."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
-        ModelsAsked,
+        ModelListRequested,
         StatusAsked,
         DutyGained,
         DutyLost,
@@ -52,7 +52,7 @@
         """Handle an event and return the resulting outputs."""
         outputs: list[Output] = []
         match event:
-            case ModelsAsked():
+            case ModelListRequested():
                 outputs.append(self._models(event, now_s))
             case StatusAsked():
                 status = self._status(now_s)
@@ -67,7 +67,7 @@
         """Return None: this part needs no wake-up."""
         return NO_WAKEUP_S
 
-    def _models(self, event: ModelsAsked, now_s: float) -> Output:
+    def _models(self, event: ModelListRequested, now_s: float) -> Output:
         identity = self._authenticator.authenticate(event.bearer_key, now_s)
         if isinstance(identity, Refusal):
             return RefuseCall(event.request_id, identity)
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -14,7 +14,7 @@
     Event,
     InstanceId,
     ModelCalled,
-    ModelsAsked,
+    ModelListRequested,
     RequestId,
     ServiceCalled,
     ServiceName,
@@ -119,7 +119,9 @@
                     request_id, environ, start_response, False
                 )
             case ('GET', '/models'):
-                models_asked = ModelsAsked(request_id, bearer_key(environ))
+                models_asked = ModelListRequested(
+                    request_id, bearer_key(environ)
+                )
                 return send_response(
                     start_response, self._submit_and_wait(models_asked, environ)
                 )
@@ -190,7 +192,7 @@
 
     def _submit_and_wait(
         self,
-        event: ServiceCalled | ModelsAsked | StatusAsked,
+        event: ServiceCalled | ModelListRequested | StatusAsked,
         environ: Environ,
     ) -> Response:
         request_id = event.request_id
