--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -155,7 +155,7 @@
     ShutdownForced as ShutdownForced,
     ShutdownRequested as ShutdownRequested,
     Started as Started,
-    StatusAsked as StatusAsked,
+    StatusRequested as StatusRequested,
     StoreAnswered as StoreAnswered,
     TargetOrderAnswered as TargetOrderAnswered,
     TargetsListed as TargetsListed,
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -91,7 +91,7 @@
 
 
 @attrs.frozen
-class StatusAsked(Event):
+class StatusRequested(Event):
     """The operator requests the state of this node."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_node_queries.py
+++ b/packages/core/dandelionyoke_core/_node_queries.py
@@ -10,7 +10,11 @@
     RefuseCall,
 )
 from dandelionyoke_core._capacity import CapacityView
-from dandelionyoke_core._events import Event, ModelListRequested, StatusAsked
+from dandelionyoke_core._events import (
+    Event,
+    ModelListRequested,
+    StatusRequested,
+)
 from dandelionyoke_core._notices import DutyGained, DutyLost
 from dandelionyoke_core._ports import Authenticator, Directory, Output, Peers
 from dandelionyoke_core._records import Instance
@@ -24,7 +28,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         ModelListRequested,
-        StatusAsked,
+        StatusRequested,
         DutyGained,
         DutyLost,
     )
@@ -54,7 +58,7 @@
         match event:
             case ModelListRequested():
                 outputs.append(self._models(event, now_s))
-            case StatusAsked():
+            case StatusRequested():
                 status = self._status(now_s)
                 outputs.append(AnswerStatus(event.request_id, status))
             case DutyGained():
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -18,7 +18,7 @@
     RequestId,
     ServiceCalled,
     ServiceName,
-    StatusAsked,
+    StatusRequested,
 )
 from dandelionyoke_wire import _openai as openai
 from dandelionyoke_wire._caller_input import (
@@ -127,7 +127,7 @@
                 )
             case ('GET', '/status'):
                 response = self._submit_and_wait(
-                    StatusAsked(request_id), environ
+                    StatusRequested(request_id), environ
                 )
                 return send_response(start_response, response)
             case ('GET', '/healthz'):
@@ -192,7 +192,7 @@
 
     def _submit_and_wait(
         self,
-        event: ServiceCalled | ModelListRequested | StatusAsked,
+        event: ServiceCalled | ModelListRequested | StatusRequested,
         environ: Environ,
     ) -> Response:
         request_id = event.request_id
