--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -287,8 +287,8 @@
     def _retry_later(self) -> Refusal:
         return Refusal(
             RefusalKind.OVERLOADED,
-            'An engine crashed while running this request, and whether the '
-            'request was the cause is still being checked',
+            'An engine crashed while it ran this request, and it is being '
+            'found out whether the request was the cause',
             'Send the request again after retry_after_s',
             retry_after_s=self._settings.retry_after_s,
         )
@@ -297,7 +297,7 @@
 def _quarantine_refusal(quarantine_s: float) -> Refusal:
     return Refusal(
         RefusalKind.QUARANTINED,
-        'Two engines crashed while running this request',
+        'Two engines crashed while they ran this request',
         'Change the prompt, or send it again when the quarantine of '
         f'{quarantine_s / 3600:.0f} hours is over',
     )
