--- a/packages/core/dandelionyoke_core/_call_handlers.py
+++ b/packages/core/dandelionyoke_core/_call_handlers.py
@@ -3,7 +3,7 @@
 from dandelionyoke_core._call import Call
 from dandelionyoke_core._call_operations import CallOperations
 from dandelionyoke_core._call_refusals import deadline_passed
-from dandelionyoke_core._events import ModelCalled
+from dandelionyoke_core._events import CompletionRequested
 from dandelionyoke_core._model_calls import ModelCalls
 from dandelionyoke_core._names import RequestId
 from dandelionyoke_core._ports import Output
@@ -22,7 +22,7 @@
 
     def handler_for(self, call: Call) -> ModelCalls | ServiceCalls:
         """Return the handler for the kind of a call."""
-        if isinstance(call.event, ModelCalled):
+        if isinstance(call.event, CompletionRequested):
             return self.models
         return self.services
 
--- a/packages/core/dandelionyoke_core/_call_operations.py
+++ b/packages/core/dandelionyoke_core/_call_operations.py
@@ -11,7 +11,7 @@
     WriteLog,
 )
 from dandelionyoke_core._call import Attempt, Call, Phase
-from dandelionyoke_core._events import ModelCalled
+from dandelionyoke_core._events import CompletionRequested
 from dandelionyoke_core._names import RequestId
 from dandelionyoke_core._notices import CallDelivered
 from dandelionyoke_core._ports import (
@@ -180,7 +180,7 @@
 
 def delivery_notice(call: Call, prompt_tokens: int) -> CallDelivered:
     """Create the usage notice for the end of a call, sent once per call."""
-    if not isinstance(call.event, ModelCalled):
+    if not isinstance(call.event, CompletionRequested):
         prompt_tokens = 0
     return CallDelivered(
         call.request_id,
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class ModelCalled(Event):
+class CompletionRequested(Event):
     """A caller calls a model; `deadline_in_s` is relative to the arrival."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_intake.py
+++ b/packages/core/dandelionyoke_core/_intake.py
@@ -12,7 +12,7 @@
     unknown_service,
 )
 from dandelionyoke_core._entities import ServiceKind
-from dandelionyoke_core._events import ModelCalled, ServiceCalled
+from dandelionyoke_core._events import CompletionRequested, ServiceCalled
 from dandelionyoke_core._names import ModelName, OrganisationId
 from dandelionyoke_core._ports import (
     Authenticator,
@@ -46,7 +46,7 @@
         self._quarantine = quarantine
 
     def prepare(
-        self, event: ModelCalled | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCalled, now_s: float
     ) -> PreparedCall | Refusal:
         """Prepare a new call for admission, or refuse it."""
         identity = self._authenticator.authenticate(event.bearer_key, now_s)
@@ -54,12 +54,12 @@
             return identity
         # The key must not reach targets or logs, so it is removed here.
         event = attrs.evolve(event, bearer_key='')
-        if isinstance(event, ModelCalled):
+        if isinstance(event, CompletionRequested):
             return self._prepare_model_call(event, identity, now_s)
         return self._prepare_service_call(event, identity, now_s)
 
     def _prepare_model_call(
-        self, event: ModelCalled, identity: Identity, now_s: float
+        self, event: CompletionRequested, identity: Identity, now_s: float
     ) -> PreparedCall | Refusal:
         model = self._directory.snapshot.models.get(event.model_name)
         if model is None:
@@ -118,7 +118,7 @@
         return call, _ticket(call)
 
     def _deadline_s(
-        self, event: ModelCalled | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCalled, now_s: float
     ) -> float:
         if event.deadline_in_s is None:
             return now_s + self._settings.default_deadline_s
--- a/packages/core/dandelionyoke_core/_model_placement.py
+++ b/packages/core/dandelionyoke_core/_model_placement.py
@@ -8,7 +8,7 @@
     no_target,
     retry_budget_exhausted,
 )
-from dandelionyoke_core._events import ModelCalled
+from dandelionyoke_core._events import CompletionRequested
 from dandelionyoke_core._ports import NoRoute, Output
 from dandelionyoke_core._records import Target
 from dandelionyoke_core._refusals import Refusal
@@ -63,7 +63,7 @@
 
     def _start(self, call: Call, target: Target, now_s: float) -> list[Output]:
         event = call.event
-        if not isinstance(event, ModelCalled):
+        if not isinstance(event, CompletionRequested):
             return []
         attempt = call.start_attempt(target, now_s)
         return [
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -24,8 +24,8 @@
     AttemptFailed,
     AttemptRefused,
     CallerGone,
+    CompletionRequested,
     Event,
-    ModelCalled,
     ServiceAnswered,
     ServiceCalled,
     ShutdownForced,
@@ -73,7 +73,7 @@
     """Handle all calls that callers send to this node."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
-        ModelCalled,
+        CompletionRequested,
         ServiceCalled,
         CallerGone,
         *_ATTEMPT_EVENTS,
@@ -139,7 +139,7 @@
         self,
     ) -> dict[type[Event], Callable[[Any, float], list[Output]]]:
         return {
-            ModelCalled: self._on_called,
+            CompletionRequested: self._on_called,
             ServiceCalled: self._on_called,
             CallerGone: self._on_caller_gone,
             CallAdmitted: self._on_admitted,
@@ -158,7 +158,7 @@
     # Events from callers and admission.
 
     def _on_called(
-        self, event: ModelCalled | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCalled, now_s: float
     ) -> list[Output]:
         request_id = event.request_id
         if len(self._operations.calls) >= self._settings.max_calls:
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -11,9 +11,9 @@
 import attrs
 
 from dandelionyoke_core import (
+    CompletionRequested,
     Event,
     InstanceId,
-    ModelCalled,
     ModelListRequested,
     RequestId,
     ServiceCalled,
@@ -176,7 +176,7 @@
             request = openai.parse_request(self._read_body(environ), chat=chat)
         except openai.InvalidBodyError as error:
             raise CallError(malformed(error.detail, error.remedy)) from error
-        event = ModelCalled(
+        event = CompletionRequested(
             request_id,
             bearer_key(environ),
             request.model_name,
--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -15,6 +15,7 @@
 from dandelionyoke_core import (
     Action,
     ApiKey,
+    CompletionRequested,
     Domain,
     DutyExtended,
     DutyGained,
@@ -24,7 +25,6 @@
     Instance,
     InstanceId,
     Model,
-    ModelCalled,
     Notice,
     Organisation,
     Part,
@@ -270,7 +270,7 @@
     for name in names:
         prompt = f'{name} {round_}: answer 20 tokens'
         request_id = RequestId(f'{name}-{round_}')
-        called = ModelCalled(request_id, KEY, 'crate-lm', prompt, 64)
+        called = CompletionRequested(request_id, KEY, 'crate-lm', prompt, 64)
         world.send(name, called)
 
 
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -278,7 +278,9 @@
 def ask(
     name: str = 'r1', prompt: str = 'three crates', **more: Any
 ) -> core.Event:
-    return core.ModelCalled(name, 'key-1', 'crate-model', prompt, 8, **more)
+    return core.CompletionRequested(
+        name, 'key-1', 'crate-model', prompt, 8, **more
+    )
 
 
 def confirm(name: str = 'r1', **more: Any) -> core.Event:
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -4,8 +4,8 @@
 
 from dandelionyoke_core import (
     ApiKey,
+    CompletionRequested,
     Model,
-    ModelCalled,
     Node,
     Organisation,
     Put,
@@ -53,7 +53,7 @@
     for name in names:
         world.send(
             name,
-            ModelCalled(
+            CompletionRequested(
                 RequestId(f'{name}-model'), KEY, 'crate-lm', prompt(name), 64
             ),
         )
@@ -132,7 +132,9 @@
             self.assertEqual(['drain'], kinds)
         world.send(
             names[0],
-            ModelCalled(RequestId('late'), KEY, 'crate-lm', prompt('x'), 64),
+            CompletionRequested(
+                RequestId('late'), KEY, 'crate-lm', prompt('x'), 64
+            ),
         )
         world.run(170)
         expected = answer_text(prompt('x'), 64)
@@ -149,7 +151,9 @@
         names = deploy(world, DeploymentPlan(entries=2, engines=(ENGINES,)))
         commit(world, OPERATIONS)
         world.run(8)
-        call = ModelCalled(RequestId('r'), KEY, 'crate-lm', prompt('y'), 64)
+        call = CompletionRequested(
+            RequestId('r'), KEY, 'crate-lm', prompt('y'), 64
+        )
         world.send(names[0], call)
         world.run(8.2)
         world.send(names[0], ShutdownRequested())
