--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -150,7 +150,7 @@
     PeerMessage as PeerMessage,
     PeerMessageArrived as PeerMessageArrived,
     ServiceAnswered as ServiceAnswered,
-    ServiceCalled as ServiceCalled,
+    ServiceCallRequested as ServiceCallRequested,
     SharedRecord as SharedRecord,
     ShutdownForced as ShutdownForced,
     ShutdownRequested as ShutdownRequested,
--- a/packages/core/dandelionyoke_core/_call.py
+++ b/packages/core/dandelionyoke_core/_call.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from dandelionyoke_core._events import CompletionRequested, ServiceCalled
+from dandelionyoke_core._events import CompletionRequested, ServiceCallRequested
 from dandelionyoke_core._names import AttemptId, RequestId, TargetId
 from dandelionyoke_core._ports import Identity, RouteNeed
 from dandelionyoke_core._records import Target
@@ -56,7 +56,7 @@
     response of a target.
     """
 
-    event: CompletionRequested | ServiceCalled
+    event: CompletionRequested | ServiceCallRequested
     identity: Identity
     need: RouteNeed
     arrived_s: float
--- a/packages/core/dandelionyoke_core/_call_refusals.py
+++ b/packages/core/dandelionyoke_core/_call_refusals.py
@@ -1,7 +1,7 @@
 """Refusals of calls, each with a remedy for the caller."""
 
 from dandelionyoke_core._entities import Model
-from dandelionyoke_core._events import ServiceCalled
+from dandelionyoke_core._events import ServiceCallRequested
 from dandelionyoke_core._ports import NoRoute
 from dandelionyoke_core._refusals import Refusal, RefusalKind, RunState
 
@@ -39,7 +39,7 @@
     )
 
 
-def idempotency_key_required(event: ServiceCalled) -> Refusal:
+def idempotency_key_required(event: ServiceCallRequested) -> Refusal:
     """Refuse an unrepeatable call that has no idempotency key."""
     return Refusal(
         RefusalKind.KEY_REQUIRED,
--- a/packages/core/dandelionyoke_core/_claims.py
+++ b/packages/core/dandelionyoke_core/_claims.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from dandelionyoke_core._events import ServiceCalled
+from dandelionyoke_core._events import ServiceCallRequested
 from dandelionyoke_core._names import InstanceId, OrganisationId, RequestId
 from dandelionyoke_core._notices import ClaimAnswered, ClaimRefused
 from dandelionyoke_core._refusals import Refusal, RefusalKind, RunState
@@ -143,7 +143,7 @@
     return f'{CLAIM_PREFIX}/{organisation_id}/{digest}'
 
 
-def hash_request(call: ServiceCalled) -> str:
+def hash_request(call: ServiceCallRequested) -> str:
     """Hash a request, to detect a key that is reused for another request."""
     digest = hashlib.sha256()
     parts = (
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen
-class ServiceCalled(Event):
+class ServiceCallRequested(Event):
     """A caller calls a plain service."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_intake.py
+++ b/packages/core/dandelionyoke_core/_intake.py
@@ -12,7 +12,7 @@
     unknown_service,
 )
 from dandelionyoke_core._entities import ServiceKind
-from dandelionyoke_core._events import CompletionRequested, ServiceCalled
+from dandelionyoke_core._events import CompletionRequested, ServiceCallRequested
 from dandelionyoke_core._names import ModelName, OrganisationId
 from dandelionyoke_core._ports import (
     Authenticator,
@@ -46,7 +46,7 @@
         self._quarantine = quarantine
 
     def prepare(
-        self, event: CompletionRequested | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCallRequested, now_s: float
     ) -> PreparedCall | Refusal:
         """Prepare a new call for admission, or refuse it."""
         identity = self._authenticator.authenticate(event.bearer_key, now_s)
@@ -91,7 +91,7 @@
         return call, _ticket(call)
 
     def _prepare_service_call(
-        self, event: ServiceCalled, identity: Identity, now_s: float
+        self, event: ServiceCallRequested, identity: Identity, now_s: float
     ) -> PreparedCall | Refusal:
         service = self._directory.snapshot.services.get(event.service_name)
         if service is None or service.kind is not ServiceKind.PLAIN:
@@ -118,7 +118,7 @@
         return call, _ticket(call)
 
     def _deadline_s(
-        self, event: CompletionRequested | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCallRequested, now_s: float
     ) -> float:
         if event.deadline_in_s is None:
             return now_s + self._settings.default_deadline_s
--- a/packages/core/dandelionyoke_core/_once.py
+++ b/packages/core/dandelionyoke_core/_once.py
@@ -25,7 +25,7 @@
 )
 from dandelionyoke_core._events import (
     Event,
-    ServiceCalled,
+    ServiceCallRequested,
     Started,
     StoreAnswered,
     Woken,
@@ -85,7 +85,7 @@
 
     def claim(
         self,
-        call: ServiceCalled,
+        call: ServiceCallRequested,
         organisation: OrganisationId,
         now_s: float,
     ) -> list[Output]:
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -10,7 +10,7 @@
 
 from dandelionyoke_core._actions import Action
 from dandelionyoke_core._entities import Organisation, Snapshot
-from dandelionyoke_core._events import Event, Notice, ServiceCalled
+from dandelionyoke_core._events import Event, Notice, ServiceCallRequested
 from dandelionyoke_core._names import (
     AttemptId,
     InstanceId,
@@ -184,7 +184,7 @@
 
     def claim(
         self,
-        call: ServiceCalled,
+        call: ServiceCallRequested,
         organisation: OrganisationId,
         now_s: float,
     ) -> list[Output]:
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -27,7 +27,7 @@
     CompletionRequested,
     Event,
     ServiceAnswered,
-    ServiceCalled,
+    ServiceCallRequested,
     ShutdownForced,
     TokensArrived,
     Woken,
@@ -74,7 +74,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         CompletionRequested,
-        ServiceCalled,
+        ServiceCallRequested,
         CallerGone,
         *_ATTEMPT_EVENTS,
         CallAdmitted,
@@ -140,7 +140,7 @@
     ) -> dict[type[Event], Callable[[Any, float], list[Output]]]:
         return {
             CompletionRequested: self._on_called,
-            ServiceCalled: self._on_called,
+            ServiceCallRequested: self._on_called,
             CallerGone: self._on_caller_gone,
             CallAdmitted: self._on_admitted,
             CallRejected: self._on_rejected,
@@ -158,7 +158,7 @@
     # Events from callers and admission.
 
     def _on_called(
-        self, event: CompletionRequested | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCallRequested, now_s: float
     ) -> list[Output]:
         request_id = event.request_id
         if len(self._operations.calls) >= self._settings.max_calls:
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -23,7 +23,7 @@
     AttemptRefused,
     Event,
     ServiceAnswered,
-    ServiceCalled,
+    ServiceCallRequested,
 )
 from dandelionyoke_core._notices import (
     ClaimAnswered,
@@ -44,7 +44,7 @@
     def start(self, call: Call, now_s: float) -> list[Output]:
         """Send an admitted call; an unrepeatable call is claimed first."""
         event = call.event
-        if not call.unrepeatable or not isinstance(event, ServiceCalled):
+        if not call.unrepeatable or not isinstance(event, ServiceCallRequested):
             return self._place(call, now_s)
         call.phase = Phase.CLAIMING
         organisation_id = call.identity.organisation.organisation_id
@@ -204,7 +204,7 @@
         if isinstance(route, NoRoute):
             return self.give_up(call, no_target(route), now_s)
         event = call.event
-        if not isinstance(event, ServiceCalled):
+        if not isinstance(event, ServiceCallRequested):
             return []
         attempt = call.start_attempt(route, now_s)
         return [
@@ -283,6 +283,6 @@
 
 def _is_repeatable(call: Call) -> bool:
     event = call.event
-    if call.unrepeatable or not isinstance(event, ServiceCalled):
+    if call.unrepeatable or not isinstance(event, ServiceCallRequested):
         return False
     return event.method.upper() in IDEMPOTENT_METHODS
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -16,7 +16,7 @@
     InstanceId,
     ModelListRequested,
     RequestId,
-    ServiceCalled,
+    ServiceCallRequested,
     ServiceName,
     StatusRequested,
 )
@@ -149,11 +149,11 @@
 
     def _parse_service_call(
         self, request_id: RequestId, environ: Environ
-    ) -> ServiceCalled:
+    ) -> ServiceCallRequested:
         subpath = request_path(environ).removeprefix(SERVICES_PREFIX)
         service_name, _, path = subpath.partition('/')
         query = environ.get('QUERY_STRING')
-        return ServiceCalled(
+        return ServiceCallRequested(
             request_id,
             bearer_key(environ),
             ServiceName(service_name),
@@ -192,7 +192,7 @@
 
     def _submit_and_wait(
         self,
-        event: ServiceCalled | ModelListRequested | StatusRequested,
+        event: ServiceCallRequested | ModelListRequested | StatusRequested,
         environ: Environ,
     ) -> Response:
         request_id = event.request_id
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -291,7 +291,7 @@
         'body': b'4 crates',
         **more,
     }
-    return core.ServiceCalled(name, 'key-1', 'ledger-desk', **fields)
+    return core.ServiceCallRequested(name, 'key-1', 'ledger-desk', **fields)
 
 
 def serve(
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -13,7 +13,7 @@
     SendEngineOrder,
     SendTargetOrder,
     Service,
-    ServiceCalled,
+    ServiceCallRequested,
     ServiceKind,
     ShutdownForced,
     ShutdownRequested,
@@ -59,7 +59,7 @@
         )
         world.send(
             name,
-            ServiceCalled(
+            ServiceCallRequested(
                 RequestId(f'{name}-plain'),
                 KEY,
                 'ledger',
