--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -240,7 +240,6 @@
 )
 from dandelionyoke_core._notices import (
     CallAdmitted as CallAdmitted,
-    CallDelivered as CallDelivered,
     CallRejected as CallRejected,
     ClaimAnswered as ClaimAnswered,
     ClaimGranted as ClaimGranted,
@@ -256,6 +255,7 @@
     ShareRecord as ShareRecord,
     TargetCrashed as TargetCrashed,
     TargetLeaving as TargetLeaving,
+    UsageDelivered as UsageDelivered,
 )
 from dandelionyoke_core._observation import (
     LoadsShared as LoadsShared,
--- a/packages/core/dandelionyoke_core/_call_operations.py
+++ b/packages/core/dandelionyoke_core/_call_operations.py
@@ -13,7 +13,7 @@
 from dandelionyoke_core._call import Attempt, Call, Phase
 from dandelionyoke_core._events import CompletionRequested
 from dandelionyoke_core._names import RequestId
-from dandelionyoke_core._notices import CallDelivered
+from dandelionyoke_core._notices import UsageDelivered
 from dandelionyoke_core._ports import (
     Admitter,
     Claimer,
@@ -178,11 +178,11 @@
         return now_s >= call.stalled_since_s + self.settings.max_stall_s
 
 
-def delivery_notice(call: Call, prompt_tokens: int) -> CallDelivered:
+def delivery_notice(call: Call, prompt_tokens: int) -> UsageDelivered:
     """Create the usage notice for the end of a call, sent once per call."""
     if not isinstance(call.event, CompletionRequested):
         prompt_tokens = 0
-    return CallDelivered(
+    return UsageDelivered(
         call.request_id,
         call.identity.organisation.organisation_id,
         call.need.service,
--- a/packages/core/dandelionyoke_core/_model_calls.py
+++ b/packages/core/dandelionyoke_core/_model_calls.py
@@ -23,7 +23,7 @@
     TokensArrived,
 )
 from dandelionyoke_core._model_placement import ModelPlacement
-from dandelionyoke_core._notices import CallDelivered
+from dandelionyoke_core._notices import UsageDelivered
 from dandelionyoke_core._ports import Output
 from dandelionyoke_core._refusals import Refusal
 
@@ -169,7 +169,7 @@
         return [
             *_first_token(call, position, now_s),
             SendTokens(call.request_id, new_tokens),
-            CallDelivered(
+            UsageDelivered(
                 call.request_id,
                 call.identity.organisation.organisation_id,
                 call.need.service,
--- a/packages/core/dandelionyoke_core/_notices.py
+++ b/packages/core/dandelionyoke_core/_notices.py
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class CallDelivered(Notice):
+class UsageDelivered(Notice):
     """Usage to count: output forwarded to the caller for the first time.
 
     `requests` is 1 only once per call, at its end. Output tokens are
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -20,11 +20,11 @@
     Woken,
 )
 from dandelionyoke_core._notices import (
-    CallDelivered,
     DutyExtended,
     DutyGained,
     DutyLost,
     Leaving,
+    UsageDelivered,
 )
 from dandelionyoke_core._ports import Output, Peers
 from dandelionyoke_core._records import Instance
@@ -41,7 +41,7 @@
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
         Woken,
-        CallDelivered,
+        UsageDelivered,
         StoreAnswered,
         UsageAnswered,
         PeerConnected,
@@ -79,7 +79,7 @@
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Handle an event and return the resulting outputs."""
         match event:
-            case CallDelivered():
+            case UsageDelivered():
                 return self._counter.count(event, now_s)
             case StoreAnswered():
                 return self._handle_store_answer(event, now_s)
--- a/packages/core/dandelionyoke_core/_usage_counter.py
+++ b/packages/core/dandelionyoke_core/_usage_counter.py
@@ -9,7 +9,7 @@
 from dandelionyoke_core._codec import record_from_json, record_to_json
 from dandelionyoke_core._errors import CodecError
 from dandelionyoke_core._names import InstanceId
-from dandelionyoke_core._notices import CallDelivered
+from dandelionyoke_core._notices import UsageDelivered
 from dandelionyoke_core._ports import Output, Peers
 from dandelionyoke_core._records import (
     StoreConflict,
@@ -57,7 +57,7 @@
         times = (self._flush_due_s, self._copy_due_s)
         return min((due for due in times if due is not None), default=None)
 
-    def count(self, event: CallDelivered, now_s: float) -> list[Output]:
+    def count(self, event: UsageDelivered, now_s: float) -> list[Output]:
         """Count the requests and tokens that were delivered to a caller."""
         figure = UsageFigure(
             event.organisation,
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -187,7 +187,7 @@
 class Usage:
     """Replace usage and sum the delivered requests and tokens."""
 
-    handles = (core.CallDelivered,)
+    handles = (core.UsageDelivered,)
 
     def __init__(self) -> None:
         self.requests = 0
@@ -195,7 +195,7 @@
         self.output_tokens = 0
 
     def handle(self, event: core.Event, now_s: float) -> list[Any]:
-        assert isinstance(event, core.CallDelivered)
+        assert isinstance(event, core.UsageDelivered)
         self.requests += event.requests
         self.prompt_tokens += event.prompt_tokens
         self.output_tokens += event.output_tokens
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -11,7 +11,6 @@
     Action,
     AuthorityPart,
     AuthoritySettings,
-    CallDelivered,
     Event,
     Instance,
     Leaving,
@@ -24,6 +23,7 @@
     StorePut,
     SubmitUsage,
     UsageAnswered,
+    UsageDelivered,
     UsagePart,
     UsageSettings,
 )
@@ -73,9 +73,9 @@
     return UsageAnswered(window.window_id, accepted=True)
 
 
-def make_delivery(tokens: int, requests: int = 0) -> CallDelivered:
+def make_delivery(tokens: int, requests: int = 0) -> UsageDelivered:
     """Return a notice of tokens delivered to a caller."""
-    return CallDelivered(
+    return UsageDelivered(
         RequestId('request'),
         OrganisationId('kiosk'),
         ServiceName('assistant'),
