--- a/packages/core/dandelionyoke_core/_once.py
+++ b/packages/core/dandelionyoke_core/_once.py
@@ -140,7 +140,9 @@
         """Release a claim because the call certainly did not run."""
         return self._state_machine.close(request_id, release_claim, now_s)
 
-    def doubt(self, request_id: RequestId, now_s: float) -> list[Output]:
+    def mark_outcome_unknown(
+        self, request_id: RequestId, now_s: float
+    ) -> list[Output]:
         """Mark a claim as in doubt for good: its outcome is unknown."""
         return self._state_machine.close(request_id, mark_in_doubt, now_s)
 
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -203,7 +203,9 @@
     def reopen(self, request_id: RequestId, now_s: float) -> list[Output]:
         """Release a claim because the call is proven not to have run."""
 
-    def doubt(self, request_id: RequestId, now_s: float) -> list[Output]:
+    def mark_outcome_unknown(
+        self, request_id: RequestId, now_s: float
+    ) -> list[Output]:
         """Mark a claim permanently as having an unknown result."""
 
 
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -250,7 +250,9 @@
             return [*outputs, *self._place(call, now_s)]
         if call.claimed:
             call.claimed = False
-            outputs += self._operations.claimer.doubt(call.request_id, now_s)
+            outputs += self._operations.claimer.mark_outcome_unknown(
+                call.request_id, now_s
+            )
         refusal = outcome_unknown(cause, unrepeatable=call.unrepeatable)
         return [*outputs, *self._end_call(call, refusal, now_s)]
 
