--- a/packages/core/dandelionyoke_core/_once.py
+++ b/packages/core/dandelionyoke_core/_once.py
@@ -136,7 +136,7 @@
             now_s,
         )
 
-    def reopen(self, request_id: RequestId, now_s: float) -> list[Output]:
+    def release(self, request_id: RequestId, now_s: float) -> list[Output]:
         """Release a claim because the call certainly did not run."""
         return self._state_machine.close(request_id, release_claim, now_s)
 
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -200,7 +200,7 @@
     ) -> list[Output]:
         """Record the result of a claimed call."""
 
-    def reopen(self, request_id: RequestId, now_s: float) -> list[Output]:
+    def release(self, request_id: RequestId, now_s: float) -> list[Output]:
         """Release a claim because the call is proven not to have run."""
 
     def mark_outcome_unknown(
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -227,7 +227,7 @@
             # The call ended before its claim was granted, so nothing was
             # sent. If the claim stayed, every repeat would be refused as "in
             # progress" and later as in doubt, although nothing ever ran.
-            return self._operations.claimer.reopen(event.request_id, now_s)
+            return self._operations.claimer.release(event.request_id, now_s)
         return self._call_handlers.services.on_claim_granted(call, now_s)
 
     def _on_claim_ended(
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -271,7 +271,7 @@
         if not call.claimed:
             return []
         call.claimed = False
-        return self._operations.claimer.reopen(call.request_id, now_s)
+        return self._operations.claimer.release(call.request_id, now_s)
 
     def _end_call(
         self, call: Call, refusal: Refusal, now_s: float
