--- a/packages/core/dandelionyoke_core/_once.py
+++ b/packages/core/dandelionyoke_core/_once.py
@@ -118,7 +118,7 @@
         self._sweep.add_organisation(organisation, now_s)
         return [self._table.write(claim, now_s)]
 
-    def settle(
+    def record_result(
         self,
         request_id: RequestId,
         status: int,
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -190,7 +190,7 @@
     ) -> list[Output]:
         """Claim a call; ClaimGranted, ClaimAnswered or ClaimRefused follows."""
 
-    def settle(
+    def record_result(
         self,
         request_id: RequestId,
         status: int,
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -117,7 +117,7 @@
             )
         if call.claimed:
             call.claimed = False
-            outputs += self._operations.claimer.settle(
+            outputs += self._operations.claimer.record_result(
                 call.request_id,
                 event.status,
                 event.content_type,
