--- a/packages/core/dandelionyoke_core/_choice.py
+++ b/packages/core/dandelionyoke_core/_choice.py
@@ -48,8 +48,11 @@
         local, remote = self._split_by_domain(usable, now_s)
         affinity_ids = self._affinity_targets(need, usable, local, remote)
         ids = [*self._sample(local, remote), *affinity_ids]
-        if need.prefer is not None and need.prefer in usable:
-            ids.append(need.prefer)
+        if (
+            need.preferred_target is not None
+            and need.preferred_target in usable
+        ):
+            ids.append(need.preferred_target)
         states = [usable[target_id] for target_id in dict.fromkeys(ids)]
         affinity_id = affinity_ids[0] if affinity_ids else None
         return min(
@@ -136,7 +139,7 @@
         if not state.is_engine:
             return state.load().calls + distance_s
         cached_blocks = state.prefixes.overlap(need.blocks)
-        if need.prefer == state.target.target_id:
+        if need.preferred_target == state.target.target_id:
             cached_blocks = len(need.blocks)
         forecast = self._estimate(size, state, cached_blocks)
         cost = (
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -125,7 +125,7 @@
 class RouteNeed:
     """Requirements of a call on its target.
 
-    `avoid` lists targets that already failed this call; `prefer` is the
+    `avoid` lists targets that already failed this call; `preferred_target` is the
     target that may still hold its state. Calls with `steady` are not sent to
     reclaimable (spot) targets.
     """
@@ -138,7 +138,7 @@
     max_output_tokens: int = 0
     steady: bool = False
     avoid: frozenset[TargetId] = frozenset()
-    prefer: TargetId | None = None
+    preferred_target: TargetId | None = None
     deadline_s: float | None = None
 
 
