--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -280,7 +280,7 @@
     Admitter as Admitter,
     Authenticator as Authenticator,
     Claimer as Claimer,
-    Directory as Directory,
+    ConfigurationView as ConfigurationView,
     Identity as Identity,
     NoRoute as NoRoute,
     Output as Output,
--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -22,7 +22,7 @@
 )
 from dandelionyoke_core._ports import (
     Admitted,
-    Directory,
+    ConfigurationView,
     Output,
     Peers,
     Queued,
@@ -47,13 +47,13 @@
     def __init__(
         self,
         settings: AdmissionSettings,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         peers: Peers,
         capacities: CapacityView,
         instance_id: InstanceId,
     ) -> None:
         self._settings = settings
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._peers = peers
         self._capacities = capacities
         self._demand = DemandTable(settings, peers, instance_id)
--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -25,7 +25,7 @@
 from dandelionyoke_core._mix_history import MixHistory
 from dandelionyoke_core._names import Domain, ServiceName
 from dandelionyoke_core._notices import DutyExtended, DutyGained, DutyLost
-from dandelionyoke_core._ports import Directory, Output
+from dandelionyoke_core._ports import ConfigurationView, Output
 from dandelionyoke_core._role_plan import WorkRow
 from dandelionyoke_core._work_mix import MixRow
 
@@ -64,13 +64,13 @@
     def __init__(
         self,
         settings: FleetSettings,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         targets: TargetView,
         work: WorkView,
         domain: Domain,
     ) -> None:
         self._settings = settings
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._targets = targets
         self._work = work
         self._domain = domain
@@ -106,7 +106,7 @@
             return []
         services = [
             service
-            for service in self._directory.snapshot.services.values()
+            for service in self._configuration_view.snapshot.services.values()
             if service.kind is ServiceKind.ENGINE
         ]
         # Deciding takes about a millisecond per service.
--- a/packages/core/dandelionyoke_core/_intake.py
+++ b/packages/core/dandelionyoke_core/_intake.py
@@ -16,7 +16,7 @@
 from dandelionyoke_core._names import ModelName, OrganisationId
 from dandelionyoke_core._ports import (
     Authenticator,
-    Directory,
+    ConfigurationView,
     Identity,
     Quarantine,
     RouteNeed,
@@ -36,12 +36,12 @@
     def __init__(
         self,
         settings: RequestSettings,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         authenticator: Authenticator,
         quarantine: Quarantine,
     ) -> None:
         self._settings = settings
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._authenticator = authenticator
         self._quarantine = quarantine
 
@@ -61,7 +61,7 @@
     def _prepare_model_call(
         self, event: CompletionRequested, identity: Identity, now_s: float
     ) -> PreparedCall | Refusal:
-        model = self._directory.snapshot.models.get(event.model_name)
+        model = self._configuration_view.snapshot.models.get(event.model_name)
         if model is None:
             return unknown_model(event.model_name)
         organisation_id = identity.organisation.organisation_id
@@ -93,7 +93,9 @@
     def _prepare_service_call(
         self, event: ServiceCallRequested, identity: Identity, now_s: float
     ) -> PreparedCall | Refusal:
-        service = self._directory.snapshot.services.get(event.service_name)
+        service = self._configuration_view.snapshot.services.get(
+            event.service_name
+        )
         if service is None or service.kind is not ServiceKind.PLAIN:
             return unknown_service(event.service_name)
         unrepeatable = is_unrepeatable(service, event.method, event.path)
--- a/packages/core/dandelionyoke_core/_keys.py
+++ b/packages/core/dandelionyoke_core/_keys.py
@@ -5,7 +5,7 @@
 import attrs
 
 from dandelionyoke_core._entities import ApiKey, Organisation
-from dandelionyoke_core._ports import Directory, Identity
+from dandelionyoke_core._ports import ConfigurationView, Identity
 from dandelionyoke_core._refusals import Refusal, RefusalKind
 
 DEFAULT_RETRY_AFTER_S = 5.0
@@ -36,15 +36,17 @@
     """
 
     def __init__(
-        self, directory: Directory, settings: KeysSettings | None = None
+        self,
+        configuration_view: ConfigurationView,
+        settings: KeysSettings | None = None,
     ) -> None:
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._settings = settings or KeysSettings()
 
     def authenticate(self, bearer_key: str, now_s: float) -> Identity | Refusal:
         """Return the organisation of a key, or a refusal."""
-        snapshot = self._directory.snapshot
-        age_s = self._directory.knowledge_age_s(now_s)
+        snapshot = self._configuration_view.snapshot
+        age_s = self._configuration_view.knowledge_age_s(now_s)
         if snapshot.revision == 0 and age_s is None:
             return self._no_knowledge('This entry has no configuration yet')
         key = snapshot.keys.get(hash_key(bearer_key))
--- a/packages/core/dandelionyoke_core/_node_queries.py
+++ b/packages/core/dandelionyoke_core/_node_queries.py
@@ -16,7 +16,12 @@
     StatusRequested,
 )
 from dandelionyoke_core._notices import DutyGained, DutyLost
-from dandelionyoke_core._ports import Authenticator, Directory, Output, Peers
+from dandelionyoke_core._ports import (
+    Authenticator,
+    ConfigurationView,
+    Output,
+    Peers,
+)
 from dandelionyoke_core._records import Instance
 from dandelionyoke_core._refusals import Refusal
 
@@ -36,7 +41,7 @@
     def __init__(
         self,
         own: Instance,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         authenticator: Authenticator,
         peers: Peers,
         capacities: CapacityView,
@@ -44,7 +49,7 @@
         in_progress: Callable[[], int],
     ) -> None:
         self._own = own
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._authenticator = authenticator
         self._peers = peers
         self._capacities = capacities
@@ -75,7 +80,7 @@
         identity = self._authenticator.authenticate(event.bearer_key, now_s)
         if isinstance(identity, Refusal):
             return RefuseCall(event.request_id, identity)
-        models = self._directory.snapshot.models
+        models = self._configuration_view.snapshot.models
         return AnswerModels(
             event.request_id, tuple(models[name] for name in sorted(models))
         )
@@ -83,15 +88,15 @@
     def _usable_targets(self, now_s: float) -> int:
         return sum(
             self._capacities.capacity(service, now_s).targets
-            for service in self._directory.snapshot.services
+            for service in self._configuration_view.snapshot.services
         )
 
     def _status(self, now_s: float) -> NodeStatus:
         return NodeStatus(
             instance_id=self._own.instance_id,
             domain=self._own.domain,
-            revision=self._directory.snapshot.revision,
-            knowledge_age_s=self._directory.knowledge_age_s(now_s),
+            revision=self._configuration_view.snapshot.revision,
+            knowledge_age_s=self._configuration_view.knowledge_age_s(now_s),
             leaving=self._is_leaving(),
             in_progress=self._in_progress(),
             live=self._peers.live,
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -41,7 +41,7 @@
         """Return the time of the next wake-up, or None."""
 
 
-class Directory(Protocol):
+class ConfigurationView(Protocol):
     """Access to the configuration that this node applies."""
 
     @property
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -47,7 +47,7 @@
     Admitter,
     Authenticator,
     Claimer,
-    Directory,
+    ConfigurationView,
     Output,
     Quarantine,
     Queued,
@@ -92,7 +92,7 @@
     def __init__(  # noqa: WPS211  each collaborator by its own name
         self,
         settings: RequestSettings,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         authenticator: Authenticator,
         admitter: Admitter,
         router: Router,
@@ -101,7 +101,9 @@
         random: Random,
     ) -> None:
         self._settings = settings
-        self._intake = Intake(settings, directory, authenticator, quarantine)
+        self._intake = Intake(
+            settings, configuration_view, authenticator, quarantine
+        )
         self._random = random
         self._operations = CallOperations(
             settings,
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -29,7 +29,7 @@
 from dandelionyoke_core._output_estimate import OutputEstimate
 from dandelionyoke_core._poll_schedule import PollSchedule
 from dandelionyoke_core._ports import (
-    Directory,
+    ConfigurationView,
     NoRoute,
     Output,
     Peers,
@@ -61,14 +61,14 @@
     def __init__(
         self,
         settings: RoutingSettings,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         peers: Peers,
         domain: Domain,
         instance_id: InstanceId,
         random: Random,
     ) -> None:
         self._settings = settings
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._table = TargetTable(settings)
         self._uncached_shares = UncachedShares()
         self._reuse_estimate = ReuseEstimate()
@@ -230,7 +230,7 @@
         }
         if need.steady:
             return on_demand
-        service = self._directory.snapshot.services.get(need.service)
+        service = self._configuration_view.snapshot.services.get(need.service)
         share = 0 if service is None else service.reclaimable_share
         engine_s = self._engine_s(self._work_size(need))
         if self._reclaimable_budget(need.service).allows(
--- a/packages/standins/dandelionyoke_standins/_policy_runs.py
+++ b/packages/standins/dandelionyoke_standins/_policy_runs.py
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class DirectoryFake:
+class ConfigurationViewFake:
     """A configuration that never changes."""
 
     snapshot: Snapshot
@@ -101,20 +101,22 @@
     ledger: Ledger,
 ) -> Composition:
     """Put a node of the system together."""
-    directory = DirectoryFake(snapshot_of(deployment))
+    configuration_view = ConfigurationViewFake(snapshot_of(deployment))
     routing = RoutingPart(
         RoutingSettings(),
-        directory,
+        configuration_view,
         peers,
         domain,
         instance_id,
         Random(instance_id),
     )
     admission = AdmissionPart(
-        AdmissionSettings(), directory, peers, routing, instance_id
+        AdmissionSettings(), configuration_view, peers, routing, instance_id
     )
     caller = Caller(admission, routing, ledger)
-    fleet = FleetPart(FleetSettings(), directory, routing, admission, domain)
+    fleet = FleetPart(
+        FleetSettings(), configuration_view, routing, admission, domain
+    )
     return Composition(
         (routing, admission, caller, Spreader(), fleet, OrdersPart())
     )
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -54,7 +54,7 @@
         return self.items.get(key, core.StoreItem(key, 0, None))
 
 
-class Directory:
+class ConfigurationView:
     snapshot = SNAPSHOT
 
     def knowledge_age_s(self, now_s: float) -> float | None:
@@ -227,7 +227,7 @@
         self.quarantine = core.QuarantinePart(quarantine)
         self.request = core.RequestPart(
             settings,
-            Directory(),
+            ConfigurationView(),
             Authenticator(),
             self.admitter,
             self.router,
--- a/tests/core/policy_fakes.py
+++ b/tests/core/policy_fakes.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define
-class FixedDirectory:
+class FixedConfigurationView:
     snapshot: Snapshot = Snapshot()
 
     def knowledge_age_s(self, now_s: float) -> float | None:
@@ -73,9 +73,11 @@
         return Outlook(self.has_room, 0.1, self.run_s, self.run_s)
 
 
-def make_directory(**fields: object) -> FixedDirectory:
+def make_configuration_view(**fields: object) -> FixedConfigurationView:
     service = Service(SERVICE, **fields)
-    return FixedDirectory(Snapshot(revision=1, services={SERVICE: service}))
+    return FixedConfigurationView(
+        Snapshot(revision=1, services={SERVICE: service})
+    )
 
 
 def make_targets(count: int, **fields: object) -> tuple[Target, ...]:
@@ -97,7 +99,7 @@
 ) -> RoutingPart:
     part = RoutingPart(
         settings or RoutingSettings(),
-        make_directory(reclaimable_share=share),
+        make_configuration_view(reclaimable_share=share),
         peers or FixedPeers(),
         HOME,
         here,
@@ -122,7 +124,7 @@
 ) -> AdmissionPart:
     part = AdmissionPart(
         AdmissionSettings(slot_margin=1, **settings),
-        FixedDirectory(),
+        FixedConfigurationView(),
         peers or FixedPeers(),
         capacity,
         here,
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -30,7 +30,7 @@
     AWAY,
     HOME,
     SERVICE,
-    make_directory,
+    make_configuration_view,
     make_targets,
 )
 
@@ -107,8 +107,8 @@
 def make_fleet_part(
     fleet: FakeFleet, *, duty: bool = True, **service: object
 ) -> FleetPart:
-    directory = make_directory(**service)
-    part = FleetPart(SETTINGS, directory, fleet, fleet, HOME)
+    configuration_view = make_configuration_view(**service)
+    part = FleetPart(SETTINGS, configuration_view, fleet, fleet, HOME)
     if duty:
         part.handle(DutyGained(CONTROL_DUTY, 7, FOREVER_S), 0)
     return part
--- a/tests/core/test_keys.py
+++ b/tests/core/test_keys.py
@@ -28,7 +28,7 @@
 )
 
 
-class FixedDirectory:
+class FixedConfigurationView:
     def __init__(self, snapshot: Snapshot, age_s: float | None) -> None:
         self.snapshot = snapshot
         self._age_s = age_s
@@ -38,7 +38,9 @@
 
 
 def authenticate(key, snapshot=SNAPSHOT, age_s=1.0):
-    return KeysPart(FixedDirectory(snapshot, age_s)).authenticate(key, 0)
+    return KeysPart(FixedConfigurationView(snapshot, age_s)).authenticate(
+        key, 0
+    )
 
 
 class KeysTest(testtools.TestCase):
