--- a/packages/core/dandelionyoke_core/_authority.py
+++ b/packages/core/dandelionyoke_core/_authority.py
@@ -321,7 +321,7 @@
         self._lease_id = None
         if lease_id is None:
             return []
-        return [LeaseRelease(self._slot.unawaited(), lease_id)]
+        return [LeaseRelease(self._slot.new_operation_id(), lease_id)]
 
     def _start_handover(self, now_s: float) -> list[Output]:
         if self._state is DutyState.HANDING_OVER:
--- a/packages/core/dandelionyoke_core/_store_slot.py
+++ b/packages/core/dandelionyoke_core/_store_slot.py
@@ -48,12 +48,12 @@
 
     def open(self, now_s: float) -> OperationId:
         """Start a call and return its id; a call still pending is dropped."""
-        operation_id = self.unawaited()
+        operation_id = self.new_operation_id()
         deadline_s = now_s + self._timeout_s
         self._pending = PendingCall(operation_id, now_s, deadline_s)
         return operation_id
 
-    def unawaited(self) -> OperationId:
+    def new_operation_id(self) -> OperationId:
         """Return an id for a call whose answer is ignored."""
         self._count += 1
         return OperationId(f'{self._name}.{self._count}')
--- a/packages/core/dandelionyoke_core/_usage_windows.py
+++ b/packages/core/dandelionyoke_core/_usage_windows.py
@@ -315,7 +315,7 @@
         old = [index for index in self._revisions if index <= limit]
         return [
             StoreDelete(
-                self.slot.unawaited(),
+                self.slot.new_operation_id(),
                 window_key(domain, index),
                 self._revisions.pop(index),
             )
