--- a/packages/core/dandelionyoke_core/_authority.py
+++ b/packages/core/dandelionyoke_core/_authority.py
@@ -139,7 +139,7 @@
         self._is_candidate = self._own.instance_id in candidate_ids
         if self._is_candidate and self._state is DutyState.IDLE:
             if self._next_call_s is None:
-                interval_s = self._settings.look_interval_s
+                interval_s = self._settings.check_interval_s
                 self._next_call_s = now_s + interval_s * self._random.random()
 
     def _check_timers(self, now_s: float) -> list[Output]:
@@ -305,14 +305,14 @@
             outputs += self._loss_outputs(cause)
         outputs += self._become_idle(now_s)
         if was_holding and self._next_call_s is not None:
-            self._next_call_s += self._settings.return_pause_s
+            self._next_call_s += self._settings.reacquire_delay_s
         return outputs
 
     def _become_idle(self, now_s: float) -> list[Output]:
         """Release the lease and check the key again later."""
         self._slot.drop()
         self._state = DutyState.IDLE
-        interval_s = self._settings.look_interval_s
+        interval_s = self._settings.check_interval_s
         self._next_call_s = now_s + interval_s * self._random.uniform(0.5, 1.5)
         return self._release_lease()
 
--- a/packages/core/dandelionyoke_core/_authority_settings.py
+++ b/packages/core/dandelionyoke_core/_authority_settings.py
@@ -14,7 +14,7 @@
     `handover_delay_s` must be at least the time that an order may wait in
     this process before it is sent. `candidates` is the number of entries of a
     domain that try to acquire a duty. An entry that lost a duty does not
-    compete for it for `return_pause_s`, because receivers refuse orders of
+    compete for it for `reacquire_delay_s`, because receivers refuse orders of
     two holders that alternate within a short time.
     """
 
@@ -23,8 +23,8 @@
     clock_margin_s: float = 0.2
     renew_interval_s: float = 2.5
     renew_retry_s: float = 0.5
-    look_interval_s: float = 2.0
-    return_pause_s: float = 0.0
+    check_interval_s: float = 2.0
+    reacquire_delay_s: float = 0.0
     call_timeout_s: float = 3.0
     handover_delay_s: float = 1.0
     candidates: int = 3
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -81,8 +81,8 @@
                 ),
                 renew_interval_s=RENEW_INTERVAL_S,
                 renew_retry_s=RENEW_RETRY_INTERVAL_S,
-                look_interval_s=POLL_INTERVAL_S,
-                return_pause_s=RETURN_PAUSE_FACTOR * settings.duty_turn_s,
+                check_interval_s=POLL_INTERVAL_S,
+                reacquire_delay_s=RETURN_PAUSE_FACTOR * settings.duty_turn_s,
                 call_timeout_s=CALL_TIMEOUT_S,
                 candidates=MAX_CANDIDATES,
                 back_off=BackOffSettings(
