--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -54,7 +54,7 @@
     DutyRecord as DutyRecord,
 )
 from dandelionyoke_core._authority_settings import (
-    AuthoritySettings as AuthoritySettings,
+    DutyLeaseSettings as DutyLeaseSettings,
 )
 from dandelionyoke_core._back_off import (
     BackOff as BackOff,
--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -8,7 +8,7 @@
 from dandelionyoke_core._admission import AdmissionPart
 from dandelionyoke_core._admission_settings import AdmissionSettings
 from dandelionyoke_core._authority import REPORT_DUTY, AuthorityPart
-from dandelionyoke_core._authority_settings import AuthoritySettings
+from dandelionyoke_core._authority_settings import DutyLeaseSettings
 from dandelionyoke_core._claims import OnceSettings
 from dandelionyoke_core._configuration import (
     ConfigurationPart,
@@ -57,7 +57,7 @@
     once: OnceSettings = attrs.field(factory=OnceSettings)
     quarantine: QuarantineSettings = attrs.field(factory=QuarantineSettings)
     request: RequestSettings = attrs.field(factory=RequestSettings)
-    authority: AuthoritySettings = attrs.field(factory=AuthoritySettings)
+    authority: DutyLeaseSettings = attrs.field(factory=DutyLeaseSettings)
     fleet: FleetSettings = attrs.field(factory=FleetSettings)
     orders: OrdersSettings = attrs.field(factory=OrdersSettings)
     usage: UsageSettings = attrs.field(factory=UsageSettings)
--- a/packages/core/dandelionyoke_core/_authority.py
+++ b/packages/core/dandelionyoke_core/_authority.py
@@ -19,7 +19,7 @@
     StorePut,
     WriteLog,
 )
-from dandelionyoke_core._authority_settings import AuthoritySettings
+from dandelionyoke_core._authority_settings import DutyLeaseSettings
 from dandelionyoke_core._back_off import BackOff
 from dandelionyoke_core._codec import record_from_json, record_to_json
 from dandelionyoke_core._errors import CodecError
@@ -84,7 +84,7 @@
 
     def __init__(
         self,
-        settings: AuthoritySettings,
+        settings: DutyLeaseSettings,
         duty: str,
         own: Instance,
         random: Random,
--- a/packages/core/dandelionyoke_core/_authority_settings.py
+++ b/packages/core/dandelionyoke_core/_authority_settings.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class AuthoritySettings:
+class DutyLeaseSettings:
     """Lease times, retries and candidates of a duty.
 
     The holder's clock may run slower than the store's by at most
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -9,11 +9,11 @@
 from dandelionyoke_core import (
     Action,
     AuthorityPart,
-    AuthoritySettings,
     BackOffSettings,
     Domain,
     DutyExtended,
     DutyGained,
+    DutyLeaseSettings,
     DutyLost,
     Event,
     Instance,
@@ -75,7 +75,7 @@
         self._own_id = InstanceId(settings.instance_id)
         own_instance = Instance(self._own_id, ALL_DOMAINS, '', '')
         self._authority = AuthorityPart(
-            AuthoritySettings(
+            DutyLeaseSettings(
                 ttl_s=max(
                     MIN_LEASE_TTL_S, settings.duty_turn_s + RENEW_INTERVAL_S
                 ),
--- a/tests/core/test_authority.py
+++ b/tests/core/test_authority.py
@@ -9,8 +9,8 @@
     REPORT_DUTY,
     Action,
     AuthorityPart,
-    AuthoritySettings,
     DutyGained,
+    DutyLeaseSettings,
     Event,
     Instance,
     LeaseGrant,
@@ -49,7 +49,7 @@
 
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Create the parts of an entry that only competes for the duty."""
-    return [AuthorityPart(AuthoritySettings(), REPORT_DUTY, own, random)]
+    return [AuthorityPart(DutyLeaseSettings(), REPORT_DUTY, own, random)]
 
 
 def active_holders(bench: Bench) -> dict[str, int]:
@@ -233,7 +233,7 @@
         super().setUp()
         own = instance(FIRST)
         self.part = AuthorityPart(
-            AuthoritySettings(), REPORT_DUTY, own, Random(1)
+            DutyLeaseSettings(), REPORT_DUTY, own, Random(1)
         )
         self.now_s = 0.0
         self.outputs: list[object] = []
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -11,8 +11,8 @@
     CONTROL_DUTY,
     Action,
     AuthorityPart,
-    AuthoritySettings,
     DutyGained,
+    DutyLeaseSettings,
     EngineOrderAnswered,
     Event,
     Instance,
@@ -88,7 +88,7 @@
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Return the parts of an entry that controls one engine."""
     return [
-        AuthorityPart(AuthoritySettings(), CONTROL_DUTY, own, random),
+        AuthorityPart(DutyLeaseSettings(), CONTROL_DUTY, own, random),
         OrdersPart(OrdersSettings(), own, lambda name: TARGET, random),
         RoleRequester(ROLES[own.instance_id]),
     ]
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -10,7 +10,7 @@
     REPORT_DUTY,
     Action,
     AuthorityPart,
-    AuthoritySettings,
+    DutyLeaseSettings,
     Event,
     Instance,
     Leaving,
@@ -55,7 +55,7 @@
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Return the parts of an entry that counts and may report usage."""
     return [
-        AuthorityPart(AuthoritySettings(), REPORT_DUTY, own, random),
+        AuthorityPart(DutyLeaseSettings(), REPORT_DUTY, own, random),
         UsagePart(SETTINGS, own, 1, NoPeers(), random),
     ]
 
