--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -50,7 +50,7 @@
 )
 from dandelionyoke_core._authority import (
     REPORT_DUTY as REPORT_DUTY,
-    AuthorityPart as AuthorityPart,
+    DutyLeasePart as DutyLeasePart,
     DutyRecord as DutyRecord,
 )
 from dandelionyoke_core._authority_settings import (
--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -7,7 +7,7 @@
 from dandelionyoke_core._actions import Action
 from dandelionyoke_core._admission import AdmissionPart
 from dandelionyoke_core._admission_settings import AdmissionSettings
-from dandelionyoke_core._authority import REPORT_DUTY, AuthorityPart
+from dandelionyoke_core._authority import REPORT_DUTY, DutyLeasePart
 from dandelionyoke_core._authority_settings import DutyLeaseSettings
 from dandelionyoke_core._claims import OnceSettings
 from dandelionyoke_core._configuration import (
@@ -111,10 +111,10 @@
             self.quarantine,
             random,
         )
-        self.control_duty = AuthorityPart(
+        self.control_duty = DutyLeasePart(
             settings.authority, CONTROL_DUTY, own, random
         )
-        self.report_duty = AuthorityPart(
+        self.report_duty = DutyLeasePart(
             settings.authority, REPORT_DUTY, own, random
         )
         self.fleet = FleetPart(
--- a/packages/core/dandelionyoke_core/_authority.py
+++ b/packages/core/dandelionyoke_core/_authority.py
@@ -72,7 +72,7 @@
     LEFT = 'left'
 
 
-class AuthorityPart:
+class DutyLeasePart:
     """Acquires, renews and releases one duty of this entry's domain."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -8,11 +8,11 @@
 
 from dandelionyoke_core import (
     Action,
-    AuthorityPart,
     BackOffSettings,
     Domain,
     DutyExtended,
     DutyGained,
+    DutyLeasePart,
     DutyLeaseSettings,
     DutyLost,
     Event,
@@ -74,7 +74,7 @@
         self._inbox: LightQueue = LightQueue()
         self._own_id = InstanceId(settings.instance_id)
         own_instance = Instance(self._own_id, ALL_DOMAINS, '', '')
-        self._authority = AuthorityPart(
+        self._authority = DutyLeasePart(
             DutyLeaseSettings(
                 ttl_s=max(
                     MIN_LEASE_TTL_S, settings.duty_turn_s + RENEW_INTERVAL_S
--- a/tests/core/test_authority.py
+++ b/tests/core/test_authority.py
@@ -8,8 +8,8 @@
 from dandelionyoke_core import (
     REPORT_DUTY,
     Action,
-    AuthorityPart,
     DutyGained,
+    DutyLeasePart,
     DutyLeaseSettings,
     Event,
     Instance,
@@ -49,7 +49,7 @@
 
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Create the parts of an entry that only competes for the duty."""
-    return [AuthorityPart(DutyLeaseSettings(), REPORT_DUTY, own, random)]
+    return [DutyLeasePart(DutyLeaseSettings(), REPORT_DUTY, own, random)]
 
 
 def active_holders(bench: Bench) -> dict[str, int]:
@@ -232,7 +232,7 @@
     def setUp(self) -> None:
         super().setUp()
         own = instance(FIRST)
-        self.part = AuthorityPart(
+        self.part = DutyLeasePart(
             DutyLeaseSettings(), REPORT_DUTY, own, Random(1)
         )
         self.now_s = 0.0
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -10,8 +10,8 @@
 from dandelionyoke_core import (
     CONTROL_DUTY,
     Action,
-    AuthorityPart,
     DutyGained,
+    DutyLeasePart,
     DutyLeaseSettings,
     EngineOrderAnswered,
     Event,
@@ -88,7 +88,7 @@
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Return the parts of an entry that controls one engine."""
     return [
-        AuthorityPart(DutyLeaseSettings(), CONTROL_DUTY, own, random),
+        DutyLeasePart(DutyLeaseSettings(), CONTROL_DUTY, own, random),
         OrdersPart(OrdersSettings(), own, lambda name: TARGET, random),
         RoleRequester(ROLES[own.instance_id]),
     ]
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -9,7 +9,7 @@
 from dandelionyoke_core import (
     REPORT_DUTY,
     Action,
-    AuthorityPart,
+    DutyLeasePart,
     DutyLeaseSettings,
     Event,
     Instance,
@@ -55,7 +55,7 @@
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Return the parts of an entry that counts and may report usage."""
     return [
-        AuthorityPart(DutyLeaseSettings(), REPORT_DUTY, own, random),
+        DutyLeasePart(DutyLeaseSettings(), REPORT_DUTY, own, random),
         UsagePart(SETTINGS, own, 1, NoPeers(), random),
     ]
 
