--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -48,14 +48,6 @@
     Node as Node,
     NodeSettings as NodeSettings,
 )
-from dandelionyoke_core._authority import (
-    REPORT_DUTY as REPORT_DUTY,
-    DutyLeasePart as DutyLeasePart,
-    DutyRecord as DutyRecord,
-)
-from dandelionyoke_core._authority_settings import (
-    DutyLeaseSettings as DutyLeaseSettings,
-)
 from dandelionyoke_core._back_off import (
     BackOff as BackOff,
     BackOffSettings as BackOffSettings,
@@ -110,6 +102,14 @@
 from dandelionyoke_core._demand import (
     DemandShared as DemandShared,
 )
+from dandelionyoke_core._duty_lease import (
+    REPORT_DUTY as REPORT_DUTY,
+    DutyLeasePart as DutyLeasePart,
+    DutyRecord as DutyRecord,
+)
+from dandelionyoke_core._duty_lease_settings import (
+    DutyLeaseSettings as DutyLeaseSettings,
+)
 from dandelionyoke_core._entities import (
     ApiKey as ApiKey,
     Change as Change,
--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -7,13 +7,13 @@
 from dandelionyoke_core._actions import Action
 from dandelionyoke_core._admission import AdmissionPart
 from dandelionyoke_core._admission_settings import AdmissionSettings
-from dandelionyoke_core._authority import REPORT_DUTY, DutyLeasePart
-from dandelionyoke_core._authority_settings import DutyLeaseSettings
 from dandelionyoke_core._claims import OnceSettings
 from dandelionyoke_core._configuration import (
     ConfigurationPart,
     ConfigurationSettings,
 )
+from dandelionyoke_core._duty_lease import REPORT_DUTY, DutyLeasePart
+from dandelionyoke_core._duty_lease_settings import DutyLeaseSettings
 from dandelionyoke_core._events import Event
 from dandelionyoke_core._fleet import CONTROL_DUTY, FleetPart
 from dandelionyoke_core._fleet_settings import FleetSettings
@@ -57,7 +57,7 @@
     once: OnceSettings = attrs.field(factory=OnceSettings)
     quarantine: QuarantineSettings = attrs.field(factory=QuarantineSettings)
     request: RequestSettings = attrs.field(factory=RequestSettings)
-    authority: DutyLeaseSettings = attrs.field(factory=DutyLeaseSettings)
+    duty_lease: DutyLeaseSettings = attrs.field(factory=DutyLeaseSettings)
     fleet: FleetSettings = attrs.field(factory=FleetSettings)
     orders: OrdersSettings = attrs.field(factory=OrdersSettings)
     usage: UsageSettings = attrs.field(factory=UsageSettings)
@@ -112,10 +112,10 @@
             random,
         )
         self.control_duty = DutyLeasePart(
-            settings.authority, CONTROL_DUTY, own, random
+            settings.duty_lease, CONTROL_DUTY, own, random
         )
         self.report_duty = DutyLeasePart(
-            settings.authority, REPORT_DUTY, own, random
+            settings.duty_lease, REPORT_DUTY, own, random
         )
         self.fleet = FleetPart(
             settings.fleet,
--- a/packages/core/dandelionyoke_core/_authority.py
+++ b/packages/core/dandelionyoke_core/_duty_lease.py
@@ -19,9 +19,9 @@
     StorePut,
     WriteLog,
 )
-from dandelionyoke_core._authority_settings import DutyLeaseSettings
 from dandelionyoke_core._back_off import BackOff
 from dandelionyoke_core._codec import record_from_json, record_to_json
+from dandelionyoke_core._duty_lease_settings import DutyLeaseSettings
 from dandelionyoke_core._errors import CodecError
 from dandelionyoke_core._events import Event, StoreAnswered, Woken
 from dandelionyoke_core._names import InstanceId, LeaseId
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import ClassVar
 
-from dandelionyoke_core._authority import REPORT_DUTY
+from dandelionyoke_core._duty_lease import REPORT_DUTY
 from dandelionyoke_core._events import (
     Event,
     PeerConnected,
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -74,7 +74,7 @@
         self._inbox: LightQueue = LightQueue()
         self._own_id = InstanceId(settings.instance_id)
         own_instance = Instance(self._own_id, ALL_DOMAINS, '', '')
-        self._authority = DutyLeasePart(
+        self._duty_lease = DutyLeasePart(
             DutyLeaseSettings(
                 ttl_s=max(
                     MIN_LEASE_TTL_S, settings.duty_turn_s + RENEW_INTERVAL_S
@@ -123,7 +123,7 @@
         self._inbox.put(Leaving())
 
     def _next_event(self) -> Event:
-        wakeup_s = self._authority.next_wakeup_s()
+        wakeup_s = self._duty_lease.next_wakeup_s()
         wait_s = None if wakeup_s is None else max(0, wakeup_s - clock_s())
         try:
             event: Event = self._inbox.get(timeout=wait_s)
@@ -132,7 +132,7 @@
         return event
 
     def _handle_event(self, event: Event) -> None:
-        for output in self._authority.handle(event, clock_s()):
+        for output in self._duty_lease.handle(event, clock_s()):
             match output:
                 case DutyGained() | DutyExtended():
                     self._fencing_token = output.fence
--- a/tests/core/test_authority.py
+++ b/tests/core/test_duty_lease.py
@@ -81,7 +81,7 @@
     return bench
 
 
-class AuthorityTest(testtools.TestCase):
+class DutyLeaseTest(testtools.TestCase):
     def test_two_candidates_in_every_order_of_six_steps(self) -> None:
         """Two entries compete for a duty that nobody holds.
 
