--- a/packages/core/dandelionyoke_core/_model_placement.py
+++ b/packages/core/dandelionyoke_core/_model_placement.py
@@ -52,7 +52,9 @@
             if self._operations.quarantine.crowded(call.fingerprint, now_s):
                 return self._wait_for_suspects(call, now_s)
             return self._wait_or_refuse(call, no_target(route), now_s)
-        if call.needs_retry_budget and not self._operations.budget.spend(now_s):
+        if call.needs_retry_budget and not self._operations.budget.try_charge(
+            now_s
+        ):
             refusal = retry_budget_exhausted(self._retry_after_s(call, now_s))
             return self._wait_or_refuse(call, refusal, now_s)
         outputs: list[Output] = []
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -173,7 +173,7 @@
         if isinstance(decision, Refusal):
             return refusal_outputs(request_id, decision)
         self._operations.calls[request_id] = call
-        self._operations.budget.earn(now_s)
+        self._operations.budget.add_call(now_s)
         if isinstance(decision, Queued):
             return [WriteLog('request.queued', request_id)]
         return self._start(call, now_s)
--- a/packages/core/dandelionyoke_core/_retry_budget.py
+++ b/packages/core/dandelionyoke_core/_retry_budget.py
@@ -24,12 +24,12 @@
         self._capacity = reserve
         self._balance = min(reserve, self._balance + growth)
 
-    def earn(self, now_s: float) -> None:
+    def add_call(self, now_s: float) -> None:
         """Add the share of one new call."""
         self._refill(now_s)
         self._balance = min(self._capacity, self._balance + self._share)
 
-    def spend(self, now_s: float, sends: int = 1) -> bool:
+    def try_charge(self, now_s: float, sends: int = 1) -> bool:
         """Charge a retry; False if the balance does not allow it.
 
         A retry of several sends needs a balance of one send only and may
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -246,7 +246,7 @@
             return []
         call.avoid.add(attempt.target.target_id)
         outputs = self._drop_attempt(call, now_s)
-        if _is_repeatable(call) and self._operations.budget.spend(now_s):
+        if _is_repeatable(call) and self._operations.budget.try_charge(now_s):
             return [*outputs, *self._place(call, now_s)]
         if call.claimed:
             call.claimed = False
--- a/packages/gateway/dandelionyoke_gateway/_plain_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_plain_call.py
@@ -60,7 +60,7 @@
         Raises:
             RefusedError: no target did.
         """
-        self._knowledge.budget.earn(clock_s())
+        self._knowledge.budget.add_call(clock_s())
         for _ in range(MAX_SENDS):
             target = self._next_target()
             if target is None:
@@ -87,7 +87,7 @@
         is_repeated = bool(context.attempts.targets)
         if target is None or not is_repeated:
             return target
-        return target if self._knowledge.budget.spend(now_s) else None
+        return target if self._knowledge.budget.try_charge(now_s) else None
 
     def _send_to(self, target: RegisteredTarget) -> BufferedResponse | None:
         """Send the call to one target; None to go on with the next target."""
--- a/packages/gateway/dandelionyoke_gateway/_stream_call.py
+++ b/packages/gateway/dandelionyoke_gateway/_stream_call.py
@@ -72,7 +72,7 @@
 
     def _send_with_retries(self) -> None:
         cause = Cause.NO_RETRY
-        self._knowledge.budget.earn(clock_s())
+        self._knowledge.budget.add_call(clock_s())
         for attempt_index in range(MAX_SENDS):
             if attempt_index and not self._may_retry():
                 break
@@ -92,7 +92,7 @@
             return False
         if not context.attempts.may_run_again(context.route.is_repeatable):
             return False
-        return self._knowledge.budget.spend(clock_s(), self._retry_cost())
+        return self._knowledge.budget.try_charge(clock_s(), self._retry_cost())
 
     def _retry_cost(self) -> int:
         """Count the sends that the next try repeats, for the retry budget.
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -373,7 +373,7 @@
         }
         for name in rendezvous(engines, 'n-1', 2):
             engines[name].close()
-        while self.node.knowledge.budget.spend(clock_s()):
+        while self.node.knowledge.budget.try_charge(clock_s()):
             continue
         self.assertEqual(
             200, status(self.node.call('/ask/1', extra=PROMPT_HEADERS))
@@ -393,15 +393,15 @@
             self.node.add_target(script, 'lm', Phase.DECODE)
         budget = self.node.knowledge.budget
         budget.resize(3)
-        while budget.spend(clock_s()):
+        while budget.try_charge(clock_s()):
             continue
         for _ in range(100):
-            budget.earn(clock_s())
+            budget.add_call(clock_s())
         self.assertEqual(
             200, status(self.node.call('/resume/1', extra=PROMPT_HEADERS))
         )
-        self.assertTrue(budget.spend(clock_s()))
-        self.assertFalse(budget.spend(clock_s()))
+        self.assertTrue(budget.try_charge(clock_s()))
+        self.assertFalse(budget.try_charge(clock_s()))
 
     def test_a_short_prompt_is_prefilled_by_the_decode_engine(self) -> None:
         """A short prompt arrives while long ones wait for prefill engines.
