--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -53,8 +53,8 @@
     BackOffSettings as BackOffSettings,
 )
 from dandelionyoke_core._capacity import (
+    CallForecast as CallForecast,
     CapacityView as CapacityView,
-    Outlook as Outlook,
     ServiceCapacity as ServiceCapacity,
 )
 from dandelionyoke_core._changes import (
--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -8,7 +8,7 @@
     overloaded,
 )
 from dandelionyoke_core._admission_settings import AdmissionSettings
-from dandelionyoke_core._capacity import CapacityView, Outlook
+from dandelionyoke_core._capacity import CallForecast, CapacityView
 from dandelionyoke_core._demand import DemandShared, DemandTable
 from dandelionyoke_core._events import Event, Started, Woken
 from dandelionyoke_core._limits import OrganisationLimits
@@ -97,17 +97,19 @@
         self._demand.meter.add(
             ticket.service, ticket.prompt_tokens, output_tokens, now_s
         )
-        outlook = self._outlook(ticket, service, now_s)
-        refusal = self._refusal(ticket, service, outlook, now_s)
+        forecast = self._forecast(ticket, service, now_s)
+        refusal = self._refusal(ticket, service, forecast, now_s)
         if refusal is not None:
             return refusal
         self._limits.admit(ticket, output_tokens, now_s)
         self._services_by_request[ticket.request_id] = ticket.service
         cost = self._cost(ticket.prompt_tokens, output_tokens)
         queue_was_empty = not service.has_queued_calls
-        run_s = 0 if outlook is None else outlook.run_s
+        run_s = 0 if forecast is None else forecast.run_s
         service.queue.push(ticket, cost, self._weight(ticket), run_s)
-        if queue_was_empty and self._can_start(ticket, service, outlook, now_s):
+        if queue_was_empty and self._can_start(
+            ticket, service, forecast, now_s
+        ):
             service.start_next()
             return Admitted()
         self._schedule_check(now_s + self._settings.queue_check_interval_s)
@@ -165,21 +167,21 @@
         self,
         ticket: Ticket,
         service: ServiceQueue,
-        outlook: Outlook | None,
+        forecast: CallForecast | None,
         now_s: float,
     ) -> Refusal | None:
         limit_refusal = self._limits.refusal(ticket, now_s)
         if limit_refusal is not None:
             return limit_refusal
-        if outlook is None:
+        if forecast is None:
             return no_target(self._settings, ticket.service)
-        return self._queue_refusal(ticket, service, outlook, now_s)
+        return self._queue_refusal(ticket, service, forecast, now_s)
 
     def _queue_refusal(
         self,
         ticket: Ticket,
         service: ServiceQueue,
-        outlook: Outlook,
+        forecast: CallForecast,
         now_s: float,
     ) -> Refusal | None:
         settings = self._settings
@@ -187,7 +189,7 @@
         queue = service.queue
         work_ahead = queue.work_ahead(organisation_id)
         wait_s = service.wait_s(work_ahead, now_s, settings.min_retry_s)
-        if self._would_miss_deadline(ticket, wait_s + outlook.total_s, now_s):
+        if self._would_miss_deadline(ticket, wait_s + forecast.total_s, now_s):
             return overloaded(
                 self._settings,
                 RefusalKind.DEADLINE,
@@ -219,24 +221,24 @@
         expected_s = needed_s * self._settings.deadline_margin
         return now_s + expected_s > ticket.deadline_s
 
-    def _outlook(
+    def _forecast(
         self, ticket: Ticket, service: ServiceQueue, now_s: float
-    ) -> Outlook | None:
+    ) -> CallForecast | None:
         size = WorkSize(
             ticket.prompt_tokens,
             service.output.mean_tokens(ticket.max_output_tokens),
             service.output.upper_tokens(ticket.max_output_tokens),
         )
-        return self._capacities.outlook(ticket.service, size, now_s)
+        return self._capacities.forecast(ticket.service, size, now_s)
 
     def _can_start(
         self,
         ticket: Ticket,
         service: ServiceQueue,
-        outlook: Outlook | None,
+        forecast: CallForecast | None,
         now_s: float,
     ) -> bool:
-        if outlook is None or not outlook.has_room:
+        if forecast is None or not forecast.has_room:
             return False
         capacity = self._capacities.capacity(ticket.service, now_s)
         entries = max(1, len(self._peers.live))
@@ -262,8 +264,8 @@
         head = service.queue.peek()
         if head is None:
             return []
-        outlook = self._outlook(head.ticket, service, now_s)
-        if self._can_start(head.ticket, service, outlook, now_s):
+        forecast = self._forecast(head.ticket, service, now_s)
+        if self._can_start(head.ticket, service, forecast, now_s):
             request_id = service.start_next()
             self._schedule_check(now_s)
             return [] if request_id is None else [CallAdmitted(request_id)]
--- a/packages/core/dandelionyoke_core/_capacity.py
+++ b/packages/core/dandelionyoke_core/_capacity.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Outlook:
+class CallForecast:
     """The expected times of a call that is sent to a target now.
 
     `has_room` tells whether the target could start the call. `run_s` is
@@ -40,9 +40,9 @@
     def capacity(self, service: ServiceName, now_s: float) -> ServiceCapacity:
         """Sum the capacity of the usable targets of a service."""
 
-    def outlook(
+    def forecast(
         self, service: ServiceName, size: WorkSize, now_s: float
-    ) -> Outlook | None:
+    ) -> CallForecast | None:
         """Estimate a call at the best of a sample of targets.
 
         Returns None while no target is usable.
--- a/packages/core/dandelionyoke_core/_choice.py
+++ b/packages/core/dandelionyoke_core/_choice.py
@@ -59,7 +59,7 @@
             states, key=lambda state: self._cost(need, size, state, affinity_id)
         )
 
-    def outlook(
+    def forecast(
         self, size: WorkSize, usable: TargetStates, now_s: float
     ) -> tuple[Estimate, TargetState]:
         """Return the best estimate in a random sample, ignoring prefixes."""
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -3,7 +3,7 @@
 from random import Random
 from typing import ClassVar
 
-from dandelionyoke_core._capacity import Outlook, ServiceCapacity
+from dandelionyoke_core._capacity import CallForecast, ServiceCapacity
 from dandelionyoke_core._choice import TargetChooser
 from dandelionyoke_core._events import (
     CacheEventsReported,
@@ -160,9 +160,9 @@
         slots = sum(self._slots(state) for state in usable)
         return ServiceCapacity(len(usable), slots)
 
-    def outlook(
+    def forecast(
         self, service: ServiceName, size: WorkSize, now_s: float
-    ) -> Outlook | None:
+    ) -> CallForecast | None:
         """Estimate a call at the best of a sample of targets.
 
         Returns None while no target is usable.
@@ -170,14 +170,14 @@
         usable = self._usable(service, now_s)
         if not usable:
             return None
-        estimate, state = self._chooser.outlook(size, usable, now_s)
+        estimate, state = self._chooser.forecast(size, usable, now_s)
         has_room = (
             estimate.queue_s <= self._settings.max_queue_s
             and estimate.token_s <= self._settings.max_token_s
             and estimate.missing_blocks <= 0
             and state.load().calls < self._slots(state)
         )
-        return Outlook(
+        return CallForecast(
             has_room,
             estimate.first_token_s,
             estimate.total_s,
--- a/tests/core/policy_fakes.py
+++ b/tests/core/policy_fakes.py
@@ -7,11 +7,11 @@
 from dandelionyoke_core import (
     AdmissionPart,
     AdmissionSettings,
+    CallForecast,
     Domain,
     InstanceId,
     Organisation,
     OrganisationId,
-    Outlook,
     RequestId,
     RouteNeed,
     RoutingPart,
@@ -65,12 +65,12 @@
     def capacity(self, service: ServiceName, now_s: float) -> ServiceCapacity:
         return ServiceCapacity(1, self.slots)
 
-    def outlook(
+    def forecast(
         self, service: ServiceName, size: WorkSize, now_s: float
-    ) -> Outlook | None:
+    ) -> CallForecast | None:
         if not self.slots:
             return None
-        return Outlook(self.has_room, 0.1, self.run_s, self.run_s)
+        return CallForecast(self.has_room, 0.1, self.run_s, self.run_s)
 
 
 def make_configuration_view(**fields: object) -> FixedConfigurationView:
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -256,9 +256,9 @@
         for number, prompt in enumerate(prompts):
             need = make_need(prompt_tokens=prompt, max_output_tokens=1000)
             size = WorkSize(prompt, 1000, 1000)
-            outlook = part.outlook(need.service, size, 1)
+            forecast = part.forecast(need.service, size, 1)
             target = part.choose(need, 1)
-            if outlook is not None and outlook.has_room:
+            if forecast is not None and forecast.has_room:
                 part.dispatched(f'a{number}', target.target_id, need, 1)
                 part.progressed(f'a{number}', 1, 1)
                 # Output tokens for which memory is reserved.
