--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -238,7 +238,7 @@
         forecast: CallForecast | None,
         now_s: float,
     ) -> bool:
-        if forecast is None or not forecast.has_room:
+        if forecast is None or not forecast.can_start:
             return False
         capacity = self._capacities.capacity(ticket.service, now_s)
         entries = max(1, len(self._peers.live))
--- a/packages/core/dandelionyoke_core/_capacity.py
+++ b/packages/core/dandelionyoke_core/_capacity.py
@@ -24,11 +24,11 @@
 class CallForecast:
     """The expected times of a call that is sent to a target now.
 
-    `has_room` tells whether the target could start the call. `run_s` is
+    `can_start` tells whether the target could start the call. `run_s` is
     `total_s` without the time in the queue of the target.
     """
 
-    has_room: bool
+    can_start: bool
     first_token_s: float
     total_s: float
     run_s: float
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -171,14 +171,14 @@
         if not usable:
             return None
         estimate, state = self._chooser.forecast(size, usable, now_s)
-        has_room = (
+        can_start = (
             estimate.queue_s <= self._settings.max_queue_s
             and estimate.token_s <= self._settings.max_token_s
             and estimate.missing_blocks <= 0
             and state.load().calls < self._slots(state)
         )
         return CallForecast(
-            has_room,
+            can_start,
             estimate.first_token_s,
             estimate.total_s,
             estimate.total_s - estimate.queue_s,
--- a/tests/core/policy_fakes.py
+++ b/tests/core/policy_fakes.py
@@ -59,7 +59,7 @@
     """A fixed number of slots; each call takes `run_s`."""
 
     slots: float = 1e9
-    has_room: bool = True
+    can_start: bool = True
     run_s: float = 1
 
     def capacity(self, service: ServiceName, now_s: float) -> ServiceCapacity:
@@ -70,7 +70,7 @@
     ) -> CallForecast | None:
         if not self.slots:
             return None
-        return CallForecast(self.has_room, 0.1, self.run_s, self.run_s)
+        return CallForecast(self.can_start, 0.1, self.run_s, self.run_s)
 
 
 def make_configuration_view(**fields: object) -> FixedConfigurationView:
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -258,7 +258,7 @@
             size = WorkSize(prompt, 1000, 1000)
             forecast = part.forecast(need.service, size, 1)
             target = part.choose(need, 1)
-            if forecast is not None and forecast.has_room:
+            if forecast is not None and forecast.can_start:
                 part.dispatched(f'a{number}', target.target_id, need, 1)
                 part.progressed(f'a{number}', 1, 1)
                 # Output tokens for which memory is reserved.
