--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -10,7 +10,6 @@
     SendPeer,
     WriteLog,
 )
-from dandelionyoke_core._courier import Courier
 from dandelionyoke_core._events import (
     Event,
     InstancesListed,
@@ -43,6 +42,7 @@
     ShareRecord,
 )
 from dandelionyoke_core._ports import Output
+from dandelionyoke_core._record_propagation import RecordPropagation
 from dandelionyoke_core._records import Instance
 from dandelionyoke_core._topology import choose_links
 
@@ -84,7 +84,7 @@
             own, settings.suspicion_timeout_s, settings.max_members
         )
         self._links = Links(own.instance_id, settings.links)
-        self._courier = Courier(own, settings.gossip)
+        self._propagation = RecordPropagation(own, settings.gossip)
         self._resuspect_due_s: dict[InstanceId, float] = {}
         self._heartbeat_count = 0
         self._tick_due_s: float | None = None
@@ -131,7 +131,7 @@
         if self._tick_due_s is not None and now_s >= self._tick_due_s:
             outputs.extend(self._tick(now_s))
         outputs.extend(self._refresh(now_s))
-        outputs.extend(self._courier.flush(self._links.connected_peers()))
+        outputs.extend(self._propagation.flush(self._links.connected_peers()))
         return outputs
 
     def _dispatch(self, event: Event, now_s: float) -> list[Output]:
@@ -144,12 +144,12 @@
                 return self._on_peer_connected(peer_id, now_s)
             case PeerDisconnected(peer_id=peer_id):
                 self._links.on_disconnected(peer_id, now_s)
-                self._courier.forget(peer_id)
+                self._propagation.forget(peer_id)
             case PeerMessageArrived(peer_id=peer_id, message=message):
                 self._links.record_activity(peer_id, now_s)
                 return self._handle_message(peer_id, message, now_s)
             case ShareRecord(record=record, everywhere=everywhere):
-                self._courier.share(record, everywhere, now_s)
+                self._propagation.share(record, everywhere, now_s)
             case Leaving():
                 self._state = MemberState.LEAVING
                 self._announce(now_s)
@@ -175,7 +175,7 @@
         self._tick_due_s = now_s + self._jitter(
             self._settings.heartbeat_interval_s
         )
-        self._courier.expire(now_s)
+        self._propagation.expire(now_s)
         outputs: list[Output] = list(self._links.maintain(now_s))
         outputs.extend(self._send_heartbeats())
         outputs.extend(self._suspect_silent_peers(now_s))
@@ -232,7 +232,7 @@
     ) -> None:
         for instance_id in self._members.apply_list(instances):
             # The list lags and may still show a member that was removed.
-            record = self._courier.find(member_record_key(instance_id))
+            record = self._propagation.find(member_record_key(instance_id))
             if isinstance(record, MemberRecord):
                 self._members.apply_record(record, now_s)
         self._is_refresh_needed = True
@@ -317,7 +317,7 @@
         )
 
     def _store_member(self, record: MemberRecord, now_s: float) -> None:
-        self._courier.share(record, everywhere=True, now_s=now_s)
+        self._propagation.share(record, everywhere=True, now_s=now_s)
         self._members.apply_record(record, now_s)
         self._is_refresh_needed = True
 
@@ -344,17 +344,17 @@
         if refusal:
             return list(refusal)
         self._resuspect_due_s.pop(peer_id, None)
-        return [self._courier.greet(peer_id)]
+        return [self._propagation.greet(peer_id)]
 
     def _handle_message(
         self, peer_id: InstanceId, message: PeerMessage, now_s: float
     ) -> list[Output]:
         if isinstance(message, RecordSummary):
-            return list(self._courier.answer(peer_id, message, now_s))
+            return list(self._propagation.answer(peer_id, message, now_s))
         if not isinstance(message, RecordBatch):
             return []
         outputs: list[Output] = []
-        for record in self._courier.take(peer_id, message, now_s):
+        for record in self._propagation.take(peer_id, message, now_s):
             outputs.append(RecordLearned(record, peer_id))
             if isinstance(record, MemberRecord):
                 outputs.extend(self._apply_member(record, now_s))
--- a/packages/core/dandelionyoke_core/_courier.py
+++ b/packages/core/dandelionyoke_core/_record_propagation.py
@@ -22,7 +22,7 @@
     source: InstanceId | None = None
 
 
-class Courier:
+class RecordPropagation:
     """Forward each record once, if it is newer than the known version.
 
     On a new link both ends exchange the versions that they have, and each
