--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -176,7 +176,7 @@
     FleetSettings as FleetSettings,
 )
 from dandelionyoke_core._fleet_view import (
-    TargetSight as TargetSight,
+    TargetStatus as TargetStatus,
     TargetView as TargetView,
     WorkView as WorkView,
 )
--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -18,7 +18,7 @@
 from dandelionyoke_core._fleet_size import SizeDecider
 from dandelionyoke_core._fleet_view import (
     FleetPlace,
-    TargetSight,
+    TargetStatus,
     TargetView,
     WorkView,
 )
@@ -133,24 +133,30 @@
         mix = self._work.mix(name, now_s)
         fresh_share = self._targets.fresh_share(name)
         deciders = self._deciders_of(name)
-        sights = self._targets.sights(name, now_s)
-        domain_sights = [
-            sight for sight in sights if sight.target.domain == self._domain
+        statuses = self._targets.target_statuses(name, now_s)
+        domain_statuses = [
+            status
+            for status in statuses
+            if status.target.domain == self._domain
         ]
         outputs: list[Output] = []
         outputs.extend(
             deciders.roles.decide(
                 place,
                 _short_term_rows(
-                    mix, fresh_share, _domain_share(domain_sights, sights)
+                    mix, fresh_share, _domain_share(domain_statuses, statuses)
                 ),
-                domain_sights,
+                domain_statuses,
                 now_s,
             )
         )
         outputs.extend(
             deciders.size.decide(
-                place, service, _long_term_rows(mix, fresh_share), sights, now_s
+                place,
+                service,
+                _long_term_rows(mix, fresh_share),
+                statuses,
+                now_s,
             )
         )
         return outputs
@@ -168,7 +174,7 @@
 
 
 def _domain_share(
-    domain_sights: Sequence[TargetSight], sights: Sequence[TargetSight]
+    domain_statuses: Sequence[TargetStatus], statuses: Sequence[TargetStatus]
 ) -> float:
     """Return the domain's share of all targets that answer their polls.
 
@@ -177,8 +183,8 @@
     change still counts. Otherwise its share would pass to the other domains,
     which would change roles for it.
     """
-    reached_count = sum(sight.is_reached for sight in sights)
-    return sum(sight.is_reached for sight in domain_sights) / max(
+    reached_count = sum(status.is_reached for status in statuses)
+    return sum(status.is_reached for status in domain_statuses) / max(
         1, reached_count
     )
 
--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -7,7 +7,7 @@
 
 from dandelionyoke_core._fleet_notices import RoleWanted
 from dandelionyoke_core._fleet_settings import FleetSettings
-from dandelionyoke_core._fleet_view import FleetPlace, TargetSight
+from dandelionyoke_core._fleet_view import FleetPlace, TargetStatus
 from dandelionyoke_core._mix_history import MixHistory
 from dandelionyoke_core._records import Role
 from dandelionyoke_core._role_plan import WorkRow, stress, with_role_changed
@@ -35,19 +35,19 @@
         self,
         place: FleetPlace,
         rows: Sequence[WorkRow],
-        sights: Sequence[TargetSight],
+        statuses: Sequence[TargetStatus],
         now_s: float,
     ) -> list[RoleWanted]:
         """Track the pending change, or request one whose gain exceeds its cost."""
         self.history.learn(rows, self.settings.speed, now_s)
         if self._change is not None:
-            return self._track(self._change, place, sights, now_s)
+            return self._track(self._change, place, statuses, now_s)
         if now_s < self._cooldown_until_s:
             return []
         # The first calls after a start are too few to estimate the mix.
         if self.history.known_s(now_s) < self.settings.min_observation_s:
             return []
-        request = self._find_best(place, rows, sights, now_s)
+        request = self._find_best(place, rows, statuses, now_s)
         if request is None:
             return []
         self._change = RoleChange(request, now_s)
@@ -62,15 +62,15 @@
         self,
         change: RoleChange,
         place: FleetPlace,
-        sights: Sequence[TargetSight],
+        statuses: Sequence[TargetStatus],
         now_s: float,
     ) -> list[RoleWanted]:
         request = change.request
         is_done = any(
-            sight.target.target_id == request.target_id
-            and sight.role is request.role
-            and sight.is_usable
-            for sight in sights
+            status.target.target_id == request.target_id
+            and status.role is request.role
+            and status.is_usable
+            for status in statuses
         )
         if (
             is_done
@@ -88,14 +88,14 @@
         self,
         place: FleetPlace,
         rows: Sequence[WorkRow],
-        sights: Sequence[TargetSight],
+        statuses: Sequence[TargetStatus],
         now_s: float,
     ) -> RoleWanted | None:
-        usable = [sight for sight in sights if sight.is_usable]
+        usable = [status for status in statuses if status.is_usable]
         # The work of a draining engine moves to the others of the domain.
-        if len(usable) < 2 or len(usable) < len(sights):
+        if len(usable) < 2 or len(usable) < len(statuses):
             return None
-        counts = Counter(sight.role for sight in usable)
+        counts = Counter(status.role for status in usable)
         speed = self.settings.speed
         before = stress(rows, counts, speed)
         if before <= self.settings.comfortable_stress:
@@ -109,8 +109,8 @@
         if gain_s < self.settings.change_cost_s * self.settings.gain_factor:
             return None
         chosen = min(
-            (sight for sight in usable if sight.role is old),
-            key=lambda sight: (sight.calls, sight.target.target_id),
+            (status for status in usable if status.role is old),
+            key=lambda status: (status.calls, status.target.target_id),
         )
         reason = (
             f'stress {before:.2f} -> {after:.2f},'
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -8,7 +8,7 @@
 from dandelionyoke_core._entities import Service
 from dandelionyoke_core._fleet_notices import TargetsWanted
 from dandelionyoke_core._fleet_settings import FleetSettings
-from dandelionyoke_core._fleet_view import FleetPlace, TargetSight
+from dandelionyoke_core._fleet_view import FleetPlace, TargetStatus
 from dandelionyoke_core._names import Domain
 from dandelionyoke_core._role_plan import WorkRow, stress
 
@@ -34,11 +34,11 @@
         place: FleetPlace,
         service: Service,
         rows: Sequence[WorkRow],
-        sights: Sequence[TargetSight],
+        statuses: Sequence[TargetStatus],
         now_s: float,
     ) -> list[TargetsWanted]:
         """Request one more target, one fewer, or no change."""
-        usable = [sight for sight in sights if sight.is_usable]
+        usable = [status for status in statuses if status.is_usable]
         local = [
             candidate
             for candidate in usable
@@ -47,11 +47,11 @@
         if not local or now_s < self._cooldown_until_s:
             return []
         self._update_load(rows, usable, now_s)
-        if self._should_scale_up(place, service, sights, now_s):
+        if self._should_scale_up(place, service, statuses, now_s):
             return self._start_cooldown(
-                _scale_up(place, service, sights), now_s
+                _scale_up(place, service, statuses), now_s
             )
-        if self._should_scale_down(place, service, sights, now_s):
+        if self._should_scale_down(place, service, statuses, now_s):
             return self._start_cooldown(_scale_down(place, local), now_s)
         return []
 
@@ -59,40 +59,40 @@
         self,
         place: FleetPlace,
         service: Service,
-        sights: Sequence[TargetSight],
+        statuses: Sequence[TargetStatus],
         now_s: float,
     ) -> bool:
         after_s = self.settings.grow_after_s
         if not _has_lasted(self._overloaded_since_s, after_s, now_s):
             return False
-        by_domain = _counts_by_domain(sights)
+        by_domain = _counts_by_domain(statuses)
         smallest = min(by_domain, key=lambda name: (by_domain[name], name))
-        return len(sights) < service.max_targets and smallest == place.domain
+        return len(statuses) < service.max_targets and smallest == place.domain
 
     def _should_scale_down(
         self,
         place: FleetPlace,
         service: Service,
-        sights: Sequence[TargetSight],
+        statuses: Sequence[TargetStatus],
         now_s: float,
     ) -> bool:
         after_s = self.settings.shrink_after_s
         if not _has_lasted(self._underused_since_s, after_s, now_s):
             return False
-        by_domain = _counts_by_domain(sights)
+        by_domain = _counts_by_domain(statuses)
         largest = max(by_domain, key=lambda name: (by_domain[name], name))
-        if len(sights) <= service.min_targets or by_domain[largest] < 2:
+        if len(statuses) <= service.min_targets or by_domain[largest] < 2:
             return False
         return largest == place.domain
 
     def _update_load(
         self,
         rows: Sequence[WorkRow],
-        usable: Sequence[TargetSight],
+        usable: Sequence[TargetStatus],
         now_s: float,
     ) -> None:
         settings = self.settings
-        counts = Counter(sight.role for sight in usable)
+        counts = Counter(status.role for status in usable)
         is_overloaded = (
             stress(rows, counts, settings.speed) > settings.grow_stress
         )
@@ -120,11 +120,11 @@
 
 
 def _scale_up(
-    place: FleetPlace, service: Service, sights: Sequence[TargetSight]
+    place: FleetPlace, service: Service, statuses: Sequence[TargetStatus]
 ) -> TargetsWanted:
     """Add a spot target while the allowed share permits it, else on-demand."""
-    reclaimable = sum(sight.target.reclaimable for sight in sights)
-    allowed = service.reclaimable_share * (len(sights) + 1)
+    reclaimable = sum(status.target.reclaimable for status in statuses)
+    allowed = service.reclaimable_share * (len(statuses) + 1)
     is_spot_allowed = reclaimable + 1 <= allowed
     return TargetsWanted(
         service=place.service,
@@ -137,7 +137,7 @@
 
 
 def _scale_down(
-    place: FleetPlace, usable: Sequence[TargetSight]
+    place: FleetPlace, usable: Sequence[TargetStatus]
 ) -> TargetsWanted:
     return TargetsWanted(
         service=place.service,
@@ -148,21 +148,21 @@
     )
 
 
-def _counts_by_domain(sights: Sequence[TargetSight]) -> Counter[Domain]:
-    return Counter(sight.target.domain for sight in sights)
+def _counts_by_domain(statuses: Sequence[TargetStatus]) -> Counter[Domain]:
+    return Counter(status.target.domain for status in statuses)
 
 
-def _choose_removal(usable: Sequence[TargetSight]) -> TargetSight:
+def _choose_removal(usable: Sequence[TargetStatus]) -> TargetStatus:
     """Choose the target to remove: on-demand targets before spot targets.
 
     Among equals, choose the one with the fewest calls, which drains first.
     """
     return min(
         usable,
-        key=lambda sight: (
-            sight.target.reclaimable,
-            sight.calls,
-            sight.target.target_id,
+        key=lambda status: (
+            status.target.reclaimable,
+            status.calls,
+            status.target.target_id,
         ),
     )
 
--- a/packages/core/dandelionyoke_core/_fleet_view.py
+++ b/packages/core/dandelionyoke_core/_fleet_view.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class TargetSight:
+class TargetStatus:
     """State of a target as known to routing.
 
     `calls` is the number of calls in progress, `is_usable` whether the
@@ -27,9 +27,9 @@
 class TargetView(Protocol):
     """Provides the targets of a service."""
 
-    def sights(
+    def target_statuses(
         self, service: ServiceName, now_s: float
-    ) -> tuple[TargetSight, ...]:
+    ) -> tuple[TargetStatus, ...]:
         """Return the targets of a service in all domains."""
 
     def fresh_share(self, service: ServiceName) -> float:
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -15,7 +15,7 @@
     TargetUnreachable,
     Woken,
 )
-from dandelionyoke_core._fleet_view import TargetSight
+from dandelionyoke_core._fleet_view import TargetStatus
 from dandelionyoke_core._fresh_shares import UncachedShares
 from dandelionyoke_core._load_estimate import WorkSize
 from dandelionyoke_core._names import (
@@ -186,12 +186,12 @@
 
     # TargetView protocol.
 
-    def sights(
+    def target_statuses(
         self, service: ServiceName, now_s: float
-    ) -> tuple[TargetSight, ...]:
+    ) -> tuple[TargetStatus, ...]:
         """Return the state of the targets of a service in all domains."""
         return tuple(
-            TargetSight(
+            TargetStatus(
                 state.target,
                 state.report.role,
                 state.load().calls,
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -21,7 +21,7 @@
     RoleWanted,
     ServiceName,
     TargetId,
-    TargetSight,
+    TargetStatus,
     TargetsWanted,
     Woken,
 )
@@ -57,12 +57,12 @@
     changing: dict[TargetId, tuple[float, Role]] = attrs.field(factory=dict)
     now_s: float = 0
 
-    def sights(
+    def target_statuses(
         self, service: ServiceName, now_s: float
-    ) -> tuple[TargetSight, ...]:
+    ) -> tuple[TargetStatus, ...]:
         targets = make_targets(len(self.domains))
         return tuple(
-            TargetSight(
+            TargetStatus(
                 attrs.evolve(
                     target,
                     domain=domain,
@@ -98,7 +98,9 @@
 
     def unserved_s(self) -> float:
         """Return the missing capacity, in engine seconds per second."""
-        usable = [one for one in self.sights(SERVICE, 0) if one.is_usable]
+        usable = [
+            one for one in self.target_statuses(SERVICE, 0) if one.is_usable
+        ]
         counts = Counter(one.role for one in usable)
         rows = [WorkRow(*self.mix_now)]
         return max(0, stress(rows, counts, SPEED) - 1) * len(usable)
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -57,8 +57,8 @@
 
 
 def calls_at(part: RoutingPart) -> dict[TargetId, float]:
-    sights = part.sights(make_need().service, 0)
-    return {sight.target.target_id: sight.calls for sight in sights}
+    statuses = part.target_statuses(make_need().service, 0)
+    return {status.target.target_id: status.calls for status in statuses}
 
 
 @attrs.define
