--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -45,7 +45,7 @@
         if now_s < self._cooldown_until_s:
             return []
         # The first calls after a start are too few to estimate the mix.
-        if self.history.known_s(now_s) < self.settings.min_observation_s:
+        if self.history.observed_s(now_s) < self.settings.min_observation_s:
             return []
         request = self._find_best(place, rows, statuses, now_s)
         if request is None:
@@ -125,8 +125,8 @@
     ) -> float:
         """Return the engine seconds saved while the mix is expected to last."""
         settings = self.settings
-        held_s = self.history.held_s(now_s)
-        hold_s = min(settings.max_hold_s, max(settings.min_hold_s, held_s))
+        stable_s = self.history.stable_s(now_s)
+        hold_s = min(settings.max_hold_s, max(settings.min_hold_s, stable_s))
         comfortable = settings.comfortable_stress
         saved_share = max(before, comfortable) - max(after, comfortable)
         return saved_share * engine_count * hold_s
--- a/packages/core/dandelionyoke_core/_mix_history.py
+++ b/packages/core/dandelionyoke_core/_mix_history.py
@@ -39,11 +39,11 @@
             self._reference_share = share
             self._stable_since_s = now_s
 
-    def known_s(self, now_s: float) -> float:
+    def observed_s(self, now_s: float) -> float:
         """Return for how long the mix has been observed, in seconds."""
         return 0 if self._first_seen_s is None else now_s - self._first_seen_s
 
-    def held_s(self, now_s: float) -> float:
+    def stable_s(self, now_s: float) -> float:
         """Return for how long the mix has been stable, in seconds."""
         return now_s - self._stable_since_s
 
