--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -4,7 +4,6 @@
 from typing import ClassVar
 
 from dandelionyoke_core._capacity import CallForecast, ServiceCapacity
-from dandelionyoke_core._choice import TargetChooser
 from dandelionyoke_core._events import (
     CacheEventsReported,
     Event,
@@ -39,6 +38,7 @@
 from dandelionyoke_core._records import Role, Target
 from dandelionyoke_core._reuse_estimate import ReuseEstimate
 from dandelionyoke_core._routing_settings import RoutingSettings
+from dandelionyoke_core._target_choice import TargetChooser
 from dandelionyoke_core._target_state import NEVER_S, SentAttempt, TargetState
 from dandelionyoke_core._target_table import TargetTable
 
