--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -15,7 +15,6 @@
     Woken,
 )
 from dandelionyoke_core._fleet_view import TargetStatus
-from dandelionyoke_core._fresh_shares import UncachedShares
 from dandelionyoke_core._load_estimate import WorkSize
 from dandelionyoke_core._names import (
     AttemptId,
@@ -41,6 +40,7 @@
 from dandelionyoke_core._target_choice import TargetChooser
 from dandelionyoke_core._target_state import NEVER_S, SentAttempt, TargetState
 from dandelionyoke_core._target_table import TargetTable
+from dandelionyoke_core._uncached_shares import UncachedShares
 
 
 class RoutingPart:
