--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -68,7 +68,7 @@
     chat_prompt as chat_prompt,
 )
 from dandelionyoke_core._claims import (
-    OnceSettings as OnceSettings,
+    IdempotencySettings as IdempotencySettings,
 )
 from dandelionyoke_core._codec import (
     message_from_mapping as message_from_mapping,
@@ -261,7 +261,7 @@
     LoadsShared as LoadsShared,
 )
 from dandelionyoke_core._once import (
-    OncePart as OncePart,
+    IdempotencyPart as IdempotencyPart,
 )
 from dandelionyoke_core._order_plans import (
     Goal as Goal,
--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -7,7 +7,7 @@
 from dandelionyoke_core._actions import Action
 from dandelionyoke_core._admission import AdmissionPart
 from dandelionyoke_core._admission_settings import AdmissionSettings
-from dandelionyoke_core._claims import OnceSettings
+from dandelionyoke_core._claims import IdempotencySettings
 from dandelionyoke_core._configuration import (
     ConfigurationPart,
     ConfigurationSettings,
@@ -23,7 +23,7 @@
 from dandelionyoke_core._membership_settings import MembershipSettings
 from dandelionyoke_core._node import Composition
 from dandelionyoke_core._node_queries import NodeQueriesPart
-from dandelionyoke_core._once import OncePart
+from dandelionyoke_core._once import IdempotencyPart
 from dandelionyoke_core._orders import OrdersPart
 from dandelionyoke_core._orders_settings import OrdersSettings
 from dandelionyoke_core._quarantine import QuarantinePart
@@ -54,7 +54,7 @@
     keys: KeysSettings = attrs.field(factory=KeysSettings)
     routing: RoutingSettings = attrs.field(factory=RoutingSettings)
     admission: AdmissionSettings = attrs.field(factory=AdmissionSettings)
-    once: OnceSettings = attrs.field(factory=OnceSettings)
+    idempotency: IdempotencySettings = attrs.field(factory=IdempotencySettings)
     quarantine: QuarantineSettings = attrs.field(factory=QuarantineSettings)
     request: RequestSettings = attrs.field(factory=RequestSettings)
     duty_lease: DutyLeaseSettings = attrs.field(factory=DutyLeaseSettings)
@@ -99,7 +99,9 @@
             self.routing,
             own.instance_id,
         )
-        self.once = OncePart(settings.once, own.instance_id, random)
+        self.idempotency = IdempotencyPart(
+            settings.idempotency, own.instance_id, random
+        )
         self.quarantine = QuarantinePart(settings.quarantine)
         self.request = RequestPart(
             settings.request,
@@ -107,7 +109,7 @@
             self.keys,
             self.admission,
             self.routing,
-            self.once,
+            self.idempotency,
             self.quarantine,
             random,
         )
@@ -133,7 +135,7 @@
         self.lifecycle = LifecyclePart(
             settings.lifecycle,
             lambda: self.request.in_progress,
-            lambda: self.once.in_progress + self.usage.unsaved,
+            lambda: self.idempotency.in_progress + self.usage.unsaved,
         )
         self.node_queries = NodeQueriesPart(
             own,
@@ -154,7 +156,7 @@
                 self.configuration,
                 self.routing,
                 self.admission,
-                self.once,
+                self.idempotency,
                 self.quarantine,
                 self.request,
                 self.control_duty,
--- a/packages/core/dandelionyoke_core/_claim_state_machine.py
+++ b/packages/core/dandelionyoke_core/_claim_state_machine.py
@@ -13,7 +13,7 @@
 from dandelionyoke_core._claims import (
     ClaimRecord,
     ClaimState,
-    OnceSettings,
+    IdempotencySettings,
     in_doubt_refusal,
     store_down_refusal,
 )
@@ -36,7 +36,7 @@
     """Drives each claim from its first write to its recorded end."""
 
     def __init__(
-        self, settings: OnceSettings, table: ClaimTable, clock: WallClock
+        self, settings: IdempotencySettings, table: ClaimTable, clock: WallClock
     ) -> None:
         self._settings = settings
         self._table = table
--- a/packages/core/dandelionyoke_core/_claim_sweep.py
+++ b/packages/core/dandelionyoke_core/_claim_sweep.py
@@ -7,7 +7,7 @@
 from dandelionyoke_core._claims import (
     CLAIM_PREFIX,
     ClaimRecord,
-    OnceSettings,
+    IdempotencySettings,
 )
 from dandelionyoke_core._codec import record_from_json
 from dandelionyoke_core._errors import CodecError
@@ -26,7 +26,7 @@
     was checked, so that a claim made in the meantime stays.
     """
 
-    def __init__(self, settings: OnceSettings, random: Random) -> None:
+    def __init__(self, settings: IdempotencySettings, random: Random) -> None:
         self._settings = settings
         self._random = random
         self._organisations: deque[OrganisationId] = deque(
--- a/packages/core/dandelionyoke_core/_claim_table.py
+++ b/packages/core/dandelionyoke_core/_claim_table.py
@@ -7,7 +7,7 @@
 import attrs
 
 from dandelionyoke_core._actions import Action, StoreGet, StorePut
-from dandelionyoke_core._claims import ClaimRecord, OnceSettings
+from dandelionyoke_core._claims import ClaimRecord, IdempotencySettings
 from dandelionyoke_core._codec import record_to_json
 from dandelionyoke_core._names import OperationId, RequestId
 from dandelionyoke_core._timers import Timers
@@ -62,7 +62,7 @@
     """The claims by request; each has at most one pending store operation."""
 
     def __init__(
-        self, settings: OnceSettings, incarnation: str, random: Random
+        self, settings: IdempotencySettings, incarnation: str, random: Random
     ) -> None:
         self._settings = settings
         self._incarnation = incarnation
--- a/packages/core/dandelionyoke_core/_claims.py
+++ b/packages/core/dandelionyoke_core/_claims.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class OnceSettings:
+class IdempotencySettings:
     """Retention of claims, timeouts and retries of store calls.
 
     A claim is kept for `retention_s`; `clock_margin_s` is the largest
--- a/packages/core/dandelionyoke_core/_once.py
+++ b/packages/core/dandelionyoke_core/_once.py
@@ -17,7 +17,7 @@
 from dandelionyoke_core._claim_table import Claim, ClaimTable
 from dandelionyoke_core._claims import (
     ClaimRecord,
-    OnceSettings,
+    IdempotencySettings,
     claim_key,
     hash_request,
     store_down_refusal,
@@ -36,7 +36,7 @@
 from dandelionyoke_core._wall_clock import WallClock
 
 
-class OncePart:
+class IdempotencyPart:
     """Claims calls in the store and records their ends."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
@@ -46,7 +46,10 @@
     )
 
     def __init__(
-        self, settings: OnceSettings, instance_id: InstanceId, random: Random
+        self,
+        settings: IdempotencySettings,
+        instance_id: InstanceId,
+        random: Random,
     ) -> None:
         self._settings = settings
         self._instance_id = instance_id
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -212,7 +212,7 @@
         self,
         name: str = 'entry-1',
         settings: core.RequestSettings = core.RequestSettings(),
-        once: core.OnceSettings = core.OnceSettings(),
+        idempotency: core.IdempotencySettings = core.IdempotencySettings(),
         quarantine: core.QuarantineSettings = core.QuarantineSettings(),
         seed: int = 1,
         started_wall_s: float = 1_000_000.0,
@@ -221,8 +221,8 @@
         self.name = name
         self.admitter = Admitter()
         self.router = Router(TARGETS)
-        self.once = core.OncePart(
-            once, core.InstanceId(name), Random(f'{name}{seed}')
+        self.idempotency = core.IdempotencyPart(
+            idempotency, core.InstanceId(name), Random(f'{name}{seed}')
         )
         self.quarantine = core.QuarantinePart(quarantine)
         self.request = core.RequestPart(
@@ -231,13 +231,19 @@
             Authenticator(),
             self.admitter,
             self.router,
-            self.once,
+            self.idempotency,
             self.quarantine,
             Random(seed),
         )
         self.gossip, self.usage = Gossip(), Usage()
         self.node = core.Composition(
-            (self.quarantine, self.once, self.request, self.gossip, self.usage)
+            (
+                self.quarantine,
+                self.idempotency,
+                self.request,
+                self.gossip,
+                self.usage,
+            )
         )
         self.said: list[core.Action] = []
         self.tell(core.Started(started_wall_s))
--- a/tests/core/test_once.py
+++ b/tests/core/test_once.py
@@ -131,7 +131,9 @@
                     and end.request_id in self.ran
                 ):
                     assert end.refusal.run is core.RunState.UNKNOWN
-            assert entry.once.in_progress == 0, 'a claim was never closed'
+            assert entry.idempotency.in_progress == 0, (
+                'a claim was never closed'
+            )
 
 
 class RaceTest(testtools.TestCase):
@@ -350,7 +352,7 @@
         """
         call = self.send(self.first, 'r1')
         assert call is not None
-        body = bytes(core.OnceSettings().max_kept_answer_bytes + 1)
+        body = bytes(core.IdempotencySettings().max_kept_answer_bytes + 1)
         self.end(
             self.first,
             core.ServiceAnswered('r1', call.attempt_id, 200, 't', body),
@@ -383,7 +385,7 @@
         """
         self.send(self.first, 'r1')
         (item,) = self.store.items.values()
-        settings = core.OnceSettings()
+        settings = core.IdempotencySettings()
         kept_s = settings.retention_s + settings.clock_margin_s
         for wait_s, deletes in ((kept_s - 1000, 0), (2000, 1)):
             self.second.now_s += wait_s
@@ -433,7 +435,7 @@
             entry.tell(core.StoreAnswered(put.operation_id, failed))
             entry.wait(6)
         serve(entry, store, [entry.last(core.StorePut)])
-        self.assertEqual(0, entry.once.in_progress)
+        self.assertEqual(0, entry.idempotency.in_progress)
         serve(entry, store, entry.tell(confirm('r2')))
         self.assertEqual('r2', entry.last(core.AnswerService).request_id)
         self.assertLess(len(entry.all(core.StorePut)), 110)
