--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -183,6 +183,9 @@
 from dandelionyoke_core._gossip import (
     GossipSettings as GossipSettings,
 )
+from dandelionyoke_core._idempotency import (
+    IdempotencyPart as IdempotencyPart,
+)
 from dandelionyoke_core._keys import (
     KeysPart as KeysPart,
     KeysSettings as KeysSettings,
@@ -260,9 +263,6 @@
 from dandelionyoke_core._observation import (
     LoadsShared as LoadsShared,
 )
-from dandelionyoke_core._once import (
-    IdempotencyPart as IdempotencyPart,
-)
 from dandelionyoke_core._order_plans import (
     Goal as Goal,
     Journal as Journal,
--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -17,13 +17,13 @@
 from dandelionyoke_core._events import Event
 from dandelionyoke_core._fleet import CONTROL_DUTY, FleetPart
 from dandelionyoke_core._fleet_settings import FleetSettings
+from dandelionyoke_core._idempotency import IdempotencyPart
 from dandelionyoke_core._keys import KeysPart, KeysSettings
 from dandelionyoke_core._lifecycle import LifecyclePart, LifecycleSettings
 from dandelionyoke_core._membership import MembershipPart
 from dandelionyoke_core._membership_settings import MembershipSettings
 from dandelionyoke_core._node import Composition
 from dandelionyoke_core._node_queries import NodeQueriesPart
-from dandelionyoke_core._once import IdempotencyPart
 from dandelionyoke_core._orders import OrdersPart
 from dandelionyoke_core._orders_settings import OrdersSettings
 from dandelionyoke_core._quarantine import QuarantinePart
