--- a/packages/core/dandelionyoke_core/_changes.py
+++ b/packages/core/dandelionyoke_core/_changes.py
@@ -113,7 +113,7 @@
     return tuple(operations)
 
 
-def withdrawn_keys(old: Snapshot, new: Snapshot) -> tuple[str, ...]:
+def revoked_keys(old: Snapshot, new: Snapshot) -> tuple[str, ...]:
     """Return the hashes of keys in `old` that are no longer valid in `new`.
 
     A key stops being valid when it is removed, moves to another
--- a/packages/core/dandelionyoke_core/_knowledge.py
+++ b/packages/core/dandelionyoke_core/_knowledge.py
@@ -6,7 +6,7 @@
 import attrs
 
 from dandelionyoke_core._actions import WriteLog
-from dandelionyoke_core._changes import apply_change, withdrawn_keys
+from dandelionyoke_core._changes import apply_change, revoked_keys
 from dandelionyoke_core._codec import record_to_json
 from dandelionyoke_core._entities import Change, Snapshot
 from dandelionyoke_core._notices import ConfigurationInForce, KeyWithdrawn
@@ -107,7 +107,7 @@
         outputs: list[Output] = [ConfigurationInForce(snapshot, tuple(changes))]
         outputs.extend(
             KeyWithdrawn(key_hash)
-            for key_hash in withdrawn_keys(previous, snapshot)
+            for key_hash in revoked_keys(previous, snapshot)
         )
         outputs.extend(_logs(snapshot, changes))
         return outputs
