--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -10,7 +10,11 @@
 from dandelionyoke_core._fleet_view import FleetPlace, TargetStatus
 from dandelionyoke_core._mix_history import MixHistory
 from dandelionyoke_core._records import Role
-from dandelionyoke_core._role_plan import WorkRow, stress, with_role_changed
+from dandelionyoke_core._role_plan import (
+    WorkRow,
+    utilisation,
+    with_role_changed,
+)
 
 
 @attrs.frozen
@@ -97,11 +101,15 @@
             return None
         counts = Counter(status.role for status in usable)
         speed = self.settings.speed
-        before = stress(rows, counts, speed)
+        before = utilisation(rows, counts, speed)
         if before <= self.settings.comfortable_stress:
             return None
         candidates = [
-            (stress(rows, with_role_changed(counts, old, new), speed), old, new)
+            (
+                utilisation(rows, with_role_changed(counts, old, new), speed),
+                old,
+                new,
+            )
             for old, new in _possible_changes(counts)
         ]
         after, old, new = min(candidates, key=lambda candidate: candidate[0])
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -10,7 +10,7 @@
 from dandelionyoke_core._fleet_settings import FleetSettings
 from dandelionyoke_core._fleet_view import FleetPlace, TargetStatus
 from dandelionyoke_core._names import Domain
-from dandelionyoke_core._role_plan import WorkRow, stress
+from dandelionyoke_core._role_plan import WorkRow, utilisation
 
 
 @attrs.define
@@ -94,14 +94,14 @@
         settings = self.settings
         counts = Counter(status.role for status in usable)
         is_overloaded = (
-            stress(rows, counts, settings.speed) > settings.grow_stress
+            utilisation(rows, counts, settings.speed) > settings.grow_stress
         )
         counts[_choose_removal(usable).role] -= 1
-        reduced_stress = (
-            0 if is_overloaded else stress(rows, counts, settings.speed)
+        reduced_utilisation = (
+            0 if is_overloaded else utilisation(rows, counts, settings.speed)
         )
         is_underused = (
-            not is_overloaded and reduced_stress < settings.shrink_stress
+            not is_overloaded and reduced_utilisation < settings.shrink_stress
         )
         self._overloaded_since_s = _condition_since(
             is_overloaded, self._overloaded_since_s, now_s
--- a/packages/core/dandelionyoke_core/_role_plan.py
+++ b/packages/core/dandelionyoke_core/_role_plan.py
@@ -47,7 +47,7 @@
         return fraction
 
 
-def stress(
+def utilisation(
     rows: Sequence[WorkRow], counts: Counts, speed: EngineSpeed
 ) -> float:
     """Return the utilisation of the engines; above 1 they are overloaded.
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -25,7 +25,7 @@
     TargetsWanted,
     Woken,
 )
-from dandelionyoke_core._role_plan import WorkRow, stress
+from dandelionyoke_core._role_plan import WorkRow, utilisation
 from tests.core.policy_fakes import (
     AWAY,
     HOME,
@@ -103,7 +103,7 @@
         ]
         counts = Counter(one.role for one in usable)
         rows = [WorkRow(*self.mix_now)]
-        return max(0, stress(rows, counts, SPEED) - 1) * len(usable)
+        return max(0, utilisation(rows, counts, SPEED) - 1) * len(usable)
 
 
 def make_fleet_part(
@@ -302,19 +302,21 @@
         st.tuples(*[st.integers(0, 4)] * 3).filter(any),
     )
     @settings(max_examples=80)
-    def test_stress_bounds(
+    def test_utilisation_bounds(
         self, work: list[tuple[float, float]], engines: tuple[int, int, int]
     ) -> None:
         rows = [WorkRow(*one) for one in work]
         counts = dict(zip(Role, engines, strict=True))
-        found = stress(rows, counts, SPEED)
+        found = utilisation(rows, counts, SPEED)
         larger_counts = {role: count + 1 for role, count in counts.items()}
-        self.assertLessEqual(stress(rows, larger_counts, SPEED), found * 1.001)
+        self.assertLessEqual(
+            utilisation(rows, larger_counts, SPEED), found * 1.001
+        )
         # No role is faster than the best role at prefill and at decode.
         best_s = sum(
             row.prompt_per_s / SPEED.prefill_rate(Role.PREFILL)
             + row.output_per_s / SPEED.decode_rate(Role.DECODE)
             for row in rows
         )
-        min_stress = min(best_s / sum(engines), 20)
-        self.assertGreaterEqual(found * 1.01, min_stress)
+        min_utilisation = min(best_s / sum(engines), 20)
+        self.assertGreaterEqual(found * 1.01, min_utilisation)
