--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -135,7 +135,7 @@
         self.lifecycle = LifecyclePart(
             settings.lifecycle,
             lambda: self.request.in_progress,
-            lambda: self.idempotency.in_progress + self.usage.unsaved,
+            lambda: self.idempotency.in_progress + self.usage.unsaved_count,
         )
         self.node_queries = NodeQueriesPart(
             own,
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -70,7 +70,7 @@
         self._has_given_up = False
 
     @property
-    def unsaved(self) -> int:
+    def unsaved_count(self) -> int:
         """1 while a leaving entry still has counts to save, else 0."""
         if self._final_flush_deadline_s is None or self._has_given_up:
             return 0
@@ -105,7 +105,7 @@
             self._copies.slot.next_wakeup_s(),
             self._reporter.next_wakeup_s(),
         ]
-        if self.unsaved:
+        if self.unsaved_count:
             times.append(self._final_flush_deadline_s)
         return min((due for due in times if due is not None), default=None)
 
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -228,9 +228,9 @@
         bench.entries[FIRST].take(Leaving(), bench.now_s)
         usage = bench.entries[FIRST].parts[1]
         assert isinstance(usage, UsagePart)
-        self.assertEqual(1, usage.unsaved)
+        self.assertEqual(1, usage.unsaved_count)
         bench.settle(bench.now_s + 11, (FIRST,))
-        self.assertEqual(0, usage.unsaved)
+        self.assertEqual(0, usage.unsaved_count)
 
 
 def _is_closing(bench: Bench, name: str) -> bool:
