--- a/packages/links/dandelionyoke_links/__init__.py
+++ b/packages/links/dandelionyoke_links/__init__.py
@@ -7,6 +7,6 @@
 from dandelionyoke_links._sockets import (
     listen as listen,
     receive as receive,
-    reset_at_end as reset_at_end,
+    reset_on_close as reset_on_close,
     set_options as set_options,
 )
--- a/packages/links/dandelionyoke_links/_sockets.py
+++ b/packages/links/dandelionyoke_links/_sockets.py
@@ -33,7 +33,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
-def reset_at_end(sock: socket.socket) -> None:
+def reset_on_close(sock: socket.socket) -> None:
     """Make a connection end with a reset, also when its process is killed.
 
     Otherwise the kernel keeps trying to deliver unsent bytes. After a network
--- a/packages/wire/dandelionyoke_wire/_guarded.py
+++ b/packages/wire/dandelionyoke_wire/_guarded.py
@@ -14,7 +14,7 @@
 import urllib3
 from urllib3.connection import HTTPConnection
 
-from dandelionyoke_links import reset_at_end
+from dandelionyoke_links import reset_on_close
 from dandelionyoke_wire._transport import (
     CONNECT_TIMEOUT_S,
     JSON_TYPE,
@@ -47,7 +47,7 @@
         """Connect, and make closing discard all data not yet delivered."""
         super().connect()
         if self.sock is not None:
-            reset_at_end(self.sock)
+            reset_on_close(self.sock)
 
     def send(self, data: Any) -> None:
         """Send data if `may_send` allows it.
--- a/tests/gateway/test_target_connection.py
+++ b/tests/gateway/test_target_connection.py
@@ -12,7 +12,7 @@
 
 from dandelionyoke_gateway import ExchangeError, RequestHead, clock_s
 from dandelionyoke_gateway._target_connection import TargetConnection, connect
-from dandelionyoke_links import receive, reset_at_end
+from dandelionyoke_links import receive, reset_on_close
 
 HEAD = RequestHead('POST', '/a/b', (('host', 'h'),))
 WAIT_S = 5.0
@@ -48,7 +48,7 @@
 
 def reset(sock: socket.socket) -> None:
     """Close a connection with a reset."""
-    reset_at_end(sock)
+    reset_on_close(sock)
     sock.close()
 
 
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -35,7 +35,7 @@
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._stream_call import forward_stream_call
-from dandelionyoke_links import reset_at_end, set_options
+from dandelionyoke_links import reset_on_close, set_options
 from dandelionyoke_platform._dialect import PlatformDialect
 from dandelionyoke_platform._duties import PlatformDuties
 from tests.gateway.settings import new_settings
@@ -106,7 +106,7 @@
     def _answer(self, sock: socket.socket, seen: Seen) -> bool:
         for piece in self._script(seen):
             if piece is None:
-                reset_at_end(sock)
+                reset_on_close(sock)
                 return False
             if isinstance(piece, float):
                 sock.settimeout(piece)
