--- a/packages/gateway/dandelionyoke_gateway/_target_connection.py
+++ b/packages/gateway/dandelionyoke_gateway/_target_connection.py
@@ -19,7 +19,7 @@
     ResponseHead,
     decode_headers,
 )
-from dandelionyoke_links import receive, reset_on_close, set_options
+from dandelionyoke_links import receive, reset_on_close, set_socket_options
 
 READ_BYTES = 65536
 MAX_HEAD_BYTES = 65536
@@ -202,7 +202,7 @@
     """
     host, _, port = address.rpartition(':')
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    set_options(sock)
+    set_socket_options(sock)
     reset_on_close(sock)
     sock.settimeout(timeout_s)
     try:
--- a/packages/links/dandelionyoke_links/__init__.py
+++ b/packages/links/dandelionyoke_links/__init__.py
@@ -8,5 +8,5 @@
     listen as listen,
     receive as receive,
     reset_on_close as reset_on_close,
-    set_options as set_options,
+    set_socket_options as set_socket_options,
 )
--- a/packages/links/dandelionyoke_links/_peers.py
+++ b/packages/links/dandelionyoke_links/_peers.py
@@ -36,7 +36,7 @@
     message_from_mapping,
     message_to_mapping,
 )
-from dandelionyoke_links._sockets import set_options
+from dandelionyoke_links._sockets import set_socket_options
 
 MAX_FRAME_BYTES = 1_048_576
 READ_SIZE_BYTES = 65_536
@@ -225,7 +225,7 @@
         channel = _Channel(sock, protocol)
         channel.set_timeout(HANDSHAKE_TIMEOUT_S)
         try:
-            set_options(sock)
+            set_socket_options(sock)
             channel.open_server()
         except _LINK_ERRORS:
             channel.close()
@@ -313,7 +313,7 @@
     sock = socket.create_connection(
         (parts.hostname, parts.port), timeout=CONNECT_TIMEOUT_S
     )
-    set_options(sock)
+    set_socket_options(sock)
     protocol = ClientProtocol(parse_uri(address), max_size=MAX_FRAME_BYTES)
     channel = _Channel(sock, protocol)
     channel.set_timeout(HANDSHAKE_TIMEOUT_S)
--- a/packages/links/dandelionyoke_links/_sockets.py
+++ b/packages/links/dandelionyoke_links/_sockets.py
@@ -20,7 +20,7 @@
 LINGER_RESET = struct.pack('ii', 1, 0)
 
 
-def set_options(sock: socket.socket) -> None:
+def set_socket_options(sock: socket.socket) -> None:
     """Disable Nagle's algorithm and detect unreachable peers."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/tests/platform/path.py
+++ b/tests/platform/path.py
@@ -35,7 +35,7 @@
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._stream_call import forward_stream_call
-from dandelionyoke_links import reset_on_close, set_options
+from dandelionyoke_links import reset_on_close, set_socket_options
 from dandelionyoke_platform._dialect import PlatformDialect
 from dandelionyoke_platform._duties import PlatformDuties
 from tests.gateway.settings import new_settings
@@ -90,7 +90,7 @@
     def _accept(self) -> None:
         while True:
             sock, _ = self._listener.accept()
-            set_options(sock)
+            set_socket_options(sock)
             self._threads.append(eventlet.spawn(self._serve, sock))
 
     def _serve(self, sock: socket.socket) -> None:
