--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -48,21 +48,13 @@
     Node as Node,
     NodeSettings as NodeSettings,
 )
-from dandelionyoke_core._authority import (
-    REPORT_DUTY as REPORT_DUTY,
-    AuthorityPart as AuthorityPart,
-    DutyRecord as DutyRecord,
-)
-from dandelionyoke_core._authority_settings import (
-    AuthoritySettings as AuthoritySettings,
-)
 from dandelionyoke_core._back_off import (
     BackOff as BackOff,
     BackOffSettings as BackOffSettings,
 )
 from dandelionyoke_core._capacity import (
+    CallForecast as CallForecast,
     CapacityView as CapacityView,
-    Outlook as Outlook,
     ServiceCapacity as ServiceCapacity,
 )
 from dandelionyoke_core._changes import (
@@ -76,7 +68,7 @@
     chat_prompt as chat_prompt,
 )
 from dandelionyoke_core._claims import (
-    OnceSettings as OnceSettings,
+    IdempotencySettings as IdempotencySettings,
 )
 from dandelionyoke_core._codec import (
     message_from_mapping as message_from_mapping,
@@ -110,6 +102,14 @@
 from dandelionyoke_core._demand import (
     DemandShared as DemandShared,
 )
+from dandelionyoke_core._duty_lease import (
+    REPORT_DUTY as REPORT_DUTY,
+    DutyLeasePart as DutyLeasePart,
+    DutyRecord as DutyRecord,
+)
+from dandelionyoke_core._duty_lease_settings import (
+    DutyLeaseSettings as DutyLeaseSettings,
+)
 from dandelionyoke_core._entities import (
     ApiKey as ApiKey,
     Change as Change,
@@ -137,25 +137,25 @@
     AttemptRefused as AttemptRefused,
     CacheEventsReported as CacheEventsReported,
     CallerGone as CallerGone,
+    CompletionRequested as CompletionRequested,
     EngineOrderAnswered as EngineOrderAnswered,
     Event as Event,
     InstancesListed as InstancesListed,
     ListingFailed as ListingFailed,
     LoadReported as LoadReported,
-    ModelCalled as ModelCalled,
-    ModelsAsked as ModelsAsked,
+    ModelListRequested as ModelListRequested,
     Notice as Notice,
     PeerConnected as PeerConnected,
     PeerDisconnected as PeerDisconnected,
     PeerMessage as PeerMessage,
     PeerMessageArrived as PeerMessageArrived,
     ServiceAnswered as ServiceAnswered,
-    ServiceCalled as ServiceCalled,
+    ServiceCallRequested as ServiceCallRequested,
     SharedRecord as SharedRecord,
     ShutdownForced as ShutdownForced,
     ShutdownRequested as ShutdownRequested,
     Started as Started,
-    StatusAsked as StatusAsked,
+    StatusRequested as StatusRequested,
     StoreAnswered as StoreAnswered,
     TargetOrderAnswered as TargetOrderAnswered,
     TargetsListed as TargetsListed,
@@ -176,13 +176,16 @@
     FleetSettings as FleetSettings,
 )
 from dandelionyoke_core._fleet_view import (
-    TargetSight as TargetSight,
+    TargetStatus as TargetStatus,
     TargetView as TargetView,
     WorkView as WorkView,
 )
 from dandelionyoke_core._gossip import (
     GossipSettings as GossipSettings,
 )
+from dandelionyoke_core._idempotency import (
+    IdempotencyPart as IdempotencyPart,
+)
 from dandelionyoke_core._keys import (
     KeysPart as KeysPart,
     KeysSettings as KeysSettings,
@@ -240,7 +243,6 @@
 )
 from dandelionyoke_core._notices import (
     CallAdmitted as CallAdmitted,
-    CallDelivered as CallDelivered,
     CallRejected as CallRejected,
     ClaimAnswered as ClaimAnswered,
     ClaimGranted as ClaimGranted,
@@ -256,13 +258,11 @@
     ShareRecord as ShareRecord,
     TargetCrashed as TargetCrashed,
     TargetLeaving as TargetLeaving,
+    UsageDelivered as UsageDelivered,
 )
 from dandelionyoke_core._observation import (
     LoadsShared as LoadsShared,
 )
-from dandelionyoke_core._once import (
-    OncePart as OncePart,
-)
 from dandelionyoke_core._order_plans import (
     Goal as Goal,
     Journal as Journal,
@@ -280,7 +280,7 @@
     Admitter as Admitter,
     Authenticator as Authenticator,
     Claimer as Claimer,
-    Directory as Directory,
+    ConfigurationView as ConfigurationView,
     Identity as Identity,
     NoRoute as NoRoute,
     Output as Output,
--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -7,23 +7,23 @@
 from dandelionyoke_core._actions import Action
 from dandelionyoke_core._admission import AdmissionPart
 from dandelionyoke_core._admission_settings import AdmissionSettings
-from dandelionyoke_core._authority import REPORT_DUTY, AuthorityPart
-from dandelionyoke_core._authority_settings import AuthoritySettings
-from dandelionyoke_core._claims import OnceSettings
+from dandelionyoke_core._claims import IdempotencySettings
 from dandelionyoke_core._configuration import (
     ConfigurationPart,
     ConfigurationSettings,
 )
+from dandelionyoke_core._duty_lease import REPORT_DUTY, DutyLeasePart
+from dandelionyoke_core._duty_lease_settings import DutyLeaseSettings
 from dandelionyoke_core._events import Event
 from dandelionyoke_core._fleet import CONTROL_DUTY, FleetPart
 from dandelionyoke_core._fleet_settings import FleetSettings
+from dandelionyoke_core._idempotency import IdempotencyPart
 from dandelionyoke_core._keys import KeysPart, KeysSettings
 from dandelionyoke_core._lifecycle import LifecyclePart, LifecycleSettings
 from dandelionyoke_core._membership import MembershipPart
 from dandelionyoke_core._membership_settings import MembershipSettings
 from dandelionyoke_core._node import Composition
 from dandelionyoke_core._node_queries import NodeQueriesPart
-from dandelionyoke_core._once import OncePart
 from dandelionyoke_core._orders import OrdersPart
 from dandelionyoke_core._orders_settings import OrdersSettings
 from dandelionyoke_core._quarantine import QuarantinePart
@@ -54,10 +54,10 @@
     keys: KeysSettings = attrs.field(factory=KeysSettings)
     routing: RoutingSettings = attrs.field(factory=RoutingSettings)
     admission: AdmissionSettings = attrs.field(factory=AdmissionSettings)
-    once: OnceSettings = attrs.field(factory=OnceSettings)
+    idempotency: IdempotencySettings = attrs.field(factory=IdempotencySettings)
     quarantine: QuarantineSettings = attrs.field(factory=QuarantineSettings)
     request: RequestSettings = attrs.field(factory=RequestSettings)
-    authority: AuthoritySettings = attrs.field(factory=AuthoritySettings)
+    duty_lease: DutyLeaseSettings = attrs.field(factory=DutyLeaseSettings)
     fleet: FleetSettings = attrs.field(factory=FleetSettings)
     orders: OrdersSettings = attrs.field(factory=OrdersSettings)
     usage: UsageSettings = attrs.field(factory=UsageSettings)
@@ -99,7 +99,9 @@
             self.routing,
             own.instance_id,
         )
-        self.once = OncePart(settings.once, own.instance_id, random)
+        self.idempotency = IdempotencyPart(
+            settings.idempotency, own.instance_id, random
+        )
         self.quarantine = QuarantinePart(settings.quarantine)
         self.request = RequestPart(
             settings.request,
@@ -107,15 +109,15 @@
             self.keys,
             self.admission,
             self.routing,
-            self.once,
+            self.idempotency,
             self.quarantine,
             random,
         )
-        self.control_duty = AuthorityPart(
-            settings.authority, CONTROL_DUTY, own, random
+        self.control_duty = DutyLeasePart(
+            settings.duty_lease, CONTROL_DUTY, own, random
         )
-        self.report_duty = AuthorityPart(
-            settings.authority, REPORT_DUTY, own, random
+        self.report_duty = DutyLeasePart(
+            settings.duty_lease, REPORT_DUTY, own, random
         )
         self.fleet = FleetPart(
             settings.fleet,
@@ -133,7 +135,7 @@
         self.lifecycle = LifecyclePart(
             settings.lifecycle,
             lambda: self.request.in_progress,
-            lambda: self.once.in_progress + self.usage.unsaved,
+            lambda: self.idempotency.in_progress + self.usage.unsaved_count,
         )
         self.node_queries = NodeQueriesPart(
             own,
@@ -154,7 +156,7 @@
                 self.configuration,
                 self.routing,
                 self.admission,
-                self.once,
+                self.idempotency,
                 self.quarantine,
                 self.request,
                 self.control_duty,
--- a/packages/core/dandelionyoke_core/_authority.py
+++ b/packages/core/dandelionyoke_core/_duty_lease.py
@@ -19,9 +19,9 @@
     StorePut,
     WriteLog,
 )
-from dandelionyoke_core._authority_settings import AuthoritySettings
 from dandelionyoke_core._back_off import BackOff
 from dandelionyoke_core._codec import record_from_json, record_to_json
+from dandelionyoke_core._duty_lease_settings import DutyLeaseSettings
 from dandelionyoke_core._errors import CodecError
 from dandelionyoke_core._events import Event, StoreAnswered, Woken
 from dandelionyoke_core._names import InstanceId, LeaseId
@@ -72,7 +72,7 @@
     LEFT = 'left'
 
 
-class AuthorityPart:
+class DutyLeasePart:
     """Acquires, renews and releases one duty of this entry's domain."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
@@ -84,7 +84,7 @@
 
     def __init__(
         self,
-        settings: AuthoritySettings,
+        settings: DutyLeaseSettings,
         duty: str,
         own: Instance,
         random: Random,
@@ -139,7 +139,7 @@
         self._is_candidate = self._own.instance_id in candidate_ids
         if self._is_candidate and self._state is DutyState.IDLE:
             if self._next_call_s is None:
-                interval_s = self._settings.look_interval_s
+                interval_s = self._settings.check_interval_s
                 self._next_call_s = now_s + interval_s * self._random.random()
 
     def _check_timers(self, now_s: float) -> list[Output]:
@@ -305,14 +305,14 @@
             outputs += self._loss_outputs(cause)
         outputs += self._become_idle(now_s)
         if was_holding and self._next_call_s is not None:
-            self._next_call_s += self._settings.return_pause_s
+            self._next_call_s += self._settings.reacquire_delay_s
         return outputs
 
     def _become_idle(self, now_s: float) -> list[Output]:
         """Release the lease and check the key again later."""
         self._slot.drop()
         self._state = DutyState.IDLE
-        interval_s = self._settings.look_interval_s
+        interval_s = self._settings.check_interval_s
         self._next_call_s = now_s + interval_s * self._random.uniform(0.5, 1.5)
         return self._release_lease()
 
@@ -321,7 +321,7 @@
         self._lease_id = None
         if lease_id is None:
             return []
-        return [LeaseRelease(self._slot.unawaited(), lease_id)]
+        return [LeaseRelease(self._slot.new_operation_id(), lease_id)]
 
     def _start_handover(self, now_s: float) -> list[Output]:
         if self._state is DutyState.HANDING_OVER:
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class ModelCalled(Event):
+class CompletionRequested(Event):
     """A caller calls a model; `deadline_in_s` is relative to the arrival."""
 
     request_id: RequestId
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen
-class ServiceCalled(Event):
+class ServiceCallRequested(Event):
     """A caller calls a plain service."""
 
     request_id: RequestId
@@ -83,7 +83,7 @@
 
 
 @attrs.frozen
-class ModelsAsked(Event):
+class ModelListRequested(Event):
     """A caller requests the list of models that its key may use."""
 
     request_id: RequestId
@@ -91,7 +91,7 @@
 
 
 @attrs.frozen
-class StatusAsked(Event):
+class StatusRequested(Event):
     """The operator requests the state of this node."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_once.py
+++ b/packages/core/dandelionyoke_core/_idempotency.py
@@ -17,7 +17,7 @@
 from dandelionyoke_core._claim_table import Claim, ClaimTable
 from dandelionyoke_core._claims import (
     ClaimRecord,
-    OnceSettings,
+    IdempotencySettings,
     claim_key,
     hash_request,
     store_down_refusal,
@@ -25,7 +25,7 @@
 )
 from dandelionyoke_core._events import (
     Event,
-    ServiceCalled,
+    ServiceCallRequested,
     Started,
     StoreAnswered,
     Woken,
@@ -36,7 +36,7 @@
 from dandelionyoke_core._wall_clock import WallClock
 
 
-class OncePart:
+class IdempotencyPart:
     """Claims calls in the store and records their ends."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
@@ -46,7 +46,10 @@
     )
 
     def __init__(
-        self, settings: OnceSettings, instance_id: InstanceId, random: Random
+        self,
+        settings: IdempotencySettings,
+        instance_id: InstanceId,
+        random: Random,
     ) -> None:
         self._settings = settings
         self._instance_id = instance_id
@@ -85,7 +88,7 @@
 
     def claim(
         self,
-        call: ServiceCalled,
+        call: ServiceCallRequested,
         organisation: OrganisationId,
         now_s: float,
     ) -> list[Output]:
@@ -118,7 +121,7 @@
         self._sweep.add_organisation(organisation, now_s)
         return [self._table.write(claim, now_s)]
 
-    def settle(
+    def record_result(
         self,
         request_id: RequestId,
         status: int,
@@ -136,11 +139,13 @@
             now_s,
         )
 
-    def reopen(self, request_id: RequestId, now_s: float) -> list[Output]:
+    def release(self, request_id: RequestId, now_s: float) -> list[Output]:
         """Release a claim because the call certainly did not run."""
         return self._state_machine.close(request_id, release_claim, now_s)
 
-    def doubt(self, request_id: RequestId, now_s: float) -> list[Output]:
+    def mark_outcome_unknown(
+        self, request_id: RequestId, now_s: float
+    ) -> list[Output]:
         """Mark a claim as in doubt for good: its outcome is unknown."""
         return self._state_machine.close(request_id, mark_in_doubt, now_s)
 
--- a/packages/core/dandelionyoke_core/_intake.py
+++ b/packages/core/dandelionyoke_core/_intake.py
@@ -12,11 +12,11 @@
     unknown_service,
 )
 from dandelionyoke_core._entities import ServiceKind
-from dandelionyoke_core._events import ModelCalled, ServiceCalled
+from dandelionyoke_core._events import CompletionRequested, ServiceCallRequested
 from dandelionyoke_core._names import ModelName, OrganisationId
 from dandelionyoke_core._ports import (
     Authenticator,
-    Directory,
+    ConfigurationView,
     Identity,
     Quarantine,
     RouteNeed,
@@ -36,17 +36,17 @@
     def __init__(
         self,
         settings: RequestSettings,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         authenticator: Authenticator,
         quarantine: Quarantine,
     ) -> None:
         self._settings = settings
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._authenticator = authenticator
         self._quarantine = quarantine
 
     def prepare(
-        self, event: ModelCalled | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCallRequested, now_s: float
     ) -> PreparedCall | Refusal:
         """Prepare a new call for admission, or refuse it."""
         identity = self._authenticator.authenticate(event.bearer_key, now_s)
@@ -54,14 +54,14 @@
             return identity
         # The key must not reach targets or logs, so it is removed here.
         event = attrs.evolve(event, bearer_key='')
-        if isinstance(event, ModelCalled):
+        if isinstance(event, CompletionRequested):
             return self._prepare_model_call(event, identity, now_s)
         return self._prepare_service_call(event, identity, now_s)
 
     def _prepare_model_call(
-        self, event: ModelCalled, identity: Identity, now_s: float
+        self, event: CompletionRequested, identity: Identity, now_s: float
     ) -> PreparedCall | Refusal:
-        model = self._directory.snapshot.models.get(event.model_name)
+        model = self._configuration_view.snapshot.models.get(event.model_name)
         if model is None:
             return unknown_model(event.model_name)
         organisation_id = identity.organisation.organisation_id
@@ -91,9 +91,11 @@
         return call, _ticket(call)
 
     def _prepare_service_call(
-        self, event: ServiceCalled, identity: Identity, now_s: float
+        self, event: ServiceCallRequested, identity: Identity, now_s: float
     ) -> PreparedCall | Refusal:
-        service = self._directory.snapshot.services.get(event.service_name)
+        service = self._configuration_view.snapshot.services.get(
+            event.service_name
+        )
         if service is None or service.kind is not ServiceKind.PLAIN:
             return unknown_service(event.service_name)
         unrepeatable = is_unrepeatable(service, event.method, event.path)
@@ -118,7 +120,7 @@
         return call, _ticket(call)
 
     def _deadline_s(
-        self, event: ModelCalled | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCallRequested, now_s: float
     ) -> float:
         if event.deadline_in_s is None:
             return now_s + self._settings.default_deadline_s
--- a/packages/core/dandelionyoke_core/_model_placement.py
+++ b/packages/core/dandelionyoke_core/_model_placement.py
@@ -8,7 +8,7 @@
     no_target,
     retry_budget_exhausted,
 )
-from dandelionyoke_core._events import ModelCalled
+from dandelionyoke_core._events import CompletionRequested
 from dandelionyoke_core._ports import NoRoute, Output
 from dandelionyoke_core._records import Target
 from dandelionyoke_core._refusals import Refusal
@@ -52,7 +52,9 @@
             if self._operations.quarantine.crowded(call.fingerprint, now_s):
                 return self._wait_for_suspects(call, now_s)
             return self._wait_or_refuse(call, no_target(route), now_s)
-        if call.needs_retry_budget and not self._operations.budget.spend(now_s):
+        if call.needs_retry_budget and not self._operations.budget.try_charge(
+            now_s
+        ):
             refusal = retry_budget_exhausted(self._retry_after_s(call, now_s))
             return self._wait_or_refuse(call, refusal, now_s)
         outputs: list[Output] = []
@@ -63,7 +65,7 @@
 
     def _start(self, call: Call, target: Target, now_s: float) -> list[Output]:
         event = call.event
-        if not isinstance(event, ModelCalled):
+        if not isinstance(event, CompletionRequested):
             return []
         attempt = call.start_attempt(target, now_s)
         return [
--- a/packages/core/dandelionyoke_core/_node_queries.py
+++ b/packages/core/dandelionyoke_core/_node_queries.py
@@ -10,9 +10,18 @@
     RefuseCall,
 )
 from dandelionyoke_core._capacity import CapacityView
-from dandelionyoke_core._events import Event, ModelsAsked, StatusAsked
+from dandelionyoke_core._events import (
+    Event,
+    ModelListRequested,
+    StatusRequested,
+)
 from dandelionyoke_core._notices import DutyGained, DutyLost
-from dandelionyoke_core._ports import Authenticator, Directory, Output, Peers
+from dandelionyoke_core._ports import (
+    Authenticator,
+    ConfigurationView,
+    Output,
+    Peers,
+)
 from dandelionyoke_core._records import Instance
 from dandelionyoke_core._refusals import Refusal
 
@@ -23,8 +32,8 @@
     """Answers model and status queries; makes no decisions."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
-        ModelsAsked,
-        StatusAsked,
+        ModelListRequested,
+        StatusRequested,
         DutyGained,
         DutyLost,
     )
@@ -32,7 +41,7 @@
     def __init__(
         self,
         own: Instance,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         authenticator: Authenticator,
         peers: Peers,
         capacities: CapacityView,
@@ -40,7 +49,7 @@
         in_progress: Callable[[], int],
     ) -> None:
         self._own = own
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._authenticator = authenticator
         self._peers = peers
         self._capacities = capacities
@@ -52,9 +61,9 @@
         """Handle an event and return the resulting outputs."""
         outputs: list[Output] = []
         match event:
-            case ModelsAsked():
+            case ModelListRequested():
                 outputs.append(self._models(event, now_s))
-            case StatusAsked():
+            case StatusRequested():
                 status = self._status(now_s)
                 outputs.append(AnswerStatus(event.request_id, status))
             case DutyGained():
@@ -67,11 +76,11 @@
         """Return None: this part needs no wake-up."""
         return NO_WAKEUP_S
 
-    def _models(self, event: ModelsAsked, now_s: float) -> Output:
+    def _models(self, event: ModelListRequested, now_s: float) -> Output:
         identity = self._authenticator.authenticate(event.bearer_key, now_s)
         if isinstance(identity, Refusal):
             return RefuseCall(event.request_id, identity)
-        models = self._directory.snapshot.models
+        models = self._configuration_view.snapshot.models
         return AnswerModels(
             event.request_id, tuple(models[name] for name in sorted(models))
         )
@@ -79,15 +88,15 @@
     def _usable_targets(self, now_s: float) -> int:
         return sum(
             self._capacities.capacity(service, now_s).targets
-            for service in self._directory.snapshot.services
+            for service in self._configuration_view.snapshot.services
         )
 
     def _status(self, now_s: float) -> NodeStatus:
         return NodeStatus(
             instance_id=self._own.instance_id,
             domain=self._own.domain,
-            revision=self._directory.snapshot.revision,
-            knowledge_age_s=self._directory.knowledge_age_s(now_s),
+            revision=self._configuration_view.snapshot.revision,
+            knowledge_age_s=self._configuration_view.knowledge_age_s(now_s),
             leaving=self._is_leaving(),
             in_progress=self._in_progress(),
             live=self._peers.live,
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -10,7 +10,7 @@
 
 from dandelionyoke_core._actions import Action
 from dandelionyoke_core._entities import Organisation, Snapshot
-from dandelionyoke_core._events import Event, Notice, ServiceCalled
+from dandelionyoke_core._events import Event, Notice, ServiceCallRequested
 from dandelionyoke_core._names import (
     AttemptId,
     InstanceId,
@@ -41,7 +41,7 @@
         """Return the time of the next wake-up, or None."""
 
 
-class Directory(Protocol):
+class ConfigurationView(Protocol):
     """Access to the configuration that this node applies."""
 
     @property
@@ -125,7 +125,7 @@
 class RouteNeed:
     """Requirements of a call on its target.
 
-    `avoid` lists targets that already failed this call; `prefer` is the
+    `avoid` lists targets that already failed this call; `preferred_target` is the
     target that may still hold its state. Calls with `steady` are not sent to
     reclaimable (spot) targets.
     """
@@ -138,7 +138,7 @@
     max_output_tokens: int = 0
     steady: bool = False
     avoid: frozenset[TargetId] = frozenset()
-    prefer: TargetId | None = None
+    preferred_target: TargetId | None = None
     deadline_s: float | None = None
 
 
@@ -184,13 +184,13 @@
 
     def claim(
         self,
-        call: ServiceCalled,
+        call: ServiceCallRequested,
         organisation: OrganisationId,
         now_s: float,
     ) -> list[Output]:
         """Claim a call; ClaimGranted, ClaimAnswered or ClaimRefused follows."""
 
-    def settle(
+    def record_result(
         self,
         request_id: RequestId,
         status: int,
@@ -200,10 +200,12 @@
     ) -> list[Output]:
         """Record the result of a claimed call."""
 
-    def reopen(self, request_id: RequestId, now_s: float) -> list[Output]:
+    def release(self, request_id: RequestId, now_s: float) -> list[Output]:
         """Release a claim because the call is proven not to have run."""
 
-    def doubt(self, request_id: RequestId, now_s: float) -> list[Output]:
+    def mark_outcome_unknown(
+        self, request_id: RequestId, now_s: float
+    ) -> list[Output]:
         """Mark a claim permanently as having an unknown result."""
 
 
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -24,10 +24,10 @@
     AttemptFailed,
     AttemptRefused,
     CallerGone,
+    CompletionRequested,
     Event,
-    ModelCalled,
     ServiceAnswered,
-    ServiceCalled,
+    ServiceCallRequested,
     ShutdownForced,
     TokensArrived,
     Woken,
@@ -47,7 +47,7 @@
     Admitter,
     Authenticator,
     Claimer,
-    Directory,
+    ConfigurationView,
     Output,
     Quarantine,
     Queued,
@@ -73,8 +73,8 @@
     """Handle all calls that callers send to this node."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
-        ModelCalled,
-        ServiceCalled,
+        CompletionRequested,
+        ServiceCallRequested,
         CallerGone,
         *_ATTEMPT_EVENTS,
         CallAdmitted,
@@ -92,7 +92,7 @@
     def __init__(  # noqa: WPS211  each collaborator by its own name
         self,
         settings: RequestSettings,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         authenticator: Authenticator,
         admitter: Admitter,
         router: Router,
@@ -101,7 +101,9 @@
         random: Random,
     ) -> None:
         self._settings = settings
-        self._intake = Intake(settings, directory, authenticator, quarantine)
+        self._intake = Intake(
+            settings, configuration_view, authenticator, quarantine
+        )
         self._random = random
         self._operations = CallOperations(
             settings,
@@ -139,8 +141,8 @@
         self,
     ) -> dict[type[Event], Callable[[Any, float], list[Output]]]:
         return {
-            ModelCalled: self._on_called,
-            ServiceCalled: self._on_called,
+            CompletionRequested: self._on_called,
+            ServiceCallRequested: self._on_called,
             CallerGone: self._on_caller_gone,
             CallAdmitted: self._on_admitted,
             CallRejected: self._on_rejected,
@@ -158,7 +160,7 @@
     # Events from callers and admission.
 
     def _on_called(
-        self, event: ModelCalled | ServiceCalled, now_s: float
+        self, event: CompletionRequested | ServiceCallRequested, now_s: float
     ) -> list[Output]:
         request_id = event.request_id
         if len(self._operations.calls) >= self._settings.max_calls:
@@ -171,7 +173,7 @@
         if isinstance(decision, Refusal):
             return refusal_outputs(request_id, decision)
         self._operations.calls[request_id] = call
-        self._operations.budget.earn(now_s)
+        self._operations.budget.add_call(now_s)
         if isinstance(decision, Queued):
             return [WriteLog('request.queued', request_id)]
         return self._start(call, now_s)
@@ -227,7 +229,7 @@
             # The call ended before its claim was granted, so nothing was
             # sent. If the claim stayed, every repeat would be refused as "in
             # progress" and later as in doubt, although nothing ever ran.
-            return self._operations.claimer.reopen(event.request_id, now_s)
+            return self._operations.claimer.release(event.request_id, now_s)
         return self._call_handlers.services.on_claim_granted(call, now_s)
 
     def _on_claim_ended(
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -3,8 +3,7 @@
 from random import Random
 from typing import ClassVar
 
-from dandelionyoke_core._capacity import Outlook, ServiceCapacity
-from dandelionyoke_core._choice import TargetChooser
+from dandelionyoke_core._capacity import CallForecast, ServiceCapacity
 from dandelionyoke_core._events import (
     CacheEventsReported,
     Event,
@@ -15,8 +14,7 @@
     TargetUnreachable,
     Woken,
 )
-from dandelionyoke_core._fleet_view import TargetSight
-from dandelionyoke_core._fresh_shares import UncachedShares
+from dandelionyoke_core._fleet_view import TargetStatus
 from dandelionyoke_core._load_estimate import WorkSize
 from dandelionyoke_core._names import (
     AttemptId,
@@ -29,7 +27,7 @@
 from dandelionyoke_core._output_estimate import OutputEstimate
 from dandelionyoke_core._poll_schedule import PollSchedule
 from dandelionyoke_core._ports import (
-    Directory,
+    ConfigurationView,
     NoRoute,
     Output,
     Peers,
@@ -39,8 +37,10 @@
 from dandelionyoke_core._records import Role, Target
 from dandelionyoke_core._reuse_estimate import ReuseEstimate
 from dandelionyoke_core._routing_settings import RoutingSettings
+from dandelionyoke_core._target_choice import TargetChooser
 from dandelionyoke_core._target_state import NEVER_S, SentAttempt, TargetState
 from dandelionyoke_core._target_table import TargetTable
+from dandelionyoke_core._uncached_shares import UncachedShares
 
 
 class RoutingPart:
@@ -61,14 +61,14 @@
     def __init__(
         self,
         settings: RoutingSettings,
-        directory: Directory,
+        configuration_view: ConfigurationView,
         peers: Peers,
         domain: Domain,
         instance_id: InstanceId,
         random: Random,
     ) -> None:
         self._settings = settings
-        self._directory = directory
+        self._configuration_view = configuration_view
         self._table = TargetTable(settings)
         self._uncached_shares = UncachedShares()
         self._reuse_estimate = ReuseEstimate()
@@ -160,9 +160,9 @@
         slots = sum(self._slots(state) for state in usable)
         return ServiceCapacity(len(usable), slots)
 
-    def outlook(
+    def forecast(
         self, service: ServiceName, size: WorkSize, now_s: float
-    ) -> Outlook | None:
+    ) -> CallForecast | None:
         """Estimate a call at the best of a sample of targets.
 
         Returns None while no target is usable.
@@ -170,15 +170,15 @@
         usable = self._usable(service, now_s)
         if not usable:
             return None
-        estimate, state = self._chooser.outlook(size, usable, now_s)
-        has_room = (
+        estimate, state = self._chooser.forecast(size, usable, now_s)
+        can_start = (
             estimate.queue_s <= self._settings.max_queue_s
             and estimate.token_s <= self._settings.max_token_s
             and estimate.missing_blocks <= 0
             and state.load().calls < self._slots(state)
         )
-        return Outlook(
-            has_room,
+        return CallForecast(
+            can_start,
             estimate.first_token_s,
             estimate.total_s,
             estimate.total_s - estimate.queue_s,
@@ -186,12 +186,12 @@
 
     # TargetView protocol.
 
-    def sights(
+    def target_statuses(
         self, service: ServiceName, now_s: float
-    ) -> tuple[TargetSight, ...]:
+    ) -> tuple[TargetStatus, ...]:
         """Return the state of the targets of a service in all domains."""
         return tuple(
-            TargetSight(
+            TargetStatus(
                 state.target,
                 state.report.role,
                 state.load().calls,
@@ -230,7 +230,7 @@
         }
         if need.steady:
             return on_demand
-        service = self._directory.snapshot.services.get(need.service)
+        service = self._configuration_view.snapshot.services.get(need.service)
         share = 0 if service is None else service.reclaimable_share
         engine_s = self._engine_s(self._work_size(need))
         if self._reclaimable_budget(need.service).allows(
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -23,7 +23,7 @@
     AttemptRefused,
     Event,
     ServiceAnswered,
-    ServiceCalled,
+    ServiceCallRequested,
 )
 from dandelionyoke_core._notices import (
     ClaimAnswered,
@@ -44,7 +44,7 @@
     def start(self, call: Call, now_s: float) -> list[Output]:
         """Send an admitted call; an unrepeatable call is claimed first."""
         event = call.event
-        if not call.unrepeatable or not isinstance(event, ServiceCalled):
+        if not call.unrepeatable or not isinstance(event, ServiceCallRequested):
             return self._place(call, now_s)
         call.phase = Phase.CLAIMING
         organisation_id = call.identity.organisation.organisation_id
@@ -117,7 +117,7 @@
             )
         if call.claimed:
             call.claimed = False
-            outputs += self._operations.claimer.settle(
+            outputs += self._operations.claimer.record_result(
                 call.request_id,
                 event.status,
                 event.content_type,
@@ -204,7 +204,7 @@
         if isinstance(route, NoRoute):
             return self.give_up(call, no_target(route), now_s)
         event = call.event
-        if not isinstance(event, ServiceCalled):
+        if not isinstance(event, ServiceCallRequested):
             return []
         attempt = call.start_attempt(route, now_s)
         return [
@@ -246,11 +246,13 @@
             return []
         call.avoid.add(attempt.target.target_id)
         outputs = self._drop_attempt(call, now_s)
-        if _is_repeatable(call) and self._operations.budget.spend(now_s):
+        if _is_repeatable(call) and self._operations.budget.try_charge(now_s):
             return [*outputs, *self._place(call, now_s)]
         if call.claimed:
             call.claimed = False
-            outputs += self._operations.claimer.doubt(call.request_id, now_s)
+            outputs += self._operations.claimer.mark_outcome_unknown(
+                call.request_id, now_s
+            )
         refusal = outcome_unknown(cause, unrepeatable=call.unrepeatable)
         return [*outputs, *self._end_call(call, refusal, now_s)]
 
@@ -269,7 +271,7 @@
         if not call.claimed:
             return []
         call.claimed = False
-        return self._operations.claimer.reopen(call.request_id, now_s)
+        return self._operations.claimer.release(call.request_id, now_s)
 
     def _end_call(
         self, call: Call, refusal: Refusal, now_s: float
@@ -283,6 +285,6 @@
 
 def _is_repeatable(call: Call) -> bool:
     event = call.event
-    if call.unrepeatable or not isinstance(event, ServiceCalled):
+    if call.unrepeatable or not isinstance(event, ServiceCallRequested):
         return False
     return event.method.upper() in IDEMPOTENT_METHODS
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import ClassVar
 
-from dandelionyoke_core._authority import REPORT_DUTY
+from dandelionyoke_core._duty_lease import REPORT_DUTY
 from dandelionyoke_core._events import (
     Event,
     PeerConnected,
@@ -20,11 +20,11 @@
     Woken,
 )
 from dandelionyoke_core._notices import (
-    CallDelivered,
     DutyExtended,
     DutyGained,
     DutyLost,
     Leaving,
+    UsageDelivered,
 )
 from dandelionyoke_core._ports import Output, Peers
 from dandelionyoke_core._records import Instance
@@ -41,7 +41,7 @@
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
         Woken,
-        CallDelivered,
+        UsageDelivered,
         StoreAnswered,
         UsageAnswered,
         PeerConnected,
@@ -70,7 +70,7 @@
         self._has_given_up = False
 
     @property
-    def unsaved(self) -> int:
+    def unsaved_count(self) -> int:
         """1 while a leaving entry still has counts to save, else 0."""
         if self._final_flush_deadline_s is None or self._has_given_up:
             return 0
@@ -79,7 +79,7 @@
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Handle an event and return the resulting outputs."""
         match event:
-            case CallDelivered():
+            case UsageDelivered():
                 return self._counter.count(event, now_s)
             case StoreAnswered():
                 return self._handle_store_answer(event, now_s)
@@ -105,7 +105,7 @@
             self._copies.slot.next_wakeup_s(),
             self._reporter.next_wakeup_s(),
         ]
-        if self.unsaved:
+        if self.unsaved_count:
             times.append(self._final_flush_deadline_s)
         return min((due for due in times if due is not None), default=None)
 
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -8,12 +8,12 @@
 
 from dandelionyoke_core import (
     Action,
-    AuthorityPart,
-    AuthoritySettings,
     BackOffSettings,
     Domain,
     DutyExtended,
     DutyGained,
+    DutyLeasePart,
+    DutyLeaseSettings,
     DutyLost,
     Event,
     Instance,
@@ -74,15 +74,15 @@
         self._inbox: LightQueue = LightQueue()
         self._own_id = InstanceId(settings.instance_id)
         own_instance = Instance(self._own_id, ALL_DOMAINS, '', '')
-        self._authority = AuthorityPart(
-            AuthoritySettings(
+        self._duty_lease = DutyLeasePart(
+            DutyLeaseSettings(
                 ttl_s=max(
                     MIN_LEASE_TTL_S, settings.duty_turn_s + RENEW_INTERVAL_S
                 ),
                 renew_interval_s=RENEW_INTERVAL_S,
                 renew_retry_s=RENEW_RETRY_INTERVAL_S,
-                look_interval_s=POLL_INTERVAL_S,
-                return_pause_s=RETURN_PAUSE_FACTOR * settings.duty_turn_s,
+                check_interval_s=POLL_INTERVAL_S,
+                reacquire_delay_s=RETURN_PAUSE_FACTOR * settings.duty_turn_s,
                 call_timeout_s=CALL_TIMEOUT_S,
                 candidates=MAX_CANDIDATES,
                 back_off=BackOffSettings(
@@ -123,7 +123,7 @@
         self._inbox.put(Leaving())
 
     def _next_event(self) -> Event:
-        wakeup_s = self._authority.next_wakeup_s()
+        wakeup_s = self._duty_lease.next_wakeup_s()
         wait_s = None if wakeup_s is None else max(0, wakeup_s - clock_s())
         try:
             event: Event = self._inbox.get(timeout=wait_s)
@@ -132,7 +132,7 @@
         return event
 
     def _handle_event(self, event: Event) -> None:
-        for output in self._authority.handle(event, clock_s()):
+        for output in self._duty_lease.handle(event, clock_s()):
             match output:
                 case DutyGained() | DutyExtended():
                     self._fencing_token = output.fence
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -11,14 +11,14 @@
 import attrs
 
 from dandelionyoke_core import (
+    CompletionRequested,
     Event,
     InstanceId,
-    ModelCalled,
-    ModelsAsked,
+    ModelListRequested,
     RequestId,
-    ServiceCalled,
+    ServiceCallRequested,
     ServiceName,
-    StatusAsked,
+    StatusRequested,
 )
 from dandelionyoke_wire import _openai as openai
 from dandelionyoke_wire._caller_input import (
@@ -119,13 +119,15 @@
                     request_id, environ, start_response, False
                 )
             case ('GET', '/models'):
-                models_asked = ModelsAsked(request_id, bearer_key(environ))
+                models_asked = ModelListRequested(
+                    request_id, bearer_key(environ)
+                )
                 return send_response(
                     start_response, self._submit_and_wait(models_asked, environ)
                 )
             case ('GET', '/status'):
                 response = self._submit_and_wait(
-                    StatusAsked(request_id), environ
+                    StatusRequested(request_id), environ
                 )
                 return send_response(start_response, response)
             case ('GET', '/healthz'):
@@ -147,11 +149,11 @@
 
     def _parse_service_call(
         self, request_id: RequestId, environ: Environ
-    ) -> ServiceCalled:
+    ) -> ServiceCallRequested:
         subpath = request_path(environ).removeprefix(SERVICES_PREFIX)
         service_name, _, path = subpath.partition('/')
         query = environ.get('QUERY_STRING')
-        return ServiceCalled(
+        return ServiceCallRequested(
             request_id,
             bearer_key(environ),
             ServiceName(service_name),
@@ -174,7 +176,7 @@
             request = openai.parse_request(self._read_body(environ), chat=chat)
         except openai.InvalidBodyError as error:
             raise CallError(malformed(error.detail, error.remedy)) from error
-        event = ModelCalled(
+        event = CompletionRequested(
             request_id,
             bearer_key(environ),
             request.model_name,
@@ -190,7 +192,7 @@
 
     def _submit_and_wait(
         self,
-        event: ServiceCalled | ModelsAsked | StatusAsked,
+        event: ServiceCallRequested | ModelListRequested | StatusRequested,
         environ: Environ,
     ) -> Response:
         request_id = event.request_id
--- a/tests/core/test_authority.py
+++ b/tests/core/test_duty_lease.py
@@ -8,9 +8,9 @@
 from dandelionyoke_core import (
     REPORT_DUTY,
     Action,
-    AuthorityPart,
-    AuthoritySettings,
     DutyGained,
+    DutyLeasePart,
+    DutyLeaseSettings,
     Event,
     Instance,
     LeaseGrant,
@@ -49,7 +49,7 @@
 
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Create the parts of an entry that only competes for the duty."""
-    return [AuthorityPart(AuthoritySettings(), REPORT_DUTY, own, random)]
+    return [DutyLeasePart(DutyLeaseSettings(), REPORT_DUTY, own, random)]
 
 
 def active_holders(bench: Bench) -> dict[str, int]:
@@ -81,7 +81,7 @@
     return bench
 
 
-class AuthorityTest(testtools.TestCase):
+class DutyLeaseTest(testtools.TestCase):
     def test_two_candidates_in_every_order_of_six_steps(self) -> None:
         """Two entries compete for a duty that nobody holds.
 
@@ -232,8 +232,8 @@
     def setUp(self) -> None:
         super().setUp()
         own = instance(FIRST)
-        self.part = AuthorityPart(
-            AuthoritySettings(), REPORT_DUTY, own, Random(1)
+        self.part = DutyLeasePart(
+            DutyLeaseSettings(), REPORT_DUTY, own, Random(1)
         )
         self.now_s = 0.0
         self.outputs: list[object] = []
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -9,9 +9,8 @@
 from dandelionyoke_core import (
     REPORT_DUTY,
     Action,
-    AuthorityPart,
-    AuthoritySettings,
-    CallDelivered,
+    DutyLeasePart,
+    DutyLeaseSettings,
     Event,
     Instance,
     Leaving,
@@ -24,6 +23,7 @@
     StorePut,
     SubmitUsage,
     UsageAnswered,
+    UsageDelivered,
     UsagePart,
     UsageSettings,
 )
@@ -55,7 +55,7 @@
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Return the parts of an entry that counts and may report usage."""
     return [
-        AuthorityPart(AuthoritySettings(), REPORT_DUTY, own, random),
+        DutyLeasePart(DutyLeaseSettings(), REPORT_DUTY, own, random),
         UsagePart(SETTINGS, own, 1, NoPeers(), random),
     ]
 
@@ -73,9 +73,9 @@
     return UsageAnswered(window.window_id, accepted=True)
 
 
-def make_delivery(tokens: int, requests: int = 0) -> CallDelivered:
+def make_delivery(tokens: int, requests: int = 0) -> UsageDelivered:
     """Return a notice of tokens delivered to a caller."""
-    return CallDelivered(
+    return UsageDelivered(
         RequestId('request'),
         OrganisationId('kiosk'),
         ServiceName('assistant'),
@@ -228,9 +228,9 @@
         bench.entries[FIRST].take(Leaving(), bench.now_s)
         usage = bench.entries[FIRST].parts[1]
         assert isinstance(usage, UsagePart)
-        self.assertEqual(1, usage.unsaved)
+        self.assertEqual(1, usage.unsaved_count)
         bench.settle(bench.now_s + 11, (FIRST,))
-        self.assertEqual(0, usage.unsaved)
+        self.assertEqual(0, usage.unsaved_count)
 
 
 def _is_closing(bench: Bench, name: str) -> bool:
