--- a/packages/standins/dandelionyoke_standins/_attempt.py
+++ b/packages/standins/dandelionyoke_standins/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of an engine at an answer, and what it holds."""
+"""The state of one generation attempt on an engine."""
 
 from collections.abc import Iterable
 from typing import Literal
@@ -17,9 +17,10 @@
 
 @attrs.frozen
 class GenerateRequest:
-    """What a caller of the engine asks for.
+    """A generation request as the engine receives it.
 
-    `max_output_tokens` bounds the whole answer, resumed tokens included.
+    `max_output_tokens` limits the complete answer, including
+    `resume_tokens`.
     """
 
     attempt_id: str
@@ -34,7 +35,7 @@
 
 @attrs.frozen
 class StreamEnd:
-    """How an attempt ended: a whole answer, or the cause of an error."""
+    """How an attempt ended: a complete answer, or the cause of an error."""
 
     reason: Literal['stop', 'length', 'error']
     cause: str = ''
@@ -42,7 +43,7 @@
 
 @attrs.frozen
 class Output:
-    """Output from an offset on; the end stands only after all of it."""
+    """Output tokens from an offset; `end` is set once no more will follow."""
 
     attempt_id: str
     offset: int
@@ -52,9 +53,10 @@
 
 @attrs.define(eq=False)
 class Attempt:
-    """An attempt in the engine's queue, its batch or its memory of ends.
+    """An attempt that is queued, running or recently ended.
 
-    `pending_tokens` are still to be computed before it can decode.
+    `pending_tokens` counts the context tokens that prefill must still
+    compute before decode can start.
     """
 
     request: GenerateRequest
@@ -70,15 +72,15 @@
     cached_tokens: int = 0
     decode_credit: float = 0
     preemptions: int = 0
-    context_names: tuple[str, ...] = ()
-    held_names: tuple[str, ...] = ()
+    context_block_ids: tuple[str, ...] = ()
+    held_block_ids: tuple[str, ...] = ()
     private_blocks: int = 0
 
     @classmethod
-    def receive(
+    def from_request(
         cls, request: GenerateRequest, arrival: int, now_s: float
     ) -> 'Attempt':
-        """Set out on an answer, from the resumed tokens on."""
+        """Create a waiting attempt that continues after the resumed tokens."""
         attempt = cls(
             request=request,
             received_s=now_s,
@@ -87,53 +89,55 @@
             plan=answer_plan(request.prompt, request.max_output_tokens),
             output=list(request.resume_tokens),
         )
-        attempt.start_over()
+        attempt.reset_progress()
         return attempt
 
     @property
     def context_tokens(self) -> int:
-        """Tokens whose KV the next token rests on."""
+        """Number of prompt and output tokens that precede the next token."""
         return len(self.prompt_tokens) + len(self.output)
 
     @property
     def context_blocks(self) -> int:
-        """Blocks that the context fills, the last one perhaps in part."""
+        """Number of KV blocks for the context, including a partly filled one."""
         return -(-self.context_tokens // BLOCK_TOKENS)
 
     @property
-    def whole_blocks(self) -> int:
-        """Blocks that the context fills once the answer is whole."""
+    def final_blocks(self) -> int:
+        """Number of KV blocks for the prompt and the complete answer."""
         tokens = len(self.prompt_tokens) + self.plan.length_tokens
         return -(-tokens // BLOCK_TOKENS)
 
     @property
-    def is_whole(self) -> bool:
-        """Whether every token of the answer is there."""
+    def is_complete(self) -> bool:
+        """Whether every token of the answer has been generated."""
         return len(self.output) >= self.plan.length_tokens
 
-    def name_context(self) -> None:
-        """Name the whole blocks of the context as it is now."""
-        self.context_names = prefix_blocks((*self.prompt_tokens, *self.output))
+    def update_block_ids(self) -> None:
+        """Recompute the ids of the full blocks of the current context."""
+        self.context_block_ids = prefix_blocks(
+            (*self.prompt_tokens, *self.output)
+        )
 
-    def start_over(self) -> None:
-        """Wait with nothing computed."""
+    def reset_progress(self) -> None:
+        """Return to the waiting state with the whole context uncomputed."""
         self.state = 'waiting'
         self.pending_tokens = self.context_tokens
-        self.name_context()
+        self.update_block_ids()
 
-    def computed_names(self) -> tuple[str, ...]:
-        """Name the blocks whose KV is there."""
+    def computed_block_ids(self) -> tuple[str, ...]:
+        """Return the ids of the blocks that hold computed KV."""
         if self.pending_tokens:
-            return self.held_names
-        self.name_context()
-        return self.context_names
+            return self.held_block_ids
+        self.update_block_ids()
+        return self.context_block_ids
 
-    def emit(self) -> None:
-        """Put out the next token."""
+    def emit_token(self) -> None:
+        """Append the next output token."""
         self.output.append(self.plan.token(len(self.output)))
 
     def output_from(self, offset: int) -> Output:
-        """Give the output from an offset on."""
+        """Return the output from an offset on."""
         return Output(
             self.request.attempt_id,
             offset,
--- a/packages/standins/dandelionyoke_standins/_batch.py
+++ b/packages/standins/dandelionyoke_standins/_batch.py
@@ -1,4 +1,4 @@
-"""An engine's batch: who runs, whose prompt is computed, who decodes."""
+"""An engine's batch scheduler: admission, prefill, decode and preemption."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -15,10 +15,10 @@
 
 @attrs.frozen
 class RoleRates:
-    """What a role makes of an engine's rates.
+    """How a role scales an engine's prefill and decode rates.
 
-    While some work decodes, computing prompts takes at most
-    `prefill_share` of the time.
+    While any attempt decodes, prefill takes at most `prefill_share` of the
+    time.
     """
 
     prefill_factor: float
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class BatchSettings:
-    """Rates and bounds of an engine's batch."""
+    """Rates and limits of an engine's batch."""
 
     prefill_tokens_per_s: float = 8000
     decode_tokens_per_s: float = 800
@@ -46,7 +46,7 @@
 
 
 class Batch:
-    """Moves attempts from the queue through prefill and decode to the end."""
+    """Moves attempts from the queue through prefill and decode."""
 
     def __init__(self, settings: BatchSettings, pool: BlockPool) -> None:
         self.waiting: list[Attempt] = []
@@ -59,29 +59,29 @@
 
     @property
     def pending_tokens(self) -> int:
-        """Prompt tokens that are still to be computed."""
+        """Number of tokens that prefill must still compute."""
         return sum(attempt.pending_tokens for attempt in self.in_progress)
 
     @property
     def in_progress(self) -> tuple[Attempt, ...]:
-        """What runs and what waits."""
+        """The running attempts, followed by the waiting ones."""
         return (*self.running, *self.waiting)
 
     @property
     def is_idle(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether no attempt is running or waiting."""
         return not self.waiting and not self.running
 
     def add(self, attempt: Attempt) -> None:
-        """Queue an attempt behind those of its priority."""
+        """Queue an attempt behind those of the same or a higher priority."""
         self.waiting.append(attempt)
         self.waiting.sort(key=_queue_order)
 
     def remove(self, attempt: Attempt, end: StreamEnd, now_s: float) -> None:
-        """End an attempt, wherever it is."""
+        """End an attempt, whether it is running or waiting."""
         if attempt.state == 'running':
             self.running.remove(attempt)
-            self._keep_prefix(attempt, now_s)
+            self._free_and_cache(attempt, now_s)
         elif attempt.state == 'waiting':
             self.waiting.remove(attempt)
         attempt.state = 'ended'
@@ -89,95 +89,104 @@
         attempt.ended_s = now_s
 
     def step(self, role: Role, step_s: float, now_s: float) -> None:
-        """Work for one step."""
+        """Advance the batch by one time step."""
         rates = ROLE_RATES[role]
         self._admit(now_s)
-        left_s = step_s - self._prefill(rates, step_s, now_s)
-        self._decode(rates, left_s, step_s, now_s)
+        remaining_s = step_s - self._prefill(rates, step_s, now_s)
+        self._decode(rates, remaining_s, step_s, now_s)
 
     def _admit(self, now_s: float) -> None:
         while self.waiting and len(self.running) < self._settings.max_running:
             attempt = self.waiting[0]
-            if not self._take_context(attempt, now_s):
+            if not self._allocate_context(attempt, now_s):
                 return
             self.waiting.pop(0)
             self.running.append(attempt)
             attempt.state = 'running'
 
-    def _take_context(self, attempt: Attempt, now_s: float) -> bool:
-        """Take the blocks of the context, shared ones where cached."""
-        cached = self._pool.cached_prefix(attempt.context_names)
-        self._pool.hold(cached)
-        needed = attempt.context_blocks - len(cached)
-        if not self._pool.take(needed, now_s):
-            self._pool.release(cached)
+    def _allocate_context(self, attempt: Attempt, now_s: float) -> bool:
+        """Reserve KV blocks for the context, reusing cached prefix blocks."""
+        cached_ids = self._pool.cached_prefix(attempt.context_block_ids)
+        self._pool.pin(cached_ids)
+        needed_blocks = attempt.context_blocks - len(cached_ids)
+        if not self._pool.allocate(needed_blocks, now_s):
+            self._pool.unpin(cached_ids)
             return False
-        attempt.held_names = cached
-        attempt.private_blocks = needed
-        # The last token's output is not in the cache, so it is computed.
-        known = min(_block_tokens(len(cached)), attempt.context_tokens - 1)
-        attempt.pending_tokens = attempt.context_tokens - known
-        attempt.cached_tokens = known
+        attempt.held_block_ids = cached_ids
+        attempt.private_blocks = needed_blocks
+        # The cache doesn't hold the output of the last context token, so
+        # that token must be computed.
+        reused_tokens = min(
+            _tokens_in(len(cached_ids)), attempt.context_tokens - 1
+        )
+        attempt.pending_tokens = attempt.context_tokens - reused_tokens
+        attempt.cached_tokens = reused_tokens
         return True
 
     def _prefill(self, rates: RoleRates, step_s: float, now_s: float) -> float:
-        """Compute prompts in order of priority; tell the time it took."""
-        pending = [one for one in self.running if one.pending_tokens]
+        """Run prefill in order of priority and return the time used (s)."""
+        pending = [
+            candidate for candidate in self.running if candidate.pending_tokens
+        ]
         if not pending:
             self._prefill_credit = 0
             return 0
-        is_alone = len(pending) == len(self.running)
-        share = 1 if is_alone else rates.prefill_share
+        is_prefill_only = len(pending) == len(self.running)
+        time_share = 1 if is_prefill_only else rates.prefill_share
         rate = self._settings.prefill_tokens_per_s * rates.prefill_factor
-        self._prefill_credit += step_s * share * rate
-        used = 0
+        self._prefill_credit += step_s * time_share * rate
+        computed_tokens = 0
         for attempt in sorted(pending, key=_queue_order):
             chunk = min(int(self._prefill_credit), attempt.pending_tokens)
             attempt.pending_tokens -= chunk
             self._prefill_credit -= chunk
-            used += chunk
+            computed_tokens += chunk
             if not attempt.pending_tokens:
-                self._share_context(attempt, now_s)
-        return min(step_s, used / rate)
+                self._publish_context(attempt, now_s)
+        return min(step_s, computed_tokens / rate)
 
-    def _share_context(self, attempt: Attempt, now_s: float) -> None:
-        """Let others use the whole blocks that are computed now."""
-        fresh = attempt.context_names[len(attempt.held_names) :]
-        self._pool.name_blocks(fresh, now_s)
-        attempt.held_names = attempt.context_names
-        attempt.private_blocks -= len(fresh)
+    def _publish_context(self, attempt: Attempt, now_s: float) -> None:
+        """Publish the full computed blocks as shared prefix blocks."""
+        new_block_ids = attempt.context_block_ids[len(attempt.held_block_ids) :]
+        self._pool.publish(new_block_ids, now_s)
+        attempt.held_block_ids = attempt.context_block_ids
+        attempt.private_blocks -= len(new_block_ids)
 
     def _decode(
-        self, rates: RoleRates, left_s: float, step_s: float, now_s: float
+        self, rates: RoleRates, remaining_s: float, step_s: float, now_s: float
     ) -> None:
-        decoding = [one for one in self.running if not one.pending_tokens]
+        decoding = [
+            candidate
+            for candidate in self.running
+            if not candidate.pending_tokens
+        ]
         if not decoding:
             return
         rate = self._settings.decode_tokens_per_s * rates.decode_factor
-        fair = left_s * rate / len(decoding)
-        credit = min(fair, step_s * self._settings.stream_tokens_per_s)
+        equal_share = remaining_s * rate / len(decoding)
+        credit = min(equal_share, step_s * self._settings.stream_tokens_per_s)
         for attempt in decoding:
             attempt.decode_credit += credit
-            # Another one's need for memory may have sent it back to wait.
+            # An earlier attempt of this loop may have preempted this one.
             if attempt.state == 'running':
-                self._decode_one(attempt, now_s)
+                self._decode_attempt(attempt, now_s)
 
-    def _decode_one(self, attempt: Attempt, now_s: float) -> None:
-        while attempt.decode_credit >= 1 and not attempt.is_whole:
-            if not self._make_room(attempt, now_s):
+    def _decode_attempt(self, attempt: Attempt, now_s: float) -> None:
+        while attempt.decode_credit >= 1 and not attempt.is_complete:
+            if not self._ensure_block(attempt, now_s):
                 return
-            attempt.emit()
+            attempt.emit_token()
             attempt.decode_credit -= 1
             self.decoded_tokens += 1
-        if attempt.is_whole:
+        if attempt.is_complete:
             self.remove(attempt, StreamEnd(attempt.plan.end), now_s)
 
-    def _make_room(self, attempt: Attempt, now_s: float) -> bool:
-        """Take a block when the last one is full, preempting if need be."""
-        held = len(attempt.held_names) + attempt.private_blocks
-        if attempt.context_tokens < _block_tokens(held):
+    def _ensure_block(self, attempt: Attempt, now_s: float) -> bool:
+        """Reserve a block when the last one is full, preempting if needed."""
+        held_blocks = len(attempt.held_block_ids) + attempt.private_blocks
+        if attempt.context_tokens < _tokens_in(held_blocks):
             return True
-        while not self._pool.take(1, now_s):
+        while not self._pool.allocate(1, now_s):
             victim = max(self.running, key=_queue_order)
             self._preempt(victim)
             if victim is attempt:
@@ -186,25 +195,25 @@
         return True
 
     def _preempt(self, attempt: Attempt) -> None:
-        """Put an attempt back into the queue; its KV is computed again."""
+        """Return an attempt to the queue and drop its computed KV."""
         self.running.remove(attempt)
-        self._give_back(attempt)
-        attempt.start_over()
+        self._free_blocks(attempt)
+        attempt.reset_progress()
         attempt.preemptions += 1
         self.preemptions += 1
         self.add(attempt)
 
-    def _keep_prefix(self, attempt: Attempt, now_s: float) -> None:
-        """Leave the computed blocks in the cache for what may follow."""
+    def _free_and_cache(self, attempt: Attempt, now_s: float) -> None:
+        """Free the blocks; computed prefix blocks stay in the cache."""
         if attempt.pending_tokens == 0:
-            attempt.name_context()
-            self._share_context(attempt, now_s)
-        self._give_back(attempt)
-
-    def _give_back(self, attempt: Attempt) -> None:
-        self._pool.release(attempt.held_names)
-        self._pool.give(attempt.private_blocks)
-        attempt.held_names = ()
+            attempt.update_block_ids()
+            self._publish_context(attempt, now_s)
+        self._free_blocks(attempt)
+
+    def _free_blocks(self, attempt: Attempt) -> None:
+        self._pool.unpin(attempt.held_block_ids)
+        self._pool.free(attempt.private_blocks)
+        attempt.held_block_ids = ()
         attempt.private_blocks = 0
 
 
@@ -212,5 +221,5 @@
     return -attempt.request.priority, attempt.arrival
 
 
-def _block_tokens(blocks: int) -> int:
+def _tokens_in(blocks: int) -> int:
     return blocks * BLOCK_TOKENS
--- a/packages/standins/dandelionyoke_standins/_blocks.py
+++ b/packages/standins/dandelionyoke_standins/_blocks.py
@@ -1,4 +1,4 @@
-"""An engine's KV memory: blocks held by work, and a cache of prefixes."""
+"""An engine's KV cache: blocks in use, cached prefixes and cache events."""
 
 import random
 from collections import Counter, OrderedDict, deque
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class CacheEvent:
-    """A prefix block has come into the cache or left it."""
+    """A prefix block was stored in the cache or removed from it."""
 
     sequence: int
     kind: Literal['stored', 'removed']
@@ -21,9 +21,10 @@
 
 @attrs.frozen
 class CacheEvents:
-    """The events after a sequence number, as far as they are kept.
+    """The retained events after a requested sequence number.
 
-    `first` over the asked number plus one is a gap: some were lost.
+    If `first` is greater than the requested number plus one, the events in
+    between were lost.
     """
 
     first: int
@@ -33,124 +34,137 @@
 
 @attrs.frozen
 class CacheEventSettings:
-    """How late cache events are, and how often the log loses some."""
+    """The delay of cache events and the probability of losing some."""
 
     lag_s: float = 0.5
     gap_share: float = 0.005
 
 
 class CacheEventLog:
-    """Cache events that come late and with gaps."""
+    """A log that publishes cache events late and with gaps."""
 
     def __init__(
-        self, settings: CacheEventSettings, chance: random.Random
+        self, settings: CacheEventSettings, rng: random.Random
     ) -> None:
         self._settings = settings
-        self._chance = chance
+        self._rng = rng
         self._events: deque[tuple[float, CacheEvent]] = deque()
-        self._next = 1
+        self._next_sequence = 1
 
     def append(
         self, kind: Literal['stored', 'removed'], block: str, now_s: float
     ) -> None:
-        """Log an event; now and then the log loses all earlier ones."""
-        is_losing = self._chance.random() < self._settings.gap_share
-        if is_losing:
+        """Append an event, losing all earlier ones at random (`gap_share`)."""
+        loses_events = self._rng.random() < self._settings.gap_share
+        if loses_events:
             self._events.clear()
         if len(self._events) >= MAX_EVENTS:
             self._events.popleft()
-        event = CacheEvent(self._next, kind, block)
+        event = CacheEvent(self._next_sequence, kind, block)
         self._events.append((now_s, event))
-        self._next += 1
+        self._next_sequence += 1
 
     def after(self, sequence: int, now_s: float) -> CacheEvents:
-        """Give what a reader that knows this sequence may see by now."""
-        until_s = now_s - self._settings.lag_s
-        visible = [event for at_s, event in self._events if at_s <= until_s]
-        hidden = len(self._events) - len(visible)
-        following = self._next - hidden
-        fresh = tuple(event for event in visible if event.sequence > sequence)
-        first = fresh[0].sequence if fresh else following
-        return CacheEvents(first, following, fresh)
+        """Return the published events after a sequence number."""
+        visible_until_s = now_s - self._settings.lag_s
+        visible = [
+            event for at_s, event in self._events if at_s <= visible_until_s
+        ]
+        hidden_events = len(self._events) - len(visible)
+        next_sequence = self._next_sequence - hidden_events
+        new_events = tuple(
+            event for event in visible if event.sequence > sequence
+        )
+        first = new_events[0].sequence if new_events else next_sequence
+        return CacheEvents(first, next_sequence, new_events)
 
 
 class BlockPool:
-    """Blocks of KV memory.
+    """The KV blocks of an engine.
 
-    A named block holds a prefix and is shared by the work that has it; with
-    no holder it stays cached until memory is needed, the least recently
-    used first. A private block belongs to one piece of work.
+    A prefix block has an id and may be shared by several attempts. Without
+    references it stays cached until memory is needed; the least recently
+    used block is evicted first. A private block belongs to one attempt.
     """
 
     def __init__(self, total_blocks: int, log: CacheEventLog) -> None:
         self.total_blocks = total_blocks
-        self._log = log
+        self._event_log = log
         self._cached: OrderedDict[str, None] = OrderedDict()
-        self._holders: Counter[str] = Counter()
+        self._reference_counts: Counter[str] = Counter()
         self._private_blocks = 0
 
     @property
     def used_blocks(self) -> int:
-        """Blocks that work holds, which can't be evicted."""
-        return len(self._holders) + self._private_blocks
+        """Number of blocks in use by attempts, which can't be evicted."""
+        return len(self._reference_counts) + self._private_blocks
 
     @property
     def free_blocks(self) -> int:
-        """Blocks that work may take, cached ones that it evicts included."""
+        """Number of blocks available, including cached ones to evict."""
         return self.total_blocks - self.used_blocks
 
-    def cached_prefix(self, names: Sequence[str]) -> tuple[str, ...]:
-        """Give the leading names that are in memory."""
-        for position, name in enumerate(names):
-            if name not in self._cached and name not in self._holders:
-                return tuple(names[:position])
-        return tuple(names)
-
-    def hold(self, names: Iterable[str]) -> None:
-        """Keep named blocks from being evicted."""
-        for name in names:
-            self._cached.pop(name, None)
-            self._holders[name] += 1
-
-    def release(self, names: Iterable[str]) -> None:
-        """Let named blocks go into the cache once nobody holds them."""
-        for name in reversed(tuple(names)):
-            self._holders[name] -= 1
-            if not self._holders[name]:
-                self._holders.pop(name)
-                self._cached[name] = None
-
-    def take(self, count: int, now_s: float) -> bool:
-        """Take private blocks, evicting cached ones; none if too few."""
+    def cached_prefix(self, block_ids: Sequence[str]) -> tuple[str, ...]:
+        """Return the longest leading run of ids that are in memory."""
+        for position, block_id in enumerate(block_ids):
+            if (
+                block_id not in self._cached
+                and block_id not in self._reference_counts
+            ):
+                return tuple(block_ids[:position])
+        return tuple(block_ids)
+
+    def pin(self, block_ids: Iterable[str]) -> None:
+        """Add a reference to prefix blocks, so that they aren't evicted."""
+        for block_id in block_ids:
+            self._cached.pop(block_id, None)
+            self._reference_counts[block_id] += 1
+
+    def unpin(self, block_ids: Iterable[str]) -> None:
+        """Drop a reference; blocks without references become evictable."""
+        for block_id in reversed(tuple(block_ids)):
+            self._reference_counts[block_id] -= 1
+            if not self._reference_counts[block_id]:
+                self._reference_counts.pop(block_id)
+                self._cached[block_id] = None
+
+    def allocate(self, count: int, now_s: float) -> bool:
+        """Allocate private blocks, evicting cached ones; all or none."""
         if count > self.free_blocks:
             return False
         self._private_blocks += count
         self._evict(now_s)
         return True
 
-    def give(self, count: int) -> None:
-        """Give private blocks back."""
+    def free(self, count: int) -> None:
+        """Free private blocks."""
         self._private_blocks -= count
 
-    def name_blocks(self, names: Iterable[str], now_s: float) -> None:
-        """Turn private blocks into named ones that their owner holds."""
-        for name in names:
+    def publish(self, block_ids: Iterable[str], now_s: float) -> None:
+        """Turn private blocks into prefix blocks with one more reference."""
+        for block_id in block_ids:
             self._private_blocks -= 1
-            is_new = name not in self._holders and name not in self._cached
-            self.hold((name,))
+            is_new = (
+                block_id not in self._reference_counts
+                and block_id not in self._cached
+            )
+            self.pin((block_id,))
             if is_new:
-                self._log.append('stored', name, now_s)
-
-    def add_cached(self, names: Iterable[str], now_s: float) -> None:
-        """Put blocks from another engine into the cache."""
-        for name in names:
-            if name not in self._holders and name not in self._cached:
-                self._cached[name] = None
-                self._log.append('stored', name, now_s)
+                self._event_log.append('stored', block_id, now_s)
+
+    def add_cached(self, block_ids: Iterable[str], now_s: float) -> None:
+        """Store blocks from another engine in the cache."""
+        for block_id in block_ids:
+            if (
+                block_id not in self._reference_counts
+                and block_id not in self._cached
+            ):
+                self._cached[block_id] = None
+                self._event_log.append('stored', block_id, now_s)
         self._evict(now_s)
 
     def clear(self, now_s: float) -> None:
-        """Empty the cache; nothing may be held."""
+        """Evict all cached blocks; no block may be in use."""
         while self._cached:
             self._evict_one(now_s)
 
@@ -159,5 +173,5 @@
             self._evict_one(now_s)
 
     def _evict_one(self, now_s: float) -> None:
-        name, _ = self._cached.popitem(last=False)
-        self._log.append('removed', name, now_s)
+        block_id, _ = self._cached.popitem(last=False)
+        self._event_log.append('removed', block_id, now_s)
--- a/packages/standins/dandelionyoke_standins/_engine_orders.py
+++ b/packages/standins/dandelionyoke_standins/_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine: fencing, the record of ids, and what takes time."""
+"""Orders to an engine: fencing, deduplication and duration."""
 
 from typing import Literal
 
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class EngineOrder:
-    """An order as the engine takes it."""
+    """An order to an engine."""
 
     order_id: str
     fence: int
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class EngineOrderAnswer:
-    """What became of an order."""
+    """The state of an order, and the cause of a refusal."""
 
     order_id: str
     state: OrderState
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class ReceivedEngineOrder:
-    """An order as received, with what was answered."""
+    """An order as received, with its answer."""
 
     at_s: float
     order: EngineOrder
@@ -52,42 +52,42 @@
 
 @attrs.frozen
 class OrderTimes:
-    """How long the engine takes over the orders that take time."""
+    """How long the engine takes for the orders that are not instant."""
 
     role_s: float = 3.0
     model_s: float = 2.0
 
 
-class OrderDesk:
-    """Decides about orders, and remembers every one of them."""
+class OrderProcessor:
+    """Accepts or refuses orders and records each one."""
 
     def __init__(self, is_checking_fence: bool) -> None:
         self.highest_fence = 0
         self.received: list[ReceivedEngineOrder] = []
-        self._is_checking = is_checking_fence
+        self._is_checking_fence = is_checking_fence
         self._answers: dict[str, EngineOrderAnswer] = {}
-        self._open: EngineOrder | None = None
-        self._open_until_s: float = 0
+        self._active: EngineOrder | None = None
+        self._active_until_s: float = 0
 
     @property
-    def open_order(self) -> EngineOrder | None:
-        """The order that the engine is busy with."""
-        return self._open
+    def active_order(self) -> EngineOrder | None:
+        """The order in progress, if any."""
+        return self._active
 
-    def left_s(self, now_s: float) -> float:
-        """Tell how long the open order still takes."""
-        return max(0, self._open_until_s - now_s)
+    def remaining_s(self, now_s: float) -> float:
+        """Return the remaining time of the active order (s)."""
+        return max(0, self._active_until_s - now_s)
 
-    def answer_to(self, order_id: str) -> EngineOrderAnswer | None:
-        """Give the present state of an order that was received."""
+    def answer_for(self, order_id: str) -> EngineOrderAnswer | None:
+        """Return the current answer to an order, or None if it is unknown."""
         return self._answers.get(order_id)
 
     def receive(
-        self, order: EngineOrder, takes_s: float, now_s: float
+        self, order: EngineOrder, duration_s: float, now_s: float
     ) -> EngineOrderAnswer:
-        """Take an order once; a repeated id changes nothing."""
+        """Process an order; a repeated order id has no further effect."""
         recorded = self._answers.get(order.order_id)
-        answer = recorded or self._decide(order, takes_s, now_s)
+        answer = recorded or self._decide(order, duration_s, now_s)
         self._answers[order.order_id] = answer
         is_repeat = recorded is not None
         self.received.append(
@@ -95,30 +95,30 @@
         )
         return answer
 
-    def close_due(self, now_s: float) -> EngineOrder | None:
-        """Close the open order when its time is over, and give it."""
-        order = self._open
-        if order is None or now_s < self._open_until_s:
+    def complete_due(self, now_s: float) -> EngineOrder | None:
+        """Complete the active order if its time is over, and return it."""
+        order = self._active
+        if order is None or now_s < self._active_until_s:
             return None
-        self._open = None
+        self._active = None
         self._answers[order.order_id] = _answer(order, 'done')
         return order
 
     def _decide(
-        self, order: EngineOrder, takes_s: float, now_s: float
+        self, order: EngineOrder, duration_s: float, now_s: float
     ) -> EngineOrderAnswer:
-        if self._is_checking:
+        if self._is_checking_fence:
             if order.fence < self.highest_fence:
                 return _answer(order, 'refused', CAUSE_STALE_FENCE)
             self.highest_fence = order.fence
         if order.kind == 'role' and order.argument not in ROLES:
             return _answer(order, 'refused', CAUSE_ARGUMENT)
-        if takes_s <= 0:
+        if duration_s <= 0:
             return _answer(order, 'done')
-        if self._open is not None:
+        if self._active is not None:
             return _answer(order, 'refused', CAUSE_BUSY)
-        self._open = order
-        self._open_until_s = now_s + takes_s
+        self._active = order
+        self._active_until_s = now_s + duration_s
         return _answer(order, 'accepted')
 
 
--- a/packages/standins/dandelionyoke_standins/_engine_report.py
+++ b/packages/standins/dandelionyoke_standins/_engine_report.py
@@ -1,4 +1,4 @@
-"""What an engine reports: its load, late, and a record for checks."""
+"""An engine's delayed load reports, and its records for checks by tests."""
 
 from collections import deque
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class ReportSettings:
-    """How old a load report is at least, and how often figures are taken."""
+    """The minimum age of a load report and the sampling interval."""
 
     lag_s: float = 0.5
     interval_s: float = 0.1
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class LoadReport:
-    """The figures of an engine at `measured_s` of its own clock."""
+    """The load of an engine at `measured_s` on its own clock."""
 
     engine_id: str
     incarnation: str
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class AttemptRecord:
-    """An attempt from its start to its end."""
+    """The history of an attempt."""
 
     attempt_id: str
     model: str
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class EngineRecord:
-    """Every order and every attempt, as the engine saw them."""
+    """Every order and attempt that the engine received."""
 
     orders: tuple[ReceivedEngineOrder, ...]
     attempts: tuple[AttemptRecord, ...]
@@ -68,42 +68,42 @@
 
 
 class ReportLog:
-    """Keeps the figures of the last moments, to report them late."""
+    """Keeps recent load samples in order to report them late."""
 
     def __init__(self, settings: ReportSettings) -> None:
         self._settings = settings
         self._reports: deque[LoadReport] = deque()
 
     def is_due(self, now_s: float) -> bool:
-        """Whether figures are to be taken again."""
+        """Whether the next sample is due."""
         last_s = self._reports[-1].measured_s
         return now_s - last_s >= self._settings.interval_s
 
     def add(self, report: LoadReport) -> None:
-        """Keep the figures of a moment."""
+        """Add a sample."""
         self._reports.append(report)
-        self._drop_until(report.measured_s - self._settings.lag_s)
+        self._drop_older(report.measured_s - self._settings.lag_s)
 
-    def rate_since(self, decoded: int, decoded_s: float) -> float:
-        """Give a rate over the time since the last figures."""
+    def rate_since(self, decoded_tokens: int, now_s: float) -> float:
+        """Return the decode rate since the last sample (tokens/s)."""
         if not self._reports:
             return 0
-        passed_s = decoded_s - self._reports[-1].measured_s
-        return decoded / passed_s if passed_s > 0 else 0
+        elapsed_s = now_s - self._reports[-1].measured_s
+        return decoded_tokens / elapsed_s if elapsed_s > 0 else 0
 
     def report(self, now_s: float) -> LoadReport:
-        """Give the newest figures that are old enough."""
-        self._drop_until(now_s - self._settings.lag_s)
+        """Return the newest sample that is at least `lag_s` old."""
+        self._drop_older(now_s - self._settings.lag_s)
         report = self._reports[0]
         return attrs.evolve(report, age_s=now_s - report.measured_s)
 
-    def _drop_until(self, until_s: float) -> None:
+    def _drop_older(self, until_s: float) -> None:
         while len(self._reports) > 1 and self._reports[1].measured_s <= until_s:
             self._reports.popleft()
 
 
 def record_attempt(attempt: Attempt) -> AttemptRecord:
-    """Tell an attempt's course so far."""
+    """Build the record of an attempt."""
     return AttemptRecord(
         attempt_id=attempt.request.attempt_id,
         model=attempt.request.model,
--- a/packages/standins/dandelionyoke_standins/_output.py
+++ b/packages/standins/dandelionyoke_standins/_output.py
@@ -1,7 +1,7 @@
-"""The output of a stand-in engine, a function of prompt and offset alone.
+"""The output of a stand-in engine, which depends only on prompt and offset.
 
-Anyone who knows the prompt can recompute the whole answer, so a check
-notices each token that is lost, doubled or another caller's.
+A test that knows the prompt can recompute the complete answer, so it detects
+any token that is lost, duplicated or belongs to another caller.
 """
 
 import hashlib
@@ -12,56 +12,56 @@
 
 EndReason = Literal['stop', 'length']
 
-_ASKED_LENGTH = re.compile(r'\banswer (\d{1,6}) tokens\b')
+_REQUESTED_LENGTH = re.compile(r'\banswer (\d{1,6}) tokens\b')
 _HASH_DIGITS = 8
-_SHORTEST_ANSWER_TOKENS = 16
-_ANSWER_SPREAD_TOKENS = 240
+_MIN_ANSWER_TOKENS = 16
+_ANSWER_RANGE_TOKENS = 240
 
 
 @attrs.frozen
 class AnswerPlan:
-    """The whole answer: its tokens' name, how many, and why it ends."""
+    """A complete answer: the hash in its tokens, its length and end reason."""
 
-    name: str
+    digest: str
     length_tokens: int
     end: EndReason
 
     def token(self, offset: int) -> str:
-        """Give one token of the answer."""
-        return f'w{self.name}-{offset} '
+        """Return the token at an offset of the answer."""
+        return f'w{self.digest}-{offset} '
 
     @property
     def text(self) -> str:
-        """The text of the whole answer."""
+        """The text of the complete answer."""
         return ''.join(map(self.token, range(self.length_tokens)))
 
 
 def prompt_hash(prompt: str) -> str:
-    """Name a prompt in the tokens of its answer."""
+    """Return the hash of a prompt that its output tokens contain."""
     return hashlib.sha256(prompt.encode()).hexdigest()[:_HASH_DIGITS]
 
 
 def output_token(prompt: str, offset: int) -> str:
-    """Give one token of the answer to a prompt."""
+    """Return the token at an offset of the answer to a prompt."""
     return AnswerPlan(prompt_hash(prompt), offset, 'length').token(offset)
 
 
 def answer_plan(prompt: str, max_output_tokens: int) -> AnswerPlan:
-    """Tell where the whole answer ends, resumed tokens counted in."""
-    name = prompt_hash(prompt)
-    natural = _natural_length(prompt, name)
-    if natural <= max_output_tokens:
-        return AnswerPlan(name, natural, 'stop')
-    return AnswerPlan(name, max_output_tokens, 'length')
+    """Plan the complete answer; the maximum includes resumed tokens."""
+    digest = prompt_hash(prompt)
+    natural_tokens = _natural_length(prompt, digest)
+    if natural_tokens <= max_output_tokens:
+        return AnswerPlan(digest, natural_tokens, 'stop')
+    return AnswerPlan(digest, max_output_tokens, 'length')
 
 
 def answer_text(prompt: str, max_output_tokens: int) -> str:
-    """Give the text of the whole answer."""
+    """Return the text of the complete answer."""
     return answer_plan(prompt, max_output_tokens).text
 
 
-def _natural_length(prompt: str, name: str) -> int:
-    asked = _ASKED_LENGTH.search(prompt)
-    if asked is not None:
-        return int(asked.group(1))
-    return _SHORTEST_ANSWER_TOKENS + int(name, 16) % _ANSWER_SPREAD_TOKENS
+def _natural_length(prompt: str, digest: str) -> int:
+    requested = _REQUESTED_LENGTH.search(prompt)
+    if requested is not None:
+        return int(requested.group(1))
+    return _MIN_ANSWER_TOKENS + int(digest, 16) % _ANSWER_RANGE_TOKENS
--- a/packages/standins/dandelionyoke_standins/_serving.py
+++ b/packages/standins/dandelionyoke_standins/_serving.py
@@ -1,4 +1,4 @@
-"""What an engine serves and in which role, and how orders change it."""
+"""An engine's role, models and drain state, and how orders change them."""
 
 from collections.abc import Iterable
 from typing import cast
@@ -10,12 +10,12 @@
 from dandelionyoke_standins._engine_orders import EngineOrder, OrderTimes
 
 INSTANT_ORDERS = ('drain', 'undrain')
-CLEARING_ORDERS = ('role', 'set_version')
+KV_CLEARING_ORDERS = ('role', 'set_version')
 
 
 @attrs.define
-class Serving:
-    """The engine's role, its models, and whether it is draining."""
+class ServingState:
+    """The engine's role, loaded models, version and drain state."""
 
     role: Role
     models: tuple[str, ...]
@@ -24,20 +24,20 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether new work is refused until an undrain order."""
+        """Whether new attempts are refused until an undrain order."""
         return self.drain_order_id is not None
 
-    def takes_s(self, order: EngineOrder, times: OrderTimes) -> float:
-        """Tell how long the engine is busy with an order."""
-        if order.kind in INSTANT_ORDERS or self._changes_nothing(order):
+    def duration_s(self, order: EngineOrder, times: OrderTimes) -> float:
+        """Return how long an order takes (s)."""
+        if order.kind in INSTANT_ORDERS or self._is_no_op(order):
             return 0
         return times.role_s if order.kind == 'role' else times.model_s
 
-    def cut_by(
+    def aborted_by(
         self, order: EngineOrder, attempts: Iterable[Attempt]
     ) -> tuple[Attempt, ...]:
-        """Give the work that can't go on under an order."""
-        if self.clears_memory(order):
+        """Return the attempts that an order aborts."""
+        if self.clears_kv_cache(order):
             return tuple(attempts)
         if order.kind != 'unload_model':
             return ()
@@ -47,21 +47,19 @@
             if attempt.request.model == order.argument
         )
 
-    def clears_memory(self, order: EngineOrder) -> bool:
-        """Tell whether an order empties the KV memory."""
-        return order.kind in CLEARING_ORDERS and not self._changes_nothing(
-            order
-        )
+    def clears_kv_cache(self, order: EngineOrder) -> bool:
+        """Return whether an order clears the KV cache."""
+        return order.kind in KV_CLEARING_ORDERS and not self._is_no_op(order)
 
     def begin(self, order: EngineOrder) -> None:
-        """Give up at once what an order takes away."""
+        """Apply the part of an order that takes effect at its start."""
         if order.kind == 'unload_model':
             self.models = tuple(
                 name for name in self.models if name != order.argument
             )
 
     def complete(self, order: EngineOrder) -> None:
-        """Be what an order asked for."""
+        """Apply the part of an order that takes effect on completion."""
         match order.kind:
             case 'drain':
                 self.drain_order_id = order.order_id
@@ -74,5 +72,5 @@
             case 'load_model' | 'load_adapter':
                 self.models = tuple(sorted({*self.models, order.argument}))
 
-    def _changes_nothing(self, order: EngineOrder) -> bool:
+    def _is_no_op(self, order: EngineOrder) -> bool:
         return order.kind == 'role' and order.argument == self.role
