--- a/packages/standins/dandelionyoke_standins/__init__.py
+++ b/packages/standins/dandelionyoke_standins/__init__.py
@@ -1,7 +1,7 @@
-"""Small stand-ins for the systems around dandelionyoke.
+"""Small stand-ins for the systems that dandelionyoke talks to.
 
-The models here are pure: no sockets, no clock. `python -m` runs them over
-HTTP.
+The models are pure: they use no sockets and no clock. `python -m` serves
+them over HTTP.
 """
 
 from dandelionyoke_standins._attempt import (
--- a/packages/standins/dandelionyoke_standins/__main__.py
+++ b/packages/standins/dandelionyoke_standins/__main__.py
@@ -2,14 +2,14 @@
 
 import os
 
-# Addresses are numbers here. Without its own resolver eventlet starts in
-# half the time.
+# All addresses are numeric, so eventlet's own DNS resolver isn't needed.
+# Without it eventlet starts in half the time.
 os.environ.setdefault('EVENTLET_NO_GREENDNS', 'yes')
 
-import eventlet  # noqa: E402 its environment comes first
+import eventlet  # noqa: E402 reads the environment on import
 
 eventlet.monkey_patch()
 
-from dandelionyoke_standins._command import run  # noqa: E402 patched first
+from dandelionyoke_standins._command import run  # noqa: E402 needs the patched modules
 
 run()
--- a/packages/standins/dandelionyoke_standins/_command.py
+++ b/packages/standins/dandelionyoke_standins/_command.py
@@ -1,4 +1,4 @@
-"""The command line: which stand-in to run, and how."""
+"""The command line of the stand-ins."""
 
 import argparse
 import importlib
@@ -14,16 +14,16 @@
 from dandelionyoke_standins._batch import BatchSettings
 from dandelionyoke_standins._blocks import CacheEventSettings
 from dandelionyoke_standins._engine import EngineModel, EngineSettings
-from dandelionyoke_standins._engine_http import EngineShell
+from dandelionyoke_standins._engine_http import EngineServer
 from dandelionyoke_standins._engine_orders import ROLES, OrderTimes
 from dandelionyoke_standins._engine_report import ReportSettings
-from dandelionyoke_standins._http import StopSignal, announce
+from dandelionyoke_standins._http import StopSignal, print_line
 from dandelionyoke_standins._link import Link, LinkSettings
-from dandelionyoke_standins._load import LoadDriver, LoadSettings, report_load
+from dandelionyoke_standins._load import LoadDriver, LoadSettings, print_report
 from dandelionyoke_standins._plain import PlainModel
-from dandelionyoke_standins._plain_http import PlainShell
+from dandelionyoke_standins._plain_http import PlainServer
 from dandelionyoke_standins._platform import PlatformModel, PlatformSettings
-from dandelionyoke_standins._platform_http import PlatformShell
+from dandelionyoke_standins._platform_http import PlatformServer
 from dandelionyoke_standins._targets import TargetSettings
 from dandelionyoke_standins._workload import CALL_KINDS
 
@@ -37,7 +37,7 @@
     }
 )
 
-ENGINE_NUMBERS = (
+ENGINE_OPTIONS = (
     ('--seed', 0),
     ('--kv-blocks', 4000),
     ('--max-running', 32),
@@ -53,40 +53,43 @@
 )
 
 
-class Shell(Protocol):
-    """A stand-in that serves until it is told to stop."""
+class StandinServer(Protocol):
+    """A stand-in that serves until the process is told to stop."""
 
     address: str
 
     def start(self) -> None:
-        """Serve in tasks of its own."""
+        """Start serving in background tasks."""
 
 
 def main() -> int:
-    """Run the stand-in that the arguments ask for."""
+    """Run the stand-in or measurement that the arguments select."""
     options = _parser().parse_args()
     if options.kind == 'measure':
         return _measure(options)
     if options.kind == 'load':
-        return report_load(LoadDriver(_load_settings(options)).run())
+        return print_report(LoadDriver(_load_settings(options)).run())
     if options.kind == 'link':
         _serve_link(_link_settings(options))
     else:
-        _serve(_shell(options))
+        _serve(_create_server(options))
     return 0
 
 
 def _measure(options: Options) -> int:
-    """Run a measurement; a measurement imports much that nobody else needs."""
+    """Run a measurement, importing its module only when needed.
+
+    Measurements have many dependencies that the servers don't need.
+    """
     module = importlib.import_module(MEASUREMENTS[options.subject])
     status: int | None = module.main(options.arguments)
     return status or 0
 
 
-def _serve(shell: Shell) -> None:
+def _serve(server: StandinServer) -> None:
     stop = StopSignal()
-    shell.start()
-    announce(f'READY {shell.address}')
+    server.start()
+    print_line(f'READY {server.address}')
     stop.wait()
 
 
@@ -94,17 +97,17 @@
     stop = StopSignal()
     link = Link(settings)
     link.start()
-    announce(f'READY {link.address}')
+    print_line(f'READY {link.address}')
     link.announce_control()
     stop.wait()
 
 
-def _shell(options: Options) -> Shell:
+def _create_server(options: Options) -> StandinServer:
     if options.kind == 'platform':
         model = PlatformModel(_platform_settings(options))
-        return PlatformShell(model, options.port)
+        return PlatformServer(model, options.port)
     if options.kind == 'plain':
-        return PlainShell(
+        return PlainServer(
             PlainModel(), options.engine_id, options.port, options.record_file
         )
     seed = options.seed or int.from_bytes(os.urandom(8))
@@ -112,7 +115,7 @@
         _engine_settings(options), random.Random(seed), time.monotonic()
     )
     engine.faults.crash_on = options.crash_on
-    return EngineShell(engine, options.port, options.record_file)
+    return EngineServer(engine, options.port, options.record_file)
 
 
 def _parser() -> argparse.ArgumentParser:
@@ -124,7 +127,9 @@
     _add_engine(_long_running(kinds, 'engine'))
     _add_plain(_long_running(kinds, 'plain'))
     _add_link(_long_running(kinds, 'link'))
-    _add_load(kinds.add_parser('load', help='send a load, check the answers'))
+    _add_load(
+        kinds.add_parser('load', help='send a load and check the answers')
+    )
     measure = kinds.add_parser('measure', help='measure in virtual time')
     measure.add_argument('subject', choices=tuple(MEASUREMENTS))
     measure.add_argument('arguments', nargs='*')
@@ -154,7 +159,7 @@
         targets=TargetSettings(
             boot_s=options.boot_s,
             leave_s=options.leave_s,
-            is_inventing=options.invent_addresses,
+            invents_addresses=options.invent_addresses,
         ),
         limits_per_s={
             'store_reads': options.max_reads_per_s,
@@ -177,7 +182,7 @@
     parser.add_argument(
         '--fencing', choices=('check', 'ignore'), default='check'
     )
-    for flag, default in ENGINE_NUMBERS:
+    for flag, default in ENGINE_OPTIONS:
         parser.add_argument(flag, type=type(default), default=default)
 
 
@@ -251,5 +256,5 @@
 
 
 def run() -> None:
-    """Run, and end the process with the status."""
+    """Run the command and exit with its status."""
     sys.exit(main())
--- a/packages/standins/dandelionyoke_standins/_engine_http.py
+++ b/packages/standins/dandelionyoke_standins/_engine_http.py
@@ -1,4 +1,4 @@
-"""An engine over HTTP, as docs/PROTOCOL.md section 1 lays it down."""
+"""An engine served over HTTP, as specified in docs/PROTOCOL.md section 1."""
 
 import os
 import time
@@ -15,34 +15,40 @@
     LostAnswerError,
     MissingError,
 )
-from dandelionyoke_standins._http import Call, Reply, Route, Server, Signal
+from dandelionyoke_standins._http import (
+    Call,
+    ChangeNotifier,
+    Reply,
+    Route,
+    Server,
+)
 from dandelionyoke_standins._json import Json, build, decode, encode
 from dandelionyoke_standins._record_file import RecordFile
 
-TICK_S = 0.01
-PATIENCE_S = 5.0
+ADVANCE_INTERVAL_S = 0.01
+WAIT_TIMEOUT_S = 5.0
 CRASH_STATUS = 70
 
 
-class EngineShell:
-    """Owns an engine model, and gives it the clock and the callers."""
+class EngineServer:
+    """Serves an engine model over HTTP, in real time."""
 
     def __init__(
         self, model: EngineModel, port: int = 0, record_path: str = ''
     ) -> None:
         self._model = model
-        self._file = RecordFile(
+        self._record_file = RecordFile(
             record_path, model.settings.engine_id, model.incarnation
         )
-        self._moved = Signal()
+        self._changed = ChangeNotifier()
         self._pool = urllib3.PoolManager(retries=False)
         self._server = Server(self._routes(), port)
         self.address = self._server.address
 
     def start(self) -> None:
-        """Serve, and let the engine work in time."""
+        """Start serving, and advance the engine with the clock."""
         self._server.start()
-        eventlet.spawn(self._work)
+        eventlet.spawn(self._advance_forever)
 
     def _routes(self) -> list[Route]:
         return [
@@ -53,58 +59,62 @@
             Route('GET', '/cache-events', self._cache_events),
             Route('POST', '/orders', self._order),
             Route('GET', '/orders/([^/]+)', self._order_state),
-            Route('POST', '/kv/export', self._export),
-            Route('POST', '/kv/import', self._import),
-            Route('GET', '/kv/([^/]+)', self._exported),
+            Route('POST', '/kv/export', self._export_kv),
+            Route('POST', '/kv/import', self._import_kv),
+            Route('GET', '/kv/([^/]+)', self._exported_kv),
             Route('POST', '/standin/faults', self._set_faults),
             Route('GET', '/standin/record', self._record),
         ]
 
-    def _work(self) -> None:
+    def _advance_forever(self) -> None:
         while True:
-            eventlet.sleep(TICK_S)
+            eventlet.sleep(ADVANCE_INTERVAL_S)
             outputs = self._model.advance(time.monotonic())
             if self._model.is_crashed or self._model.faults.crash:
                 os._exit(CRASH_STATUS)
             for output in outputs:
                 self._record_end(output)
             if outputs:
-                self._moved.notify()
+                self._changed.notify()
 
     def _record_end(self, output: Output) -> None:
         if output.end is not None:
             record = self._model.attempt_record(output.attempt_id)
-            self._file.write('attempt_ended', record)
+            self._record_file.write('attempt_ended', record)
 
     def _generate(self, call: Call) -> Reply:
-        self._enter()
+        self._check_silence()
         request = build(GenerateRequest, call.json)
         self._model.generate(request, time.monotonic())
         record = self._model.attempt_record(request.attempt_id)
-        self._file.write('attempt', record)
+        self._record_file.write('attempt', record)
         self._lose_answer()
         offset = len(request.resume_tokens)
         silent_after = self._model.faults.silent_after_tokens
         return Reply(
-            lines=self._lines(request.attempt_id, offset, silent_after)
+            lines=self._stream_lines(request.attempt_id, offset, silent_after)
         )
 
     def _resume(self, call: Call) -> Reply:
-        self._enter()
+        self._check_silence()
         body = call.json
-        attempt_id = _text(body, 'attempt_id')
+        attempt_id = _string_field(body, 'attempt_id')
         offset = int(body.get('offset', 0))
         self._model.output_from(attempt_id, offset)
         self._lose_answer()
-        return Reply(lines=self._lines(attempt_id, offset, None))
+        return Reply(lines=self._stream_lines(attempt_id, offset, None))
 
-    def _lines(
+    def _stream_lines(
         self, attempt_id: str, offset: int, silent_after: int | None
     ) -> Iterator[bytes]:
-        """Stream the output as it comes; perhaps go silent on the way."""
-        # The headers leave with the first line, so an empty one tells at
-        # once that the attempt is accepted, however long it will wait.
-        yield _line({'offset': offset, 'tokens': ()})
+        """Stream the output as it is generated.
+
+        After `silent_after` tokens the stream stays open but sends no more.
+        """
+        # The headers are sent with the first line. An empty line sends
+        # them at once, so the caller knows that the attempt is accepted
+        # however long it stays queued.
+        yield _encode_line({'offset': offset, 'tokens': ()})
         sent = 0
         while True:
             output = self._model.output_from(attempt_id, offset)
@@ -112,20 +122,20 @@
             if silent_after is not None:
                 tokens = tokens[: max(0, silent_after - sent)]
             if tokens:
-                yield _line({'offset': offset, 'tokens': tokens})
+                yield _encode_line({'offset': offset, 'tokens': tokens})
             sent += len(tokens)
             offset += len(tokens)
-            self._stay_silent(is_silent=sent == silent_after)
+            self._block_while_silent(is_silent=sent == silent_after)
             if output.end is not None:
                 yield self._end_line(attempt_id, output.end, offset)
                 return
-            self._moved.wait(PATIENCE_S)
+            self._changed.wait(WAIT_TIMEOUT_S)
 
     def _end_line(self, attempt_id: str, end: StreamEnd, offset: int) -> bytes:
         if end.reason == 'error':
-            return _line({'error': end.cause})
+            return _encode_line({'error': end.cause})
         record = self._model.attempt_record(attempt_id)
-        return _line(
+        return _encode_line(
             {
                 'end': end.reason,
                 'offset': offset,
@@ -135,38 +145,38 @@
         )
 
     def _cancel(self, call: Call) -> Reply:
-        self._enter()
-        attempt_id = _text(call.json, 'attempt_id')
+        self._check_silence()
+        attempt_id = _string_field(call.json, 'attempt_id')
         cancelled = self._model.cancel(attempt_id, time.monotonic())
-        self._moved.notify()
+        self._changed.notify()
         self._lose_answer()
         return Reply({'cancelled': cancelled})
 
     def _load(self, call: Call) -> Reply:
-        self._enter()
+        self._check_silence()
         return Reply(self._model.load_report(time.monotonic()))
 
     def _cache_events(self, call: Call) -> Reply:
-        self._enter()
+        self._check_silence()
         after = int(call.query.get('after', 0))
         return Reply(self._model.cache_events(after, time.monotonic()))
 
     def _order(self, call: Call) -> Reply:
-        self._enter()
+        self._check_silence()
         order = build(EngineOrder, call.json)
         answer = self._model.order(order, time.monotonic())
-        self._file.write('order', self._model.record.orders[-1])
-        self._moved.notify()
+        self._record_file.write('order', self._model.record.orders[-1])
+        self._changed.notify()
         self._lose_answer()
         return Reply(answer)
 
     def _order_state(self, call: Call, order_id: str) -> Reply:
-        self._enter()
+        self._check_silence()
         return Reply(self._model.order_state(order_id, time.monotonic()))
 
-    def _export(self, call: Call) -> Reply:
-        self._enter()
-        attempt_id = _text(call.json, 'attempt_id')
+    def _export_kv(self, call: Call) -> Reply:
+        self._check_silence()
+        attempt_id = _string_field(call.json, 'attempt_id')
         export = self._model.export_kv(attempt_id, time.monotonic())
         return Reply(
             {
@@ -176,44 +186,44 @@
             }
         )
 
-    def _exported(self, call: Call, handle: str) -> Reply:
+    def _exported_kv(self, call: Call, handle: str) -> Reply:
         return Reply(self._model.exported_kv(handle))
 
-    def _import(self, call: Call) -> Reply:
-        self._enter()
+    def _import_kv(self, call: Call) -> Reply:
+        self._check_silence()
         body = call.json
-        url = f'{_text(body, "source")}/kv/{_text(body, "handle")}'
-        export = self._fetch(url)
+        url = f'{_string_field(body, "source")}/kv/{_string_field(body, "handle")}'
+        export = self._fetch_export(url)
         self._model.import_kv(export, time.monotonic())
         return Reply({'imported': True})
 
-    def _fetch(self, url: str) -> KvExport:
+    def _fetch_export(self, url: str) -> KvExport:
         try:
-            answer = self._pool.request('GET', url, timeout=PATIENCE_S)
+            response = self._pool.request('GET', url, timeout=WAIT_TIMEOUT_S)
         except urllib3.exceptions.HTTPError as error:
             raise MissingError(imported=False, cause='unreachable') from error
-        if answer.status != 200:
+        if response.status != 200:
             raise MissingError(imported=False, cause='unknown_handle')
-        return build(KvExport, decode(answer.data))
+        return build(KvExport, decode(response.data))
 
     def _set_faults(self, call: Call) -> Reply:
-        for name, setting in call.json.items():
+        for name, value in call.json.items():
             if not hasattr(self._model.faults, name):
                 raise BadCallError(cause=f'unknown fault {name}')
-            setattr(self._model.faults, name, setting)
-        self._moved.notify()
+            setattr(self._model.faults, name, value)
+        self._changed.notify()
         return Reply(self._model.faults)
 
     def _record(self, call: Call) -> Reply:
         return Reply(self._model.record)
 
-    def _enter(self) -> None:
-        self._stay_silent(is_silent=False)
+    def _check_silence(self) -> None:
+        self._block_while_silent(is_silent=False)
 
-    def _stay_silent(self, *, is_silent: bool) -> None:
-        """Send nothing more, with the connection open."""
+    def _block_while_silent(self, *, is_silent: bool) -> None:
+        """Block while silent, with the connection open."""
         while is_silent or self._model.faults.silent:
-            self._moved.wait(PATIENCE_S)
+            self._changed.wait(WAIT_TIMEOUT_S)
 
     def _lose_answer(self) -> None:
         if self._model.faults.lose_answers > 0:
@@ -221,11 +231,11 @@
             raise LostAnswerError
 
 
-def _line(fields: Json) -> bytes:
+def _encode_line(fields: Json) -> bytes:
     return encode(fields) + b'\n'
 
 
-def _text(body: Json, name: str) -> str:
+def _string_field(body: Json, name: str) -> str:
     text = body.get(name)
     if not isinstance(text, str):
         raise BadCallError(cause=f'{name} is not text')
--- a/packages/standins/dandelionyoke_standins/_errors.py
+++ b/packages/standins/dandelionyoke_standins/_errors.py
@@ -1,10 +1,10 @@
-"""What a stand-in refuses, and the HTTP status that tells it."""
+"""Errors of the stand-ins and their HTTP statuses."""
 
 from typing import Any
 
 
 class StandinError(Exception):
-    """A call that a stand-in answers with an error status."""
+    """A call that a stand-in answers with an error status and a JSON body."""
 
     status = 500
 
@@ -14,46 +14,46 @@
 
 
 class BadCallError(StandinError):
-    """The call lacks a field or holds one of the wrong kind; correct it."""
+    """A field of the call is missing or has the wrong type."""
 
     status = 400
 
 
 class MissingError(StandinError):
-    """What the call names does not exist (any more)."""
+    """The named resource does not exist or has expired."""
 
     status = 404
 
 
 class ConflictError(StandinError):
-    """The key has another revision; read it and decide again."""
+    """The key is at another revision; read it again before a retry."""
 
     status = 409
 
 
 class TooLargeError(StandinError):
-    """The value is over the size limit; split it over several keys."""
+    """The value exceeds the size limit; split it over several keys."""
 
     status = 413
 
 
 class RateLimitError(StandinError):
-    """Too many calls in this second; call again in the next."""
+    """The rate limit of this second is used up; retry in the next."""
 
     status = 429
 
 
 class NotRunError(StandinError):
-    """The target did not run the call; send it elsewhere or later."""
+    """The target did not run the call; retry later or on another target."""
 
     status = 503
 
 
 class OutageError(StandinError):
-    """The platform is unavailable; call again later."""
+    """The platform is unavailable; retry later."""
 
     status = 503
 
 
 class LostAnswerError(StandinError):
-    """The call took effect, and its connection ends without an answer."""
+    """The call took effect, but the connection closes without an answer."""
--- a/packages/standins/dandelionyoke_standins/_http.py
+++ b/packages/standins/dandelionyoke_standins/_http.py
@@ -1,4 +1,4 @@
-"""A small HTTP server over eventlet for the stand-ins' calls."""
+"""A small HTTP server for the stand-ins, based on eventlet."""
 
 import re
 import signal
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Call:
-    """One call as it came in."""
+    """An HTTP request as received."""
 
     method: str
     path: str
@@ -50,13 +50,13 @@
 
     @property
     def json(self) -> Json:
-        """The body as one JSON object."""
+        """The body, decoded as a JSON object."""
         return decode(self.body)
 
 
 @attrs.frozen
 class Reply:
-    """An answer: one JSON body, or a stream of lines."""
+    """An HTTP response: a JSON body, or a stream of JSON lines."""
 
     body: Any = None
     status: int = 200
@@ -68,9 +68,10 @@
 
 @attrs.frozen
 class Route:
-    """A method, a pattern of the whole path, and who answers.
+    """A method, a regular expression for the full path, and a handler.
 
-    The pattern's groups are passed on after the call.
+    The method `*` matches any method. The handler gets the call, followed
+    by the groups of the pattern.
     """
 
     method: str
@@ -78,8 +79,8 @@
     handler: Handler
 
 
-class Signal:
-    """Wakes every task that waits for a change."""
+class ChangeNotifier:
+    """Wakes all tasks that wait for a change."""
 
     def __init__(self) -> None:
         self._event = Event()
@@ -91,35 +92,35 @@
         event.send()
 
     def wait(self, timeout_s: float) -> None:
-        """Wait for the next change, or until the time is over."""
+        """Wait for the next change or the timeout."""
         self._event.wait(timeout=max(0, timeout_s))
 
 
 class Server:
-    """Serves routes on a port of the loopback address."""
+    """Serves routes on a port of the loopback interface."""
 
     def __init__(self, routes: Iterable[Route], port: int = 0) -> None:
         self._routes = tuple(routes)
         self._listener = listen((HOST, port))
-        self.address = address_of(self._listener)
+        self.address = listener_address(self._listener)
 
     def start(self) -> None:
-        """Serve in a task of its own."""
+        """Start serving in a background task."""
         spawn(
             wsgi.server,
             self._listener,
-            self._answer,
+            self._handle,
             max_size=MAX_CONNECTIONS,
             minimum_chunk_size=1,
             log_output=False,
             log=sys.stderr,
         )
 
-    def _answer(
+    def _handle(
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         try:
-            reply = self._reply(environ)
+            reply = self._dispatch(environ)
         except LostAnswerError:
             _drop_connection(environ)
             return []
@@ -138,7 +139,7 @@
         start_response(status, headers)
         return [body]
 
-    def _reply(self, environ: Environ) -> Reply:
+    def _dispatch(self, environ: Environ) -> Reply:
         call = _read_call(environ)
         is_known_path = False
         for route in self._routes:
@@ -153,9 +154,9 @@
 
 
 class StopSignal:
-    """Waits for SIGTERM or SIGINT, which it holds back once it is made.
+    """Waits for SIGTERM or SIGINT, replacing their default handling.
 
-    A handler alone would not wake the event loop out of its poll, and the
+    A signal handler alone doesn't interrupt the event loop's poll, so the
     process would stop only at the next timer. The wakeup descriptor does.
     """
 
@@ -165,26 +166,26 @@
         signal.set_wakeup_fd(writer.fileno())
         self._reader = reader
         self._writer = writer
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, _ignore)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, _ignore_signal)
 
     def wait(self) -> None:
-        """Wait for the signal."""
+        """Wait for a signal."""
         self._reader.recv(1)
 
 
-def address_of(listener: socket.socket) -> str:
-    """Give the address that a listening socket is reached at."""
+def listener_address(listener: socket.socket) -> str:
+    """Return the URL of a listening socket."""
     return f'http://{HOST}:{listener.getsockname()[1]}'
 
 
-def announce(line: str) -> None:
-    """Print a line at once, for whoever waits for it."""
-    print(line, flush=True)  # noqa: WPS421 the protocol's READY line
+def print_line(line: str) -> None:
+    """Print a line and flush it, for a parent process that reads it."""
+    print(line, flush=True)  # noqa: WPS421 part of the protocol
 
 
-def _ignore(number: int, frame: object) -> None:
-    """Let the wakeup descriptor tell it."""
+def _ignore_signal(signal_number: int, frame: object) -> None:
+    """Do nothing; the wakeup descriptor reports the signal."""
 
 
 def _read_call(environ: Environ) -> Call:
@@ -205,7 +206,7 @@
 
 
 def _drop_connection(environ: Environ) -> None:
-    """End the connection, so that the caller never learns the outcome."""
+    """Close the connection without an answer to the caller."""
     connection = environ['eventlet.input'].get_socket()
     try:
         connection.shutdown(socket.SHUT_RDWR)
--- a/packages/standins/dandelionyoke_standins/_json.py
+++ b/packages/standins/dandelionyoke_standins/_json.py
@@ -1,4 +1,4 @@
-"""JSON bodies to and from attrs classes."""
+"""Conversion between JSON bodies and attrs classes."""
 
 import json
 from collections.abc import Mapping
@@ -13,26 +13,26 @@
 
 
 def encode(body: Any) -> bytes:
-    """Write a body, attrs classes included, as JSON."""
+    """Serialise a body as JSON; it may contain attrs instances."""
     return json.dumps(body, default=attrs.asdict).encode()
 
 
 def decode(body: bytes) -> Json:
-    """Read a body that is one JSON object; nothing is an empty one."""
+    """Parse a JSON object; an empty body counts as an empty object."""
     try:
-        answer = json.loads(body or b'{}')
+        parsed = json.loads(body or b'{}')
     except ValueError as error:
         raise BadCallError(cause=f'not JSON: {error}') from error
-    if not isinstance(answer, dict):
+    if not isinstance(parsed, dict):
         raise BadCallError(cause='not a JSON object')
-    return answer
+    return parsed
 
 
-def build(kind: type[Record], body: Mapping[str, Any]) -> Record:
-    """Build an attrs class from the fields that the body gives for it."""
-    names = {field.name for field in attrs.fields(kind)}
-    given = {name: body[name] for name in names if name in body}
+def build(record_type: type[Record], body: Mapping[str, Any]) -> Record:
+    """Create an attrs instance from a body, ignoring unknown fields."""
+    names = {field.name for field in attrs.fields(record_type)}
+    arguments = {name: body[name] for name in names if name in body}
     try:
-        return kind(**given)
+        return record_type(**arguments)
     except TypeError as error:
         raise BadCallError(cause=str(error)) from error
--- a/packages/standins/dandelionyoke_standins/_link.py
+++ b/packages/standins/dandelionyoke_standins/_link.py
@@ -1,4 +1,4 @@
-"""A relay between two ends that takes its commands over HTTP."""
+"""A TCP relay that is controlled over HTTP."""
 
 import attrs
 
@@ -7,14 +7,14 @@
     Reply,
     Route,
     Server,
-    announce,
+    print_line,
 )
 from dandelionyoke_standins._relay import Relay
 
 
 @attrs.frozen
 class LinkSettings:
-    """Where the link leads, and the ports that it listens on."""
+    """The address to relay to, and the ports to listen on (0: any)."""
 
     to_host: str
     to_port: int
@@ -23,12 +23,12 @@
 
 
 class Link:
-    """A relay and the server that takes its commands.
+    """A relay and its control server.
 
-    `POST /cut` resets what is open and refuses what is new. `POST /silence`
-    swallows the bytes of what is open, for good; what is new works.
-    `POST /blackhole` does so with what is open and what is new. `POST
-    /restore` lets new connections through again. `GET /state` tells.
+    `POST /cut` resets open connections and refuses new ones. `POST /silence`
+    permanently drops all bytes on open connections; new ones work. `POST
+    /blackhole` drops the bytes on open and new connections. `POST /restore`
+    relays new connections again. `GET /state` returns the relay's state.
     """
 
     def __init__(self, settings: LinkSettings) -> None:
@@ -40,37 +40,37 @@
                 Route('POST', '/silence', self._silence),
                 Route('POST', '/blackhole', self._blackhole),
                 Route('POST', '/restore', self._restore),
-                Route('GET', '/state', self._tell),
+                Route('GET', '/state', self._state),
             ],
             settings.control_port,
         )
 
     def start(self) -> None:
-        """Relay, and take commands."""
+        """Start the relay and its control server."""
         self._control.start()
         self._relay.start()
 
     def announce_control(self) -> None:
-        """Print the address that takes commands."""
-        announce(f'CONTROL {self._control.address}')
+        """Print the address of the control server."""
+        print_line(f'CONTROL {self._control.address}')
 
     def _cut(self, call: Call) -> Reply:
         self._relay.cut()
-        return self._tell(call)
+        return self._state(call)
 
     def _silence(self, call: Call) -> Reply:
         self._relay.silence()
-        return self._tell(call)
+        return self._state(call)
 
     def _blackhole(self, call: Call) -> Reply:
         self._relay.blackhole()
-        return self._tell(call)
+        return self._state(call)
 
     def _restore(self, call: Call) -> Reply:
         self._relay.restore()
-        return self._tell(call)
+        return self._state(call)
 
-    def _tell(self, call: Call) -> Reply:
+    def _state(self, call: Call) -> Reply:
         return Reply(
             {
                 'state': self._relay.state.value,
--- a/packages/standins/dandelionyoke_standins/_load.py
+++ b/packages/standins/dandelionyoke_standins/_load.py
@@ -1,4 +1,4 @@
-"""A bounded load driver that checks that every answer is whole."""
+"""A load generator that checks that every answer is complete and correct."""
 
 import json
 import secrets
@@ -10,23 +10,23 @@
 import eventlet
 import urllib3
 
-from dandelionyoke_standins._http import announce
+from dandelionyoke_standins._http import print_line
 from dandelionyoke_standins._workload import (
     CALL_KINDS,
     CallKind,
     LoadCall,
-    load_calls,
+    generate_calls,
 )
 
-MAX_TRIES = 20
-MAX_PAUSE_S = 2.0
+MAX_ATTEMPTS = 20
+MAX_RETRY_DELAY_S = 2.0
 SSE_PREFIX = 'data: '
 SSE_DONE = '[DONE]'
 
 
 @attrs.frozen
 class LoadSettings:
-    """Where the load goes, and how much of it there is."""
+    """The destination, size and limits of a load."""
 
     entries: tuple[str, ...]
     api_keys: tuple[str, ...]
@@ -42,23 +42,23 @@
 
 @attrs.frozen
 class LoadOutcome:
-    """What came back for one call."""
+    """The result of one call."""
 
     call: LoadCall
     entry: str
-    is_whole: bool
+    is_correct: bool
     detail: str = ''
 
 
 class RefusedError(Exception):
-    """The entry refused the call; it may be sent again after a while."""
+    """The entry refused the call; it may be retried after a delay."""
 
     def __init__(self, status: int, retry_after_s: float) -> None:
         super().__init__(f'refused with status {status}')
         self.retry_after_s = retry_after_s
 
 
-BROKEN_ANSWERS = (
+CALL_ERRORS = (
     OSError,
     ValueError,
     LookupError,
@@ -68,15 +68,15 @@
 )
 
 
-# No byte of the call has left, so another entry may take it.
-NOT_CONNECTED = (
+# Nothing of the call was sent, so it is safe to use another entry.
+CONNECT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
 )
 
 
 class LoadDriver:
-    """Sends the mix through all entries in turn, some calls at a time."""
+    """Sends calls to all entries in turn, with limited concurrency."""
 
     def __init__(self, settings: LoadSettings) -> None:
         self._settings = settings
@@ -87,44 +87,46 @@
             timeout=settings.answer_timeout_s,
         )
         self._deadline_s: float = 0
-        # One key for each confirmation, the same when it is sent again.
+        # Part of the idempotency keys, so that a retry repeats its key.
         self._run_id = secrets.token_hex(8)
 
     def run(self) -> list[LoadOutcome]:
-        """Send every call, and give what came back."""
+        """Send every call and return the outcomes."""
         settings = self._settings
         self._deadline_s = time.monotonic() + settings.time_limit_s
-        calls = load_calls(settings.count, settings.kinds, settings.seed)
-        tasks = eventlet.GreenPool(settings.concurrency)
-        return list(tasks.imap(self._outcome, calls))
+        calls = generate_calls(settings.count, settings.kinds, settings.seed)
+        pool = eventlet.GreenPool(settings.concurrency)
+        return list(pool.imap(self._run_call, calls))
 
-    def _outcome(self, call: LoadCall) -> LoadOutcome:
+    def _run_call(self, call: LoadCall) -> LoadOutcome:
         entry = self._settings.entries[
             call.number % len(self._settings.entries)
         ]
         try:
-            answer = self._answer(call, entry)
-        except BROKEN_ANSWERS as error:
-            return LoadOutcome(call, entry, is_whole=False, detail=repr(error))
-        is_whole = answer == _expected(call)
-        detail = '' if is_whole else f'got {answer[:80]!r}'
-        return LoadOutcome(call, entry, is_whole, detail)
-
-    def _answer(self, call: LoadCall, entry: str) -> str:
-        """Send a call until it is not refused any more."""
-        for _ in range(MAX_TRIES):
+            answer = self._send_with_retries(call, entry)
+        except CALL_ERRORS as error:
+            return LoadOutcome(
+                call, entry, is_correct=False, detail=repr(error)
+            )
+        is_correct = answer == _expected_answer(call)
+        detail = '' if is_correct else f'got {answer[:80]!r}'
+        return LoadOutcome(call, entry, is_correct, detail)
+
+    def _send_with_retries(self, call: LoadCall, entry: str) -> str:
+        """Send a call, and retry it while entries refuse it."""
+        for _ in range(MAX_ATTEMPTS):
             try:
                 return self._send(call, entry)
-            except NOT_CONNECTED:
-                entry = self._entry_after(entry)
+            except CONNECT_ERRORS:
+                entry = self._next_entry(entry)
             except RefusedError as refusal:
-                pause_s = min(refusal.retry_after_s, MAX_PAUSE_S)
-                if time.monotonic() + pause_s > self._deadline_s:
+                delay_s = min(refusal.retry_after_s, MAX_RETRY_DELAY_S)
+                if time.monotonic() + delay_s > self._deadline_s:
                     raise
-                eventlet.sleep(pause_s)
+                eventlet.sleep(delay_s)
         raise RefusedError(503, 0)
 
-    def _entry_after(self, entry: str) -> str:
+    def _next_entry(self, entry: str) -> str:
         entries = self._settings.entries
         return entries[(entries.index(entry) + 1) % len(entries)]
 
@@ -139,7 +141,7 @@
         body = self._body(call, is_chat=is_chat, is_stream=is_stream)
         answer = self._post(call, f'{entry}{path}', body, {})
         if is_stream:
-            return _joined(_events(answer), is_chat=is_chat)
+            return _joined_text(_read_events(answer), is_chat=is_chat)
         choice = json.loads(answer.read())['choices'][0]
         return str(choice['message']['content'] if is_chat else choice['text'])
 
@@ -189,32 +191,36 @@
         raise ValueError(f'status {answer.status}: {text[:300]}')
 
 
-def report_load(outcomes: list[LoadOutcome]) -> int:
-    """Print each answer that is not whole, then the sum; give the status."""
-    broken = [outcome for outcome in outcomes if not outcome.is_whole]
-    for outcome in broken:
+def print_report(outcomes: list[LoadOutcome]) -> int:
+    """Print each incorrect answer and a summary; return the exit status."""
+    incorrect = [outcome for outcome in outcomes if not outcome.is_correct]
+    for outcome in incorrect:
         call = outcome.call
-        announce(
+        print_line(
             f'call {call.number} ({call.kind}) at {outcome.entry}: '
             f'{outcome.detail}'
         )
-    whole = len(outcomes) - len(broken)
-    announce(f'demo: {whole} of {len(outcomes)} answers whole')
-    return 1 if broken or not outcomes else 0
+    correct_count = len(outcomes) - len(incorrect)
+    print_line(f'demo: {correct_count} of {len(outcomes)} answers whole')
+    return 1 if incorrect or not outcomes else 0
 
 
-def _expected(call: LoadCall) -> str:
+def _expected_answer(call: LoadCall) -> str:
     return '1' if call.kind == 'service' else call.expected_text
 
 
-def _events(answer: urllib3.BaseHTTPResponse) -> Iterator[dict[str, Any]]:
-    """Read the events of a stream; one that breaks off is an error."""
-    pending = b''
+def _read_events(answer: urllib3.BaseHTTPResponse) -> Iterator[dict[str, Any]]:
+    """Yield the events of a stream.
+
+    Raises:
+        ValueError: The stream ends before its last event.
+    """
+    buffer = b''
     while True:
-        part = answer.read1()
-        if not part:
+        chunk = answer.read1()
+        if not chunk:
             raise ValueError('the stream ended before its last event')
-        *lines, pending = (pending + part).split(b'\n')
+        *lines, buffer = (buffer + chunk).split(b'\n')
         for line in lines:
             text = line.decode().strip()
             if text == SSE_PREFIX + SSE_DONE:
@@ -224,7 +230,7 @@
                 yield json.loads(text.removeprefix(SSE_PREFIX))
 
 
-def _joined(events: Iterator[dict[str, Any]], *, is_chat: bool) -> str:
+def _joined_text(events: Iterator[dict[str, Any]], *, is_chat: bool) -> str:
     texts = []
     for event in events:
         for choice in event['choices']:
--- a/packages/standins/dandelionyoke_standins/_plain.py
+++ b/packages/standins/dandelionyoke_standins/_plain.py
@@ -1,4 +1,4 @@
-"""A plain service as a pure model: it counts how often each call has run."""
+"""A pure model of a plain service, which counts the runs of each call."""
 
 from collections import Counter
 
@@ -7,11 +7,11 @@
 
 @attrs.define
 class PlainFaults:
-    """What is wrong with the service at present.
+    """The faults that are currently injected.
 
     `crash` ends the process at once, `crash_before_run` and
-    `crash_after_run` with the next call, and `crash_on` before a call whose
-    body holds the text.
+    `crash_after_run` on the next call, and `crash_on` before running a call
+    with this text in its body.
     """
 
     silent: bool = False
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class PlainRun:
-    """One run of a call, as the service saw it."""
+    """One run of a call."""
 
     at_s: float
     key: str
@@ -38,7 +38,7 @@
 
 
 class PlainModel:
-    """Counts runs; a run takes effect when it is counted."""
+    """Counts the runs of each idempotency key; counting is the only effect."""
 
     def __init__(self) -> None:
         self.faults = PlainFaults()
@@ -46,7 +46,7 @@
         self.record: list[PlainRun] = []
 
     def run(self, run: PlainRun) -> int:
-        """Run a call; give how often its key has run by now."""
+        """Record a run and return the total number of runs of its key."""
         self.runs[run.key] += 1
         self.record.append(run)
         return self.runs[run.key]
--- a/packages/standins/dandelionyoke_standins/_plain_http.py
+++ b/packages/standins/dandelionyoke_standins/_plain_http.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP, as docs/PROTOCOL.md section 2 lays it down."""
+"""A plain service over HTTP, as specified in docs/PROTOCOL.md section 2."""
 
 import os
 import time
@@ -11,18 +11,24 @@
     LostAnswerError,
     NotRunError,
 )
-from dandelionyoke_standins._http import Call, Reply, Route, Server, Signal
+from dandelionyoke_standins._http import (
+    Call,
+    ChangeNotifier,
+    Reply,
+    Route,
+    Server,
+)
 from dandelionyoke_standins._plain import PlainModel, PlainRun
 from dandelionyoke_standins._record_file import RecordFile
 
 CRASH_STATUS = 70
-RETRY_S = 1.0
-# So that the call that asks for the crash gets its answer.
+RETRY_AFTER_S = 1.0
+# Time for the answer to the call that requests the crash.
 CRASH_DELAY_S = 0.01
 
 
-class PlainShell:
-    """Owns a plain service and its callers."""
+class PlainServer:
+    """Serves a plain service model over HTTP."""
 
     def __init__(
         self,
@@ -34,14 +40,16 @@
         self._model = model
         self._engine_id = engine_id
         self._incarnation = os.urandom(8).hex()
-        self._file = RecordFile(record_path, engine_id, self._incarnation)
-        self._running = 0
-        self._changed = Signal()
+        self._record_file = RecordFile(
+            record_path, engine_id, self._incarnation
+        )
+        self._running_calls = 0
+        self._faults_changed = ChangeNotifier()
         self._server = Server(self._routes(), port)
         self.address = self._server.address
 
     def start(self) -> None:
-        """Serve."""
+        """Start serving."""
         self._server.start()
 
     def _routes(self) -> tuple[Route, ...]:
@@ -57,33 +65,33 @@
         faults = self._model.faults
         if faults.refuse:
             raise NotRunError(
-                ran=False, cause=faults.refuse, retry_after_s=RETRY_S
+                ran=False, cause=faults.refuse, retry_after_s=RETRY_AFTER_S
             )
         with ExitStack() as stack:
-            self._running += 1
-            stack.callback(self._leave)
+            self._running_calls += 1
+            stack.callback(self._end_call)
             return self._run_once(call)
 
-    def _leave(self) -> None:
-        self._running -= 1
+    def _end_call(self) -> None:
+        self._running_calls -= 1
 
     def _run_once(self, call: Call) -> Reply:
         faults = self._model.faults
         if faults.delay_s:
             eventlet.sleep(faults.delay_s)
         text = call.body.decode(errors='replace')
-        if faults.crash_before_run or _holds(text, faults.crash_on):
+        if faults.crash_before_run or _contains(text, faults.crash_on):
             os._exit(CRASH_STATUS)
-        run = _seen(call)
+        run = _plain_run(call)
         runs = self._model.run(run)
-        self._file.write('run', run)
+        self._record_file.write('run', run)
         if faults.crash_after_run:
             os._exit(CRASH_STATUS)
         if faults.lose_answers > 0:
             faults.lose_answers -= 1
             raise LostAnswerError
         while faults.silent:
-            self._changed.wait(1)
+            self._faults_changed.wait(1)
         return Reply({'runs': runs})
 
     def _load(self, call: Call) -> Reply:
@@ -93,18 +101,18 @@
                 'incarnation': self._incarnation,
                 'measured_s': time.monotonic(),
                 'age_s': 0,
-                'running': self._running,
+                'running': self._running_calls,
                 'waiting': 0,
                 'draining': False,
             }
         )
 
     def _set_faults(self, call: Call) -> Reply:
-        for name, setting in call.json.items():
+        for name, value in call.json.items():
             if not hasattr(self._model.faults, name):
                 raise BadCallError(cause=f'unknown fault {name}')
-            setattr(self._model.faults, name, setting)
-        self._changed.notify()
+            setattr(self._model.faults, name, value)
+        self._faults_changed.notify()
         if self._model.faults.crash:
             eventlet.spawn_after(CRASH_DELAY_S, os._exit, CRASH_STATUS)
         return Reply(self._model.faults)
@@ -116,11 +124,11 @@
         return Reply({'runs': self._model.record})
 
 
-def _holds(text: str, part: str) -> bool:
-    return bool(part) and part in text
+def _contains(text: str, substring: str) -> bool:
+    return bool(substring) and substring in text
 
 
-def _seen(call: Call) -> PlainRun:
+def _plain_run(call: Call) -> PlainRun:
     return PlainRun(
         at_s=time.monotonic(),
         key=call.headers.get('idempotency-key', ''),
--- a/packages/standins/dandelionyoke_standins/_platform.py
+++ b/packages/standins/dandelionyoke_standins/_platform.py
@@ -1,4 +1,4 @@
-"""The platform as a pure model: store, targets, usage and instances."""
+"""A pure model of the platform: store, targets, usage and instances."""
 
 from typing import Any, Literal
 
@@ -9,9 +9,9 @@
 from dandelionyoke_standins._store import StoreModel
 from dandelionyoke_standins._targets import (
     Target,
-    TargetBook,
     TargetOrder,
     TargetOrderAnswer,
+    TargetRegistry,
     TargetSettings,
 )
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Lags and limits of the platform; no limit where none is given."""
+    """Delays and rate limits of the platform; a missing limit is unlimited."""
 
     lag_s: float = 1.0
     targets: TargetSettings = attrs.field(factory=TargetSettings)
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class UsageWindow:
-    """A usage report as it came in."""
+    """A usage report as received."""
 
     window_id: str
     domain: str
@@ -51,10 +51,10 @@
 
 @attrs.define
 class PlatformFaults:
-    """What is wrong with the platform at present.
+    """The faults that are currently injected.
 
-    Outage, delay and lost answers touch the calls on keys with the prefix,
-    or every call when it is empty.
+    Outage, delay and lost answers affect calls on keys with the prefix
+    `keys`, or every call if it is empty.
     """
 
     outage: bool = False
@@ -62,27 +62,35 @@
     lose_answers: int = 0
     keys: str = ''
 
-    def touches(self, key: str | None) -> bool:
-        """Tell whether a call is on the faulty part."""
+    def applies_to(self, key: str | None) -> bool:
+        """Return whether the faults affect calls on this key."""
         if not self.keys:
             return True
         return key is not None and key.startswith(self.keys)
 
     def before(self, key: str | None) -> None:
-        """Refuse a call during an outage."""
-        if self.outage and self.touches(key):
+        """Check for an outage before a call.
+
+        Raises:
+            OutageError: There is an outage for this key.
+        """
+        if self.outage and self.applies_to(key):
             raise OutageError(cause='outage')
 
     def after_write(self, key: str | None) -> None:
-        """Lose the answer of a write that has taken effect."""
-        if self.lose_answers > 0 and self.touches(key):
+        """Lose the answer of a completed write, if that fault is active.
+
+        Raises:
+            LostAnswerError: The write took effect; its answer is lost.
+        """
+        if self.lose_answers > 0 and self.applies_to(key):
             self.lose_answers -= 1
             raise LostAnswerError(key=key)
 
 
 @attrs.frozen
 class ReceivedOrder:
-    """A target order as received, with what was answered."""
+    """A target order as received, with its answer."""
 
     at_s: float
     order: TargetOrder
@@ -99,14 +107,14 @@
 
 @attrs.define
 class PlatformRecord:
-    """All that came in, repeats too, for checks from outside."""
+    """Every order and usage report, repeats included, for checks by tests."""
 
     orders: list[ReceivedOrder] = attrs.field(factory=list)
     usage: list[ReceivedUsage] = attrs.field(factory=list)
 
 
 @attrs.frozen
-class _Sighting:
+class _ListingChange:
     at_s: float
     instance: Instance | None
 
@@ -114,8 +122,8 @@
 class PlatformModel:
     """The platform without HTTP.
 
-    Who drives it says `enter` before each call and `leave` after a change,
-    so that the call is counted and meets the faults of the moment.
+    The server calls `begin_call` before each call and `finish_write` after
+    each change, which count the call and apply the injected faults.
     """
 
     def __init__(self, settings: PlatformSettings | None = None) -> None:
@@ -124,77 +132,85 @@
         self.faults = PlatformFaults()
         self.meter = CallMeter(self.settings.limits_per_s)
         self.record = PlatformRecord()
-        self._book = TargetBook(self.settings.targets)
-        self._sightings: dict[str, list[_Sighting]] = {}
+        self._target_registry = TargetRegistry(self.settings.targets)
+        self._listing_changes: dict[str, list[_ListingChange]] = {}
 
     def delay_s(self, key: str | None) -> float:
-        """Tell how long a call waits before it takes effect."""
-        return self.faults.delay_s if self.faults.touches(key) else 0
+        """Return how long a call is delayed before it takes effect."""
+        return self.faults.delay_s if self.faults.applies_to(key) else 0
+
+    def begin_call(self, kind: str, key: str | None, now_s: float) -> None:
+        """Count a call and expire leases.
 
-    def enter(self, kind: str, key: str | None, now_s: float) -> None:
-        """Count a call; refuse it over the rate limit or in an outage."""
+        Raises:
+            RateLimitError: The rate limit is exceeded.
+            OutageError: There is an outage for this key.
+        """
         self.meter.count(kind, now_s)
         self.faults.before(key)
         self.store.expire(now_s)
 
-    def leave(self, key: str | None) -> None:
-        """Lose the answer of a change that has taken effect, if told so."""
+    def finish_write(self, key: str | None) -> None:
+        """Lose the answer of a completed change, if that fault is active."""
         self.faults.after_write(key)
 
     def list_instance(self, instance: Instance, now_s: float) -> None:
-        """List an instance, or change its state."""
-        self._see(instance.instance_id, instance, now_s)
+        """Add an instance to the list, or replace its entry."""
+        self._record_change(instance.instance_id, instance, now_s)
 
     def unlist_instance(self, instance_id: str, now_s: float) -> None:
-        """Take an instance off the list."""
-        self._see(instance_id, None, now_s)
+        """Remove an instance from the list."""
+        self._record_change(instance_id, None, now_s)
 
     def instances(self, now_s: float) -> tuple[Instance, ...]:
-        """Give the list as it was some time ago."""
+        """Return the instance list as it was `lag_s` ago."""
         listed = (
-            self._listed(instance_id, now_s) for instance_id in self._sightings
+            self._listed_instance(instance_id, now_s)
+            for instance_id in self._listing_changes
         )
         return tuple(instance for instance in listed if instance is not None)
 
     def replace_targets(
         self, targets: list[Target], spares: list[Target]
     ) -> None:
-        """List these targets; orders take further ones from the spares."""
-        self._book.replace(targets, spares)
+        """Replace the listed targets and the spares that orders may add."""
+        self._target_registry.replace(targets, spares)
 
     def targets(self, now_s: float) -> tuple[Target, ...]:
-        """Give the targets of this moment."""
-        return self._book.targets(now_s)
+        """Return the current targets."""
+        return self._target_registry.targets(now_s)
 
     def order_targets(
         self, order: TargetOrder, now_s: float
     ) -> TargetOrderAnswer:
-        """Take a target order and record it."""
-        answer = self._book.order(order, now_s)
+        """Process a target order and record it."""
+        answer = self._target_registry.order(order, now_s)
         self.record.orders.append(ReceivedOrder(now_s, order, answer))
         return answer
 
     def reclaim_targets(
         self, domain: str, notice_s: float, now_s: float
     ) -> None:
-        """Take back the reclaimable targets of a domain after a notice."""
-        self._book.reclaim(domain, notice_s, now_s)
+        """Reclaim the spot targets of a domain after a notice period."""
+        self._target_registry.reclaim(domain, notice_s, now_s)
 
     def report_usage(self, window: UsageWindow, now_s: float) -> None:
-        """Record a usage report, also when it repeats another."""
+        """Record a usage report, even if it repeats an earlier one."""
         self.record.usage.append(ReceivedUsage(now_s, window))
 
-    def _see(
+    def _record_change(
         self, instance_id: str, instance: Instance | None, now_s: float
     ) -> None:
-        sightings = self._sightings.setdefault(instance_id, [])
-        sightings.append(_Sighting(now_s, instance))
-
-    def _listed(self, instance_id: str, now_s: float) -> Instance | None:
-        sightings = self._sightings[instance_id]
-        until_s = now_s - self.settings.lag_s
-        while len(sightings) > 1 and sightings[1].at_s <= until_s:
-            sightings.pop(0)
-        if sightings[0].at_s > until_s:
+        changes = self._listing_changes.setdefault(instance_id, [])
+        changes.append(_ListingChange(now_s, instance))
+
+    def _listed_instance(
+        self, instance_id: str, now_s: float
+    ) -> Instance | None:
+        changes = self._listing_changes[instance_id]
+        visible_until_s = now_s - self.settings.lag_s
+        while len(changes) > 1 and changes[1].at_s <= visible_until_s:
+            changes.pop(0)
+        if changes[0].at_s > visible_until_s:
             return None
-        return sightings[0].instance
+        return changes[0].instance
--- a/packages/standins/dandelionyoke_standins/_platform_http.py
+++ b/packages/standins/dandelionyoke_standins/_platform_http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, as docs/PROTOCOL.md section 3 lays it down."""
+"""The platform over HTTP, as specified in docs/PROTOCOL.md section 3."""
 
 import time
 from collections.abc import Callable
@@ -8,7 +8,13 @@
 import eventlet
 
 from dandelionyoke_standins._errors import BadCallError
-from dandelionyoke_standins._http import Call, Reply, Route, Server, Signal
+from dandelionyoke_standins._http import (
+    Call,
+    ChangeNotifier,
+    Reply,
+    Route,
+    Server,
+)
 from dandelionyoke_standins._json import Json, build
 from dandelionyoke_standins._platform import (
     Instance,
@@ -21,20 +27,20 @@
 LEASE_CHECK_S = 0.02
 MAX_WAIT_S = 60.0
 
-Answer = TypeVar('Answer')
+Result = TypeVar('Result')
 
 
-class PlatformShell:
-    """Owns a platform model, and gives it the clock and the callers."""
+class PlatformServer:
+    """Serves a platform model over HTTP, in real time."""
 
     def __init__(self, model: PlatformModel, port: int = 0) -> None:
         self._model = model
-        self._changed = Signal()
+        self._changed = ChangeNotifier()
         self._server = Server(self._routes(), port)
         self.address = self._server.address
 
     def start(self) -> None:
-        """Serve, and end the leases that lapse."""
+        """Start serving, and expire leases with the clock."""
         self._server.start()
         eventlet.spawn(self._expire_leases)
 
@@ -50,7 +56,7 @@
             Route('DELETE', '/store/leases/([^/]+)', self._revoke),
             Route('GET', '/instances', self._instances),
             Route('POST', '/instances', self._add_instance),
-            Route('DELETE', '/instances/([^/]+)', self._drop_instance),
+            Route('DELETE', '/instances/([^/]+)', self._remove_instance),
             Route('GET', '/targets', self._targets),
             Route('POST', '/targets/orders', self._order),
             Route('POST', '/usage/windows', self._usage),
@@ -62,7 +68,7 @@
         ]
 
     def _read(self, call: Call, key: str) -> Reply:
-        self._enter('read', key)
+        self._begin_call('read', key)
         entry = self._model.store.read(key)
         return _entry_reply(entry, 200 if entry.revision else 404)
 
@@ -72,7 +78,7 @@
         if not isinstance(text, str):
             raise BadCallError(cause='value is not text')
         expected = _revision(body.get('expected_revision'))
-        entry = self._change(
+        entry = self._apply_change(
             'write',
             key,
             lambda: self._model.store.write(
@@ -83,7 +89,7 @@
 
     def _delete(self, call: Call, key: str) -> Reply:
         expected = _revision(call.query.get('expected_revision'))
-        entry = self._change(
+        entry = self._apply_change(
             'write',
             key,
             lambda: self._model.store.delete(key, expected),
@@ -92,26 +98,26 @@
 
     def _list(self, call: Call) -> Reply:
         prefix = call.query.get('prefix', '')
-        self._enter('list', prefix)
+        self._begin_call('list', prefix)
         return _changes_reply(self._model.store.list_prefix(prefix))
 
     def _watch(self, call: Call) -> Reply:
         prefix = call.query.get('prefix', '')
         after = _revision(call.query.get('after'))
         wait_s = min(float(call.query.get('wait_s', 0)), MAX_WAIT_S)
-        self._enter('watch', prefix)
-        until_s = time.monotonic() + wait_s
+        self._begin_call('watch', prefix)
+        deadline_s = time.monotonic() + wait_s
         while True:
             self._model.faults.before(prefix)
             changes = self._model.store.changes_after(prefix, after)
-            left_s = until_s - time.monotonic()
-            if changes.items or left_s <= 0:
+            remaining_s = deadline_s - time.monotonic()
+            if changes.items or remaining_s <= 0:
                 return _changes_reply(changes)
-            self._changed.wait(left_s)
+            self._changed.wait(remaining_s)
 
     def _grant(self, call: Call) -> Reply:
         ttl_s = float(_field(call.json, 'ttl_s'))
-        lease_id = self._change(
+        lease_id = self._apply_change(
             'lease',
             None,
             lambda: self._model.store.grant_lease(ttl_s, time.monotonic()),
@@ -119,7 +125,7 @@
         return Reply({'lease_id': lease_id})
 
     def _renew(self, call: Call, lease_id: str) -> Reply:
-        ttl_s = self._change(
+        ttl_s = self._apply_change(
             'lease',
             None,
             lambda: self._model.store.renew_lease(lease_id, time.monotonic()),
@@ -127,7 +133,7 @@
         return Reply({'lease_id': lease_id, 'ttl_s': ttl_s})
 
     def _revoke(self, call: Call, lease_id: str) -> Reply:
-        self._change(
+        self._apply_change(
             'lease',
             None,
             lambda: self._model.store.revoke_lease(lease_id, time.monotonic()),
@@ -135,7 +141,7 @@
         return Reply({'lease_id': lease_id})
 
     def _instances(self, call: Call) -> Reply:
-        self._enter('instances', None)
+        self._begin_call('instances', None)
         return Reply({'instances': self._model.instances(time.monotonic())})
 
     def _add_instance(self, call: Call) -> Reply:
@@ -143,26 +149,26 @@
         self._model.list_instance(instance, time.monotonic())
         return Reply({'instance_id': instance.instance_id})
 
-    def _drop_instance(self, call: Call, instance_id: str) -> Reply:
+    def _remove_instance(self, call: Call, instance_id: str) -> Reply:
         self._model.unlist_instance(instance_id, time.monotonic())
         return Reply({'instance_id': instance_id})
 
     def _targets(self, call: Call) -> Reply:
-        self._enter('targets', None)
+        self._begin_call('targets', None)
         return Reply({'targets': self._model.targets(time.monotonic())})
 
     def _order(self, call: Call) -> Reply:
         order = build(TargetOrder, call.json)
-        answer = self._change(
+        result = self._apply_change(
             'order',
             None,
             lambda: self._model.order_targets(order, time.monotonic()),
         )
-        return Reply(answer)
+        return Reply(result)
 
     def _usage(self, call: Call) -> Reply:
         window = build(UsageWindow, call.json)
-        self._change(
+        self._apply_change(
             'usage',
             None,
             lambda: self._model.report_usage(window, time.monotonic()),
@@ -170,10 +176,10 @@
         return Reply({'window_id': window.window_id})
 
     def _set_faults(self, call: Call) -> Reply:
-        for name, setting in call.json.items():
+        for name, value in call.json.items():
             if not hasattr(self._model.faults, name):
                 raise BadCallError(cause=f'unknown fault {name}')
-            setattr(self._model.faults, name, setting)
+            setattr(self._model.faults, name, value)
         self._changed.notify()
         return Reply(self._model.faults)
 
@@ -197,21 +203,21 @@
     def _record(self, call: Call) -> Reply:
         return Reply(self._model.record)
 
-    def _enter(self, kind: str, key: str | None) -> None:
+    def _begin_call(self, kind: str, key: str | None) -> None:
         delay_s = self._model.delay_s(key)
         if delay_s:
             eventlet.sleep(delay_s)
-        self._model.enter(kind, key, time.monotonic())
-
-    def _change(
-        self, kind: str, key: str | None, act: Callable[[], Answer]
-    ) -> Answer:
-        """Let a change take effect, then perhaps lose its answer."""
-        self._enter(kind, key)
-        answer = act()
+        self._model.begin_call(kind, key, time.monotonic())
+
+    def _apply_change(
+        self, kind: str, key: str | None, apply: Callable[[], Result]
+    ) -> Result:
+        """Apply a change, and lose its answer if that fault is active."""
+        self._begin_call(kind, key)
+        result = apply()
         self._changed.notify()
-        self._model.leave(key)
-        return answer
+        self._model.finish_write(key)
+        return result
 
     def _expire_leases(self) -> None:
         while True:
--- a/packages/standins/dandelionyoke_standins/_record_file.py
+++ b/packages/standins/dandelionyoke_standins/_record_file.py
@@ -1,6 +1,6 @@
-"""A record on disk that outlives the stand-in it is about.
+"""A record file that remains after the stand-in has ended.
 
-A check of what a killed process has seen can't ask that process.
+It lets a test check what a killed process received.
 """
 
 import pathlib
@@ -10,7 +10,7 @@
 
 
 class RecordFile:
-    """Appends one JSON object a line; several processes may share it."""
+    """Appends one JSON object per line; several processes may share a file."""
 
     def __init__(self, path: str, engine_id: str, incarnation: str) -> None:
         self._path = pathlib.Path(path) if path else None
@@ -18,7 +18,7 @@
         self._incarnation = incarnation
 
     def write(self, kind: str, record: Any) -> None:
-        """Append a record, if there is a file."""
+        """Append a record, if a file is configured."""
         if self._path is None:
             return
         line = {
--- a/packages/standins/dandelionyoke_standins/_store.py
+++ b/packages/standins/dandelionyoke_standins/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store as a pure model: revisions, leases and changes."""
+"""A pure model of the platform's store: revisions, leases and changes."""
 
 import math
 from collections import OrderedDict
@@ -14,12 +14,12 @@
 )
 
 MAX_VALUE_BYTES = 1_048_576
-MAX_REMOVALS = 100_000
+MAX_TOMBSTONES = 100_000
 
 
 @attrs.frozen
 class StoreEntry:
-    """A key at a revision; no value once it is removed."""
+    """A key at a revision; the value is None once the key is removed."""
 
     key: str
     revision: int
@@ -35,10 +35,10 @@
 
 
 class Store(Protocol):
-    """What any implementation of the store offers, with time passed in."""
+    """The interface of a store; callers pass the current time."""
 
     def read(self, key: str) -> StoreEntry:
-        """Give the entry, at revision 0 when the key is absent."""
+        """Return the entry; an absent key has revision 0."""
 
     def write(
         self,
@@ -47,25 +47,25 @@
         expected_revision: int,
         lease_id: str | None = None,
     ) -> StoreEntry:
-        """Write if the key is at that revision (0: absent)."""
+        """Write a value if the key is at this revision (0: absent)."""
 
     def delete(self, key: str, expected_revision: int) -> StoreEntry:
-        """Remove if the key is at that revision."""
+        """Remove a key if it is at this revision."""
 
     def list_prefix(self, prefix: str) -> StoreChanges:
-        """Give every present key with the prefix, in order of key."""
+        """Return all present keys with a prefix, sorted by key."""
 
     def changes_after(self, prefix: str, revision: int) -> StoreChanges:
-        """Give the changes of keys with the prefix after a revision."""
+        """Return the changes to keys with a prefix after a revision."""
 
     def grant_lease(self, ttl_s: float, now_s: float) -> str:
-        """Open a lease that lapses unless it is renewed."""
+        """Grant a lease that expires unless it is renewed."""
 
     def renew_lease(self, lease_id: str, now_s: float) -> float:
-        """Let a lease run for its whole time again."""
+        """Restart the full term of a lease and return the term (s)."""
 
     def revoke_lease(self, lease_id: str, now_s: float) -> None:
-        """End a lease and remove its keys."""
+        """Revoke a lease and remove its keys."""
 
 
 @attrs.define
@@ -76,20 +76,20 @@
 
 
 class StoreModel:
-    """One store in memory. It moves on only when it is called."""
+    """An in-memory store; leases expire only when it is called."""
 
     def __init__(self) -> None:
         self.revision = 0
         self._entries: OrderedDict[str, StoreEntry] = OrderedDict()
-        self._removed_count = 0
+        self._tombstone_count = 0
         self._leases: dict[str, _Lease] = {}
         self._lease_of: dict[str, str] = {}
-        self._granted = 0
-        # No lease lapses before this time.
-        self._checked_until_s = math.inf
+        self._lease_count = 0
+        # No lease expires before this time.
+        self._next_check_s = math.inf
 
     def read(self, key: str) -> StoreEntry:
-        """Give the entry, at revision 0 when the key is absent."""
+        """Return the entry; an absent key has revision 0."""
         entry = self._entries.get(key)
         if entry is None or entry.value is None:
             return StoreEntry(key, 0)
@@ -102,27 +102,27 @@
         expected_revision: int,
         lease_id: str | None = None,
     ) -> StoreEntry:
-        """Write if the key is at that revision (0: absent)."""
+        """Write a value if the key is at this revision (0: absent)."""
         if len(value.encode()) > MAX_VALUE_BYTES:
             raise TooLargeError(key=key, limit_bytes=MAX_VALUE_BYTES)
-        self._expect(key, expected_revision)
+        self._check_revision(key, expected_revision)
         if lease_id is not None and lease_id not in self._leases:
             raise MissingError(lease_id=lease_id, cause='lease_lapsed')
-        self._detach(key)
+        self._detach_from_lease(key)
         if lease_id is not None:
             self._leases[lease_id].keys.add(key)
             self._lease_of[key] = lease_id
         return self._put(key, value)
 
     def delete(self, key: str, expected_revision: int) -> StoreEntry:
-        """Remove if the key is at that revision."""
+        """Remove a key if it is at this revision."""
         if expected_revision == 0:
             raise ConflictError(**attrs.asdict(self.read(key)))
-        self._expect(key, expected_revision)
+        self._check_revision(key, expected_revision)
         return self._remove(key)
 
     def list_prefix(self, prefix: str) -> StoreChanges:
-        """Give every present key with the prefix, in order of key."""
+        """Return all present keys with a prefix, sorted by key."""
         present = [
             entry
             for entry in self._entries.values()
@@ -132,59 +132,59 @@
         return StoreChanges(self.revision, tuple(present))
 
     def changes_after(self, prefix: str, revision: int) -> StoreChanges:
-        """Give the changes of keys with the prefix after a revision."""
-        found = [
+        """Return the changes to keys with a prefix after a revision."""
+        changed = [
             entry
             for entry in self._newest_first(revision)
             if entry.key.startswith(prefix)
         ]
-        return StoreChanges(self.revision, tuple(reversed(found)))
+        return StoreChanges(self.revision, tuple(reversed(changed)))
 
     def grant_lease(self, ttl_s: float, now_s: float) -> str:
-        """Open a lease that lapses unless it is renewed."""
-        self._granted += 1
-        lease_id = f'lease-{self._granted}'
+        """Grant a lease that expires unless it is renewed."""
+        self._lease_count += 1
+        lease_id = f'lease-{self._lease_count}'
         expires_s = now_s + ttl_s
-        self._checked_until_s = min(self._checked_until_s, expires_s)
+        self._next_check_s = min(self._next_check_s, expires_s)
         self._leases[lease_id] = _Lease(ttl_s, expires_s)
         return lease_id
 
     def renew_lease(self, lease_id: str, now_s: float) -> float:
-        """Let a lease run for its whole time again."""
+        """Restart the full term of a lease and return the term (s)."""
         self.expire(now_s)
         lease = self._live_lease(lease_id)
         lease.expires_s = now_s + lease.ttl_s
         return lease.ttl_s
 
     def revoke_lease(self, lease_id: str, now_s: float) -> None:
-        """End a lease and remove its keys."""
+        """Revoke a lease and remove its keys."""
         self.expire(now_s)
         self._live_lease(lease_id)
         self._end_lease(lease_id)
 
     def expire(self, now_s: float) -> None:
-        """End the leases whose time is over."""
-        if now_s < self._checked_until_s:
+        """Remove expired leases and their keys."""
+        if now_s < self._next_check_s:
             return
-        lapsed = [
+        expired = [
             lease_id
             for lease_id, lease in self._leases.items()
             if lease.expires_s <= now_s
         ]
-        for lease_id in lapsed:
+        for lease_id in expired:
             self._end_lease(lease_id)
-        self._checked_until_s = self.next_expiry_s or math.inf
+        self._next_check_s = self.next_expiry_s or math.inf
 
     @property
     def next_expiry_s(self) -> float | None:
-        """When the next lease lapses, if any is open."""
+        """When the next lease expires, or None without leases."""
         times = (lease.expires_s for lease in self._leases.values())
         return min(times, default=None)
 
-    def _expect(self, key: str, expected_revision: int) -> None:
-        present = self.read(key)
-        if present.revision != expected_revision:
-            raise ConflictError(**attrs.asdict(present))
+    def _check_revision(self, key: str, expected_revision: int) -> None:
+        current = self.read(key)
+        if current.revision != expected_revision:
+            raise ConflictError(**attrs.asdict(current))
 
     def _live_lease(self, lease_id: str) -> _Lease:
         lease = self._leases.get(lease_id)
@@ -205,24 +205,29 @@
         return entry
 
     def _remove(self, key: str) -> StoreEntry:
-        self._detach(key)
+        self._detach_from_lease(key)
         entry = self._put(key, None)
-        self._removed_count += 1
-        if self._removed_count > MAX_REMOVALS:
-            self._forget_removals()
+        self._tombstone_count += 1
+        if self._tombstone_count > MAX_TOMBSTONES:
+            self._trim_tombstones()
         return entry
 
-    def _detach(self, key: str) -> None:
+    def _detach_from_lease(self, key: str) -> None:
         lease = self._leases.get(self._lease_of.pop(key, ''))
         if lease is not None:
             lease.keys.discard(key)
 
-    def _forget_removals(self) -> None:
-        """Drop the older half, which no waiting watch asks for any more."""
-        gone = [key for key, entry in self._entries.items() if _is_gone(entry)]
-        for key in gone[: len(gone) // 2]:
+    def _trim_tombstones(self) -> None:
+        """Drop the older half of the tombstones.
+
+        No waiting watch needs them any more.
+        """
+        tombstones = [
+            key for key, entry in self._entries.items() if _is_tombstone(entry)
+        ]
+        for key in tombstones[: len(tombstones) // 2]:
             self._entries.pop(key)
-        self._removed_count = len(gone) - len(gone) // 2
+        self._tombstone_count = len(tombstones) - len(tombstones) // 2
 
     def _newest_first(self, revision: int) -> Iterator[StoreEntry]:
         for entry in reversed(self._entries.values()):
@@ -231,5 +236,5 @@
             yield entry
 
 
-def _is_gone(entry: StoreEntry) -> bool:
+def _is_tombstone(entry: StoreEntry) -> bool:
     return entry.value is None
--- a/packages/standins/dandelionyoke_standins/_targets.py
+++ b/packages/standins/dandelionyoke_standins/_targets.py
@@ -1,4 +1,4 @@
-"""The platform's targets and the orders that add and remove them."""
+"""The platform's targets and the orders to add or remove them."""
 
 import itertools
 from collections.abc import Iterable
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class TargetOrder:
-    """One order to add or remove targets of a failure domain."""
+    """An order to add or remove targets of a failure domain."""
 
     order_id: str
     fence: int
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class TargetOrderAnswer:
-    """What became of an order."""
+    """The state of an order, and the cause of a refusal."""
 
     order_id: str
     state: OrderState
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class TargetSettings:
-    """How long the platform takes, and whether it invents addresses.
+    """Boot and removal delays, and whether addresses may be invented.
 
     Without invented addresses an order that finds no spare target is
     refused.
@@ -57,7 +57,7 @@
 
     boot_s: float = 3.0
     leave_s: float = 5.0
-    is_inventing: bool = True
+    invents_addresses: bool = True
 
 
 @attrs.define
@@ -68,8 +68,8 @@
     is_removal: bool = False
 
 
-class TargetBook:
-    """Every target of the platform, spare ones, and the recorded orders."""
+class TargetRegistry:
+    """The platform's targets, spares, pending changes and order answers."""
 
     def __init__(self, settings: TargetSettings) -> None:
         self._settings = settings
@@ -78,24 +78,24 @@
         self._changes: list[_Change] = []
         self._answers: dict[str, TargetOrderAnswer] = {}
         self._highest_fence: dict[str, int] = {}
-        self._serial = itertools.count(1)
+        self._serial_numbers = itertools.count(1)
 
     def replace(
         self, targets: Iterable[Target], spares: Iterable[Target] = ()
     ) -> None:
-        """List these targets; orders take further ones from the spares."""
+        """Replace the listed targets and the spares that orders may add."""
         self._targets = {target.target_id: target for target in targets}
         self._spares = list(spares)
         self._changes.clear()
 
     def targets(self, now_s: float) -> tuple[Target, ...]:
-        """Give the targets of this moment."""
-        self._settle(now_s)
+        """Return the current targets."""
+        self._apply_due_changes(now_s)
         return tuple(self._targets.values())
 
     def order(self, order: TargetOrder, now_s: float) -> TargetOrderAnswer:
-        """Take an order once; a repeated id is answered from the record."""
-        self._settle(now_s)
+        """Process an order; a repeated id gets the recorded answer."""
+        self._apply_due_changes(now_s)
         recorded = self._answers.get(order.order_id)
         if recorded is not None:
             return recorded
@@ -104,15 +104,15 @@
         return answer
 
     def reclaim(self, domain: str, notice_s: float, now_s: float) -> None:
-        """Take back the reclaimable targets of a domain after a notice."""
-        self._settle(now_s)
+        """Reclaim the spot targets of a domain after a notice period."""
+        self._apply_due_changes(now_s)
         for target in tuple(self._targets.values()):
             if target.reclaimable and target.domain == domain:
-                taken = attrs.evolve(target, state='reclaimed')
+                reclaimed = attrs.evolve(target, state='reclaimed')
                 self._targets[target.target_id] = attrs.evolve(
                     target, state='leaving'
                 )
-                self._changes.append(_Change(now_s + notice_s, '', taken))
+                self._changes.append(_Change(now_s + notice_s, '', reclaimed))
 
     def _decide(self, order: TargetOrder, now_s: float) -> TargetOrderAnswer:
         if order.fence < self._highest_fence.get(order.domain, 0):
@@ -140,9 +140,11 @@
             if (spare.domain, spare.service) == (order.domain, order.service):
                 self._spares.pop(index)
                 return attrs.evolve(spare, reclaimable=order.reclaimable)
-        if not self._settings.is_inventing:
+        if not self._settings.invents_addresses:
             return None
-        target_id = f'{order.service}-{order.domain}-{next(self._serial)}'
+        target_id = (
+            f'{order.service}-{order.domain}-{next(self._serial_numbers)}'
+        )
         return Target(
             target_id=target_id,
             service=order.service,
@@ -152,28 +154,28 @@
         )
 
     def _remove(self, order: TargetOrder, now_s: float) -> TargetOrderAnswer:
-        found = [self._targets.get(name) for name in order.target_ids]
-        leaving = [target for target in found if target is not None]
-        if len(leaving) < len(found) or not found:
+        requested = [self._targets.get(name) for name in order.target_ids]
+        leaving = [target for target in requested if target is not None]
+        if len(leaving) < len(requested) or not requested:
             return _refused(order, 'unknown_target')
         if any(target.domain != order.domain for target in leaving):
             return _refused(order, 'other_domain')
         at_s = now_s + self._settings.leave_s
         for target in leaving:
-            marked = attrs.evolve(target, state='leaving')
-            self._targets[target.target_id] = marked
+            leaving_target = attrs.evolve(target, state='leaving')
+            self._targets[target.target_id] = leaving_target
             self._changes.append(
-                _Change(at_s, order.order_id, marked, is_removal=True)
+                _Change(at_s, order.order_id, leaving_target, is_removal=True)
             )
         return TargetOrderAnswer(order.order_id, 'accepted')
 
-    def _settle(self, now_s: float) -> None:
+    def _apply_due_changes(self, now_s: float) -> None:
         due = [change for change in self._changes if change.at_s <= now_s]
         for change in due:
             self._changes.remove(change)
-            self._apply(change)
+            self._apply_change(change)
 
-    def _apply(self, change: _Change) -> None:
+    def _apply_change(self, change: _Change) -> None:
         if change.is_removal:
             self._targets.pop(change.target.target_id, None)
         else:
--- a/packages/standins/dandelionyoke_standins/_workload.py
+++ b/packages/standins/dandelionyoke_standins/_workload.py
@@ -1,4 +1,4 @@
-"""The demo's mix of calls, and what a whole answer to each of them is."""
+"""The demo's mix of calls, with the expected answer to each."""
 
 import random
 from collections.abc import Iterator
@@ -22,13 +22,13 @@
 SHORT_PROMPT_WORDS = 12
 LONG_ANSWER_TOKENS = 120
 SHORT_ANSWER_TOKENS = 8
-SPARE_OUTPUT_TOKENS = 64
+OUTPUT_HEADROOM_TOKENS = 64
 SHOPS = ('duka-la-juma', 'duka-la-asha', 'duka-la-neema')
 
 
 @attrs.frozen
 class LoadCall:
-    """One call of the mix, with the answer that it must get."""
+    """One call and its expected answer."""
 
     number: int
     kind: CallKind
@@ -37,39 +37,43 @@
     expected_text: str
 
 
-def load_calls(
+def generate_calls(
     count: int, kinds: tuple[CallKind, ...], seed: int
 ) -> Iterator[LoadCall]:
-    """Give a mix of calls; no two have the same prompt."""
-    chance = random.Random(seed)
+    """Yield a reproducible mix of calls, each with a unique prompt."""
+    rng = random.Random(seed)
     for number in range(count):
-        yield _load_call(number, kinds[number % len(kinds)], chance)
+        yield _load_call(number, kinds[number % len(kinds)], rng)
 
 
-def _load_call(number: int, kind: CallKind, chance: random.Random) -> LoadCall:
-    is_long_prompt = chance.choice((True, False))
-    words = LONG_PROMPT_WORDS if is_long_prompt else SHORT_PROMPT_WORDS
-    most = SHORT_ANSWER_TOKENS if is_long_prompt else LONG_ANSWER_TOKENS
-    answer_tokens = chance.randint(most // 2, most)
-    max_output_tokens = answer_tokens + SPARE_OUTPUT_TOKENS
-    prompt = _prompt(number, words, answer_tokens, chance)
-    seen_by_engine = prompt
+def _load_call(number: int, kind: CallKind, rng: random.Random) -> LoadCall:
+    is_long_prompt = rng.choice((True, False))
+    word_count = LONG_PROMPT_WORDS if is_long_prompt else SHORT_PROMPT_WORDS
+    max_answer_tokens = (
+        SHORT_ANSWER_TOKENS if is_long_prompt else LONG_ANSWER_TOKENS
+    )
+    answer_tokens = rng.randint(max_answer_tokens // 2, max_answer_tokens)
+    max_output_tokens = answer_tokens + OUTPUT_HEADROOM_TOKENS
+    prompt = _prompt(number, word_count, answer_tokens, rng)
+    engine_prompt = prompt
     if kind.startswith('chat'):
-        seen_by_engine = chat_prompt([ChatMessage('user', prompt)])
+        engine_prompt = chat_prompt([ChatMessage('user', prompt)])
     return LoadCall(
         number=number,
         kind=kind,
         prompt=prompt,
         max_output_tokens=max_output_tokens,
-        expected_text=answer_text(seen_by_engine, max_output_tokens),
+        expected_text=answer_text(engine_prompt, max_output_tokens),
     )
 
 
 def _prompt(
-    number: int, words: int, answer_tokens: int, chance: random.Random
+    number: int, word_count: int, answer_tokens: int, rng: random.Random
 ) -> str:
-    """Begin with a shop's history, which calls share, and end apart."""
-    shop = chance.choice(SHOPS)
-    history = ' '.join(f'{shop}:crates-{day}' for day in range(words))
-    run = chance.getrandbits(32)
-    return f'{history} question {run}-{number}: answer {answer_tokens} tokens'
+    """Build a prompt: a prefix that calls share, then a unique question."""
+    shop = rng.choice(SHOPS)
+    shared_prefix = ' '.join(
+        f'{shop}:crates-{day}' for day in range(word_count)
+    )
+    nonce = rng.getrandbits(32)
+    return f'{shared_prefix} question {nonce}-{number}: answer {answer_tokens} tokens'
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform: its model in virtual time, and the calls over HTTP."""
+"""Tests of the platform model in virtual time, and of its HTTP calls."""
 
 import concurrent.futures
 import contextlib
@@ -32,13 +32,13 @@
 ERRORS = {404: MissingError, 409: ConflictError, 413: TooLargeError}
 
 
-def order(order_id: str, fence: int, **more: object) -> TargetOrder:
+def order(order_id: str, fence: int, **overrides: object) -> TargetOrder:
     fields = {'domain': 'moin-a', 'service': 'modelo-lm', 'action': 'add'}
-    return TargetOrder(order_id, fence, **{**fields, **more})
+    return TargetOrder(order_id, fence, **{**fields, **overrides})
 
 
-def target(target_id: str, **more: object) -> Target:
-    return Target(target_id, 'modelo-lm', 'moin-a', 'http://x', **more)
+def target(target_id: str, **overrides: object) -> Target:
+    return Target(target_id, 'modelo-lm', 'moin-a', 'http://x', **overrides)
 
 
 class TargetsTest(TestCase):
@@ -53,42 +53,44 @@
         self.assertEqual(2, len(model.targets(30)))
         self.assertEqual(2, len(model.record.orders))
 
-    def test_an_order_with_an_old_fence_has_no_effect(self) -> None:
+    def test_an_order_with_a_stale_fencing_token_is_refused(self) -> None:
         model = PlatformModel()
         model.replace_targets([target('t1')], [])
         model.order_targets(order('1', 5, count=1), 0)
-        late = order('2', 4, action='remove', target_ids=['t1'])
-        answer = model.order_targets(late, 0)
+        stale = order('2', 4, action='remove', target_ids=['t1'])
+        answer = model.order_targets(stale, 0)
         self.assertEqual(
             ('refused', 'stale_fence'), (answer.state, answer.cause)
         )
         self.assertEqual('live', model.targets(0)[0].state)
-        elsewhere = order('3', 4, count=1, domain='moin-b')
-        self.assertEqual('accepted', model.order_targets(elsewhere, 0).state)
+        other_domain = order('3', 4, count=1, domain='moin-b')
+        self.assertEqual('accepted', model.order_targets(other_domain, 0).state)
 
-    def test_a_removed_target_is_seen_leaving_first(self) -> None:
+    def test_a_removed_target_is_listed_as_leaving_first(self) -> None:
         model = PlatformModel(PlatformSettings(targets=TargetSettings(3, 5)))
         model.replace_targets([target('t1'), target('t2')], [])
         leaving = order('1', 1, action='remove', target_ids=['t1'])
         model.order_targets(leaving, 0)
-        states = {one.target_id: one.state for one in model.targets(4)}
+        states = {entry.target_id: entry.state for entry in model.targets(4)}
         self.assertEqual({'t1': 'leaving', 't2': 'live'}, states)
-        self.assertEqual(['t2'], [one.target_id for one in model.targets(5)])
+        self.assertEqual(
+            ['t2'], [entry.target_id for entry in model.targets(5)]
+        )
 
-    def test_reclaimable_targets_go_after_a_short_notice(self) -> None:
+    def test_spot_targets_are_reclaimed_after_a_notice(self) -> None:
         model = PlatformModel()
-        cheap = target('t1', reclaimable=True)
-        model.replace_targets([cheap, target('t2')], [])
+        spot = target('t1', reclaimable=True)
+        model.replace_targets([spot, target('t2')], [])
         model.reclaim_targets('moin-a', 2, 0)
         self.assertEqual(
-            ['leaving', 'live'], [one.state for one in model.targets(1)]
+            ['leaving', 'live'], [entry.state for entry in model.targets(1)]
         )
         self.assertEqual(
-            ['reclaimed', 'live'], [one.state for one in model.targets(2)]
+            ['reclaimed', 'live'], [entry.state for entry in model.targets(2)]
         )
 
-    def test_a_spare_gives_its_address_or_the_order_is_refused(self) -> None:
-        settings = TargetSettings(boot_s=1, is_inventing=False)
+    def test_an_order_uses_a_spare_or_is_refused(self) -> None:
+        settings = TargetSettings(boot_s=1, invents_addresses=False)
         model = PlatformModel(PlatformSettings(targets=settings))
         model.replace_targets([], [target('spare')])
         taken = model.order_targets(order('1', 1, count=1), 0)
@@ -117,28 +119,30 @@
         other = attrs.evolve(window, figures=[{'requests': 4}])
         for now_s, report in enumerate((window, other, window)):
             model.report_usage(report, now_s)
-        received = [one.window for one in model.record.usage]
+        received = [entry.window for entry in model.record.usage]
         self.assertEqual([window, other, window], received)
 
-    def test_faults_touch_just_their_keys(self) -> None:
+    def test_faults_affect_only_their_keys(self) -> None:
         model = PlatformModel()
         model.faults.keys = 'config/'
         model.faults.outage = True
-        self.assertRaises(OutageError, model.enter, 'read', 'config/head', 0)
-        model.enter('read', 'usage/i1', 0)
+        self.assertRaises(
+            OutageError, model.begin_call, 'read', 'config/head', 0
+        )
+        model.begin_call('read', 'usage/i1', 0)
         model.faults.outage = False
         model.faults.lose_answers = 1
-        model.leave('usage/i1')
-        self.assertRaises(LostAnswerError, model.leave, 'config/head')
-        model.leave('config/head')
+        model.finish_write('usage/i1')
+        self.assertRaises(LostAnswerError, model.finish_write, 'config/head')
+        model.finish_write('config/head')
 
-    def test_calls_over_the_rate_are_refused_and_counted(self) -> None:
+    def test_calls_over_the_rate_limit_are_refused_and_counted(self) -> None:
         limits = {'store_reads': 3}
         model = PlatformModel(PlatformSettings(limits_per_s=limits))
         for kind in ('read', 'list', 'watch'):
-            model.enter(kind, 'a', 0.5)
-        self.assertRaises(RateLimitError, model.enter, 'read', 'a', 0.9)
-        model.enter('read', 'a', 1)
+            model.begin_call(kind, 'a', 0.5)
+        self.assertRaises(RateLimitError, model.begin_call, 'read', 'a', 0.9)
+        model.begin_call('read', 'a', 1)
         counts = model.meter.counts
         self.assertEqual(5, counts.calls['store_reads'])
         self.assertEqual(4, counts.highest_per_s['store_reads'])
@@ -146,16 +150,16 @@
 
 
 class HttpStore:
-    """The store contract's calls, over HTTP; the time is the process's.
+    """A client for the store over HTTP; the process uses its own clock.
 
-    Each one keeps to a part of its own, so that tests share a process.
+    Each client has its own key prefix, so that tests can share a process.
     """
 
-    _parts = itertools.count()
+    _prefix_numbers = itertools.count()
 
     def __init__(self, standin: Standin) -> None:
         self._standin = standin
-        self._part = f'part-{next(self._parts)}/'
+        self._prefix = f'part-{next(self._prefix_numbers)}/'
 
     def read(self, key: str) -> StoreEntry:
         answer = self._standin.call('GET', self._path(key))
@@ -181,14 +185,14 @@
         return self._entry(_checked(self._standin.call('DELETE', path)))
 
     def list_prefix(self, prefix: str) -> StoreChanges:
-        return self._changes(f'/store/list?prefix={self._part}{prefix}')
+        return self._changes(f'/store/list?prefix={self._prefix}{prefix}')
 
     def changes_after(self, prefix: str, revision: int) -> StoreChanges:
         return self.watch(prefix, revision, 0)
 
     def watch(self, prefix: str, revision: int, wait_s: float) -> StoreChanges:
         return self._changes(
-            f'/store/watch?prefix={self._part}{prefix}'
+            f'/store/watch?prefix={self._prefix}{prefix}'
             f'&after={revision}&wait_s={wait_s}'
         )
 
@@ -204,7 +208,7 @@
         _checked(self._standin.call('DELETE', f'/store/leases/{lease_id}'))
 
     def _path(self, key: str) -> str:
-        return f'/store/value/{self._part}{key}'
+        return f'/store/value/{self._prefix}{key}'
 
     def _changes(self, path: str) -> StoreChanges:
         body = self._standin.call('GET', path).body
@@ -213,7 +217,7 @@
         )
 
     def _entry(self, body: dict[str, Any]) -> StoreEntry:
-        key = body['key'].removeprefix(self._part)
+        key = body['key'].removeprefix(self._prefix)
         return StoreEntry(**{**body, 'key': key})
 
 
@@ -233,7 +237,7 @@
     def make_store(self) -> HttpStore:
         return HttpStore(self.platform)
 
-    def test_a_waiting_watch_sees_a_lease_lapse(self) -> None:
+    def test_a_waiting_watch_sees_a_lease_expire(self) -> None:
         store = self.make_store()
         lease_id = store.grant_lease(0.3, 0)
         held = store.write('duty', 'mine', 0, lease_id)
@@ -253,14 +257,14 @@
 
 class PlatformProcessTest(ProcessTestCase):
     def test_a_lost_answer_has_taken_effect(self) -> None:
-        # The store writes, and the connection ends before the answer: the
-        # writer can't tell it from a write that never arrived.
+        # The store applies the write, and the connection closes before the
+        # answer. The writer can't distinguish this from a lost request.
         platform = self.standin('platform')
         platform.call('POST', '/standin/faults', {'lose_answers': 1})
         body = {'value': 'one', 'expected_revision': 0}
         with contextlib.suppress(urllib3.exceptions.ProtocolError):
             platform.call('PUT', '/store/value/a', body)
-            self.fail('the answer was not lost')
+            self.fail('the answer arrived')
         answer = platform.call('GET', '/store/value/a')
         self.assertEqual('one', answer.body['value'])
 
@@ -279,7 +283,7 @@
         given = {**attrs.asdict(order('1', 1, count=1)), 'target_ids': []}
         platform.call('POST', '/targets/orders', given)
         listed = platform.call('GET', '/targets').body['targets']
-        self.assertEqual(['spare'], [one['target_id'] for one in listed])
+        self.assertEqual(['spare'], [entry['target_id'] for entry in listed])
         window = attrs.asdict(UsageWindow('w1', 'moin-a', 1, 'i1'))
         window['figures'] = [{'organisation': 'duka', 'requests': 3}]
         platform.call('POST', '/usage/windows', window)
@@ -289,15 +293,15 @@
         calls = platform.call('GET', '/standin/counts').body['calls']
         self.assertEqual((1, 1), (calls['order'], calls['usage']))
 
-    def test_a_malformed_call_is_told_so(self) -> None:
+    def test_a_malformed_call_gets_status_400(self) -> None:
         platform = self.standin('platform')
         answers = [
             platform.call('PUT', '/store/value/a', {'value': 'x'}),
             platform.call('POST', '/targets/orders', {'order_id': '1'}),
             platform.call('POST', '/standin/faults', {'no_such': 1}),
         ]
-        self.assertEqual([400, 400, 400], [one.status for one in answers])
+        self.assertEqual([400, 400, 400], [entry.status for entry in answers])
 
-    def test_it_stops_when_asked_to(self) -> None:
+    def test_stand_ins_stop_on_sigterm(self) -> None:
         for kind in ('platform', 'engine', 'plain'):
             self.assertEqual(0, Standin(kind).stop())
