--- a/packages/standins/dandelionyoke_standins/_relay.py
+++ b/packages/standins/dandelionyoke_standins/_relay.py
@@ -1,8 +1,8 @@
-"""A TCP relay that misbehaves as the network between two ends does.
+"""A TCP relay that simulates network faults between two endpoints.
 
-A partition resets connections or swallows what passes, one way or both; a
-middlebox that has lost track of a connection swallows its bytes for good; a
-full link delays them.
+A partition resets connections or drops bytes in one or both directions. A
+middlebox that lost the state of a connection drops its bytes permanently. A
+congested link delays them.
 """
 
 import contextlib
@@ -21,7 +21,7 @@
 
 @enum.unique
 class RelayState(enum.Enum):
-    """What happens to new connections."""
+    """How the relay treats new connections."""
 
     OPEN = 'open'
     CUT = 'cut'
@@ -30,7 +30,7 @@
 
 @attrs.define(eq=False)
 class _Pump:
-    """One way of a connection."""
+    """One direction of a connection."""
 
     source: socket.socket
     sink: socket.socket
@@ -39,78 +39,78 @@
     thread: GreenThread | None = None
 
     def run(self) -> None:
-        """Pass bytes on until an end closes."""
+        """Copy bytes until an endpoint closes."""
         try:
             self._copy()
         except OSError:
             return
 
     def _copy(self) -> None:
-        part = self.source.recv(CHUNK_BYTES)
-        while part:
+        chunk = self.source.recv(CHUNK_BYTES)
+        while chunk:
             if self.delay_s:
                 eventlet.sleep(self.delay_s)
             if not self.is_silent:
-                self.sink.sendall(part)
-            part = self.source.recv(CHUNK_BYTES)
+                self.sink.sendall(chunk)
+            chunk = self.source.recv(CHUNK_BYTES)
         if not self.is_silent:
             self.sink.shutdown(socket.SHUT_WR)
 
 
 @attrs.define(eq=False)
-class _Relayed:
-    """One connection through the relay and its two ways."""
+class _Connection:
+    """One relayed connection and its two directions."""
 
-    near: socket.socket
-    far: socket.socket
-    there: _Pump = attrs.field(init=False)
-    back: _Pump = attrs.field(init=False)
+    client_socket: socket.socket
+    server_socket: socket.socket
+    to_server: _Pump = attrs.field(init=False)
+    to_client: _Pump = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.there = _Pump(self.near, self.far)
-        self.back = _Pump(self.far, self.near)
+        self.to_server = _Pump(self.client_socket, self.server_socket)
+        self.to_client = _Pump(self.server_socket, self.client_socket)
 
     @property
     def is_silent(self) -> bool:
-        """Whether neither way passes anything on."""
-        return self.there.is_silent and self.back.is_silent
+        """Whether both directions drop all bytes."""
+        return self.to_server.is_silent and self.to_client.is_silent
 
     def silence(self) -> None:
-        """Swallow the bytes of both ways for good."""
-        self.there.is_silent = True
-        self.back.is_silent = True
+        """Permanently drop the bytes of both directions."""
+        self.to_server.is_silent = True
+        self.to_client.is_silent = True
 
     def run(self) -> None:
-        """Pump both ways until both have ended."""
-        for pump in (self.there, self.back):
+        """Copy in both directions until both have ended."""
+        for pump in (self.to_server, self.to_client):
             pump.thread = eventlet.spawn(pump.run)
-        for pump in (self.there, self.back):
+        for pump in (self.to_server, self.to_client):
             if pump.thread is not None:
                 pump.thread.wait()
 
     def reset(self) -> None:
-        """Stop the pumps, and let both ends see a reset."""
-        for pump in (self.there, self.back):
+        """Stop copying and reset the connection to both endpoints."""
+        for pump in (self.to_server, self.to_client):
             if pump.thread is not None:
                 pump.thread.kill()
-        for end in (self.near, self.far):
-            # An end may have been closed at the same moment.
+        for endpoint in (self.client_socket, self.server_socket):
+            # The endpoint may have closed the socket concurrently.
             with contextlib.suppress(OSError):
-                end.setsockopt(
+                endpoint.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
                 )
-            end.close()
+            endpoint.close()
 
 
 class Relay:
-    """Listens at one address and passes each connection on to another."""
+    """Listens on one address and relays each connection to another."""
 
     def __init__(self, to_host: str, to_port: int, port: int = 0) -> None:
-        self._there = (to_host, to_port)
+        self._server_address = (to_host, to_port)
         self.to_port = to_port
         self._state = RelayState.OPEN
         self._delay_s = 0.0
-        self._relayed: set[_Relayed] = set()
+        self._connections: set[_Connection] = set()
         self._listener = eventlet.listen((HOST, port))
         self._port = self._listener.getsockname()[1]
         self._acceptor: GreenThread | None = None
@@ -118,90 +118,90 @@
 
     @property
     def state(self) -> RelayState:
-        """What happens to new connections."""
+        """How the relay treats new connections."""
         return self._state
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
-        return len(self._relayed)
+        """Number of open connections."""
+        return len(self._connections)
 
     @property
     def silent(self) -> int:
-        """How many of the open connections are silent."""
-        return sum(relayed.is_silent for relayed in self._relayed)
+        """Number of open connections that drop all bytes."""
+        return sum(connection.is_silent for connection in self._connections)
 
     def start(self) -> None:
-        """Pass connections on."""
-        self._acceptor = eventlet.spawn(self._accept)
+        """Start relaying connections."""
+        self._acceptor = eventlet.spawn(self._accept_connections)
 
     def close(self) -> None:
-        """End it with all its connections."""
+        """Stop listening and reset all connections."""
         self.cut()
 
     def reset(self) -> None:
-        """Reset what is open; what is new works."""
-        for relayed in tuple(self._relayed):
-            relayed.reset()
+        """Reset open connections; new ones work."""
+        for connection in tuple(self._connections):
+            connection.reset()
 
     def cut(self) -> None:
-        """Reset what is open and refuse what is new."""
+        """Reset open connections and refuse new ones."""
         self._stop_listening()
         self.reset()
         self._state = RelayState.CUT
 
     def silence(self) -> None:
-        """Swallow the bytes of what is open, for good; what is new works."""
-        for relayed in self._relayed:
-            relayed.silence()
+        """Permanently drop bytes on open connections; new ones work."""
+        for connection in self._connections:
+            connection.silence()
 
     def deafen(self) -> None:
-        """Swallow what the far end says on what is open, one way only."""
-        for relayed in self._relayed:
-            relayed.back.is_silent = True
+        """Drop bytes from the server on open connections, one way only."""
+        for connection in self._connections:
+            connection.to_client.is_silent = True
 
     def blackhole(self) -> None:
-        """Swallow the bytes of what is open and of what is new."""
-        self._listen_again()
+        """Drop the bytes on open and new connections."""
+        self._resume_listening()
         self._state = RelayState.BLACKHOLE
         self.silence()
 
     def delay(self, delay_s: float) -> None:
-        """Hold each piece up for so long, also of what is new."""
+        """Delay each chunk on open and new connections."""
         self._delay_s = delay_s
-        for relayed in self._relayed:
-            self._slow_down(relayed)
+        for connection in self._connections:
+            self._apply_delay(connection)
 
     def restore(self) -> None:
-        """Let new connections through again, without delay."""
-        self._listen_again()
+        """Relay new connections again, and remove the delay."""
+        self._resume_listening()
         self._state = RelayState.OPEN
         self.delay(0)
 
-    def _slow_down(self, relayed: _Relayed) -> None:
-        relayed.there.delay_s = self._delay_s
-        relayed.back.delay_s = self._delay_s
+    def _apply_delay(self, connection: _Connection) -> None:
+        connection.to_server.delay_s = self._delay_s
+        connection.to_client.delay_s = self._delay_s
 
-    def _accept(self) -> None:
+    def _accept_connections(self) -> None:
         while True:
-            near, _ = self._listener.accept()
-            eventlet.spawn(self._relay, near)
+            client_socket, _ = self._listener.accept()
+            eventlet.spawn(self._relay_connection, client_socket)
 
-    def _relay(self, near: socket.socket) -> None:
+    def _relay_connection(self, client_socket: socket.socket) -> None:
         try:
-            far = eventlet.connect(self._there)
+            server_socket = eventlet.connect(self._server_address)
         except OSError:
-            near.close()
+            client_socket.close()
             return
-        relayed = _Relayed(near, far)
+        connection = _Connection(client_socket, server_socket)
         if self._state is RelayState.BLACKHOLE:
-            relayed.silence()
-        self._slow_down(relayed)
-        self._relayed.add(relayed)
-        relayed.run()
-        self._relayed.discard(relayed)
-        near.close()
-        far.close()
+            connection.silence()
+        self._apply_delay(connection)
+        self._connections.add(connection)
+        connection.run()
+        self._connections.discard(connection)
+        client_socket.close()
+        server_socket.close()
 
     def _stop_listening(self) -> None:
         if self._acceptor is not None:
@@ -209,7 +209,7 @@
             self._acceptor = None
             self._listener.close()
 
-    def _listen_again(self) -> None:
+    def _resume_listening(self) -> None:
         if self._acceptor is None:
             self._listener = eventlet.listen((HOST, self._port))
-            self._acceptor = eventlet.spawn(self._accept)
+            self._acceptor = eventlet.spawn(self._accept_connections)
