--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -1,4 +1,4 @@
-"""Stand-ins as real processes, for tests that need sockets."""
+"""Runs stand-ins as child processes, for tests that need sockets."""
 
 import json
 import signal
@@ -20,7 +20,7 @@
 
 
 class Standin:
-    """A stand-in's process, and calls to it."""
+    """A stand-in process and a client for it."""
 
     def __init__(self, *arguments: str) -> None:
         self.process = subprocess.Popen(
@@ -36,13 +36,13 @@
             text=True,
         )
         self.http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
-        self.address = self.line('READY')
+        self.address = self.read_address('READY')
 
-    def line(self, word: str) -> str:
-        """Read the next line; it tells an address after the word."""
+    def read_address(self, word: str) -> str:
+        """Read the next output line, `WORD ADDRESS`, and return the address."""
         line = self.process.stdout.readline().split()
         if line[:1] != [word]:
-            raise AssertionError(f'{word} awaited, got {line}')
+            raise AssertionError(f'expected {word}, got {line}')
         return line[1]
 
     def call(self, method: str, path: str, body: Any = None) -> Answer:
@@ -57,7 +57,7 @@
         )
 
     def stop(self) -> int:
-        """Ask it to stop; give its exit status."""
+        """Stop the process with SIGTERM and return its exit status."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         status = self.process.wait(TIMEOUT_S)
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine model, in virtual time."""
+"""Tests of the engine model, in virtual time."""
 
 import contextlib
 import random
@@ -23,8 +23,8 @@
     return EngineModel(EngineSettings(**fields), random.Random(1))
 
 
-def request(attempt_id: str, prompt: str, **more: object) -> GenerateRequest:
-    return GenerateRequest(attempt_id, 'model', prompt, **more)
+def request(attempt_id: str, prompt: str, **options: object) -> GenerateRequest:
+    return GenerateRequest(attempt_id, 'model', prompt, **options)
 
 
 def order(
@@ -38,18 +38,18 @@
 
 
 class EngineModelTest(testtools.TestCase):
-    def test_an_answer_is_the_function_of_its_prompt(self) -> None:
+    def test_an_answer_depends_only_on_its_prompt(self) -> None:
         model = engine()
         model.generate(request('a', 'please answer 70 tokens'), 0)
-        parts = []
+        tokens = []
         for tick in range(1, 300):
             for output in model.advance(tick / 50):
-                parts.extend(output.tokens)
+                tokens.extend(output.tokens)
         expected = answer_text('please answer 70 tokens', 1024)
-        self.assertEqual(expected, ''.join(parts))
+        self.assertEqual(expected, ''.join(tokens))
         self.assertEqual('stop', model.output_from('a', 0).end.reason)
 
-    def test_a_resumed_answer_goes_on_on_another_engine(self) -> None:
+    def test_a_resumed_answer_continues_on_another_engine(self) -> None:
         prompt = 'answer 40 tokens'
         first, second = engine(), engine()
         first.generate(request('a', prompt), 0)
@@ -68,7 +68,7 @@
         sizes = [len(model.output_from(name, 0).tokens) for name in 'abcd']
         self.assertTrue(all(abs(size - 250) < 10 for size in sizes), sizes)
 
-    def test_a_known_prefix_is_not_computed_again(self) -> None:
+    def test_a_cached_prefix_is_not_recomputed(self) -> None:
         model = engine(events=CacheEventSettings(gap_share=0))
         prefix = 'crate ' * 3200
         model.generate(request('a', prefix + 'one answer 5 tokens'), 0)
@@ -81,10 +81,10 @@
         self.assertTrue(len(stored) >= 200)
         self.assertEqual(stored[9:], model.cache_events(9, 4).events)
 
-    def test_an_overfull_memory_costs_time_but_no_token(self) -> None:
-        # Each answer fits alone, but not all of them together: the engine
-        # throws work out and computes it again, which its callers notice
-        # as a pause.
+    def test_preemption_loses_no_token(self) -> None:
+        # Each answer fits into the KV memory alone, but not all together.
+        # The engine preempts attempts and recomputes them; callers see a
+        # pause but lose no token.
         model = engine(kv_total_blocks=40)
         prompts = {name: f'{name} answer 300 tokens' for name in 'abcd'}
         for name, prompt in prompts.items():
@@ -101,10 +101,13 @@
         model.generate(request('low', 'low answer 30 tokens'), 0)
         model.generate(request('high', 'hi answer 30 tokens', priority=9), 0)
         model.advance(10)
-        ends = {one.attempt_id: one.ended_s for one in model.record.attempts}
+        ends = {
+            record.attempt_id: record.ended_s
+            for record in model.record.attempts
+        }
         self.assertLess(ends['high'], ends['low'])
 
-    def test_cancelled_work_frees_its_memory(self) -> None:
+    def test_a_cancelled_attempt_frees_its_memory(self) -> None:
         model = engine()
         model.generate(request('a', 'answer 900 tokens'), 0)
         model.advance(1)
@@ -122,7 +125,7 @@
         self.assertEqual(('a',), late.in_progress)
         self.assertTrue(0.5 <= late.age_s < 0.7, late.age_s)
 
-    def test_a_crash_takes_the_neighbours_along(self) -> None:
+    def test_a_crash_prompt_crashes_the_engine(self) -> None:
         model = engine()
         model.faults.crash_on = 'poison'
         model.generate(request('a', 'answer 900 tokens'), 0)
@@ -132,62 +135,65 @@
         model.advance(2)
         self.assertTrue(model.is_crashed)
 
-    def test_each_role_serves_its_own_mix_best(self) -> None:
+    def test_each_role_is_fastest_on_its_own_mix(self) -> None:
         mixes = {
             'prefill': ('crate ' * 3000, 10),
             'mixed': ('crate ' * 1500, 75),
             'decode': ('', 200),
         }
         for best, (prompt, answer_tokens) in mixes.items():
-            whole = {
-                role: self._answers_in_time(role, prompt, answer_tokens)
+            finished = {
+                role: self._count_finished_answers(role, prompt, answer_tokens)
                 for role in mixes
             }
-            self.assertEqual(best, max(whole, key=whole.get), whole)
+            self.assertEqual(best, max(finished, key=finished.get), finished)
 
     @given(strategies.integers(), strategies.integers(30, 400))
     @settings(max_examples=25)
-    def test_no_course_of_events_breaks_an_answer(
+    def test_random_events_keep_answers_complete(
         self, seed: int, kv_blocks: int
     ) -> None:
-        # Whatever is queued, cancelled and cut, each answer that ends is
-        # whole, memory is never overfull, and all of it is free at the end.
-        chance = random.Random(seed)
+        # With any sequence of requests, cancellations and role changes,
+        # each finished answer is complete, the KV memory is never exceeded,
+        # and all of it is free at the end.
+        rng = random.Random(seed)
         model = engine(kv_total_blocks=kv_blocks)
         prompts: dict[str, str] = {}
         for now_s in range(1, 40):
-            self._do_something(model, chance, prompts, now_s)
+            self._take_random_step(model, rng, prompts, now_s)
             report = model.load_report(now_s)
             self.assertTrue(report.kv_used_blocks <= kv_blocks)
         for now_s in range(40, 140):
-            self._check(model, prompts, now_s)
-        records = {one.attempt_id: one for one in model.record.attempts}
+            self._check_finished_answers(model, prompts, now_s)
+        records = {
+            record.attempt_id: record for record in model.record.attempts
+        }
         self.assertEqual(set(prompts), set(records))
-        self.assertNotIn(None, [one.end for one in records.values()])
+        self.assertNotIn(None, [record.end for record in records.values()])
         self.assertEqual(0, model.load_report(150).kv_used_blocks)
 
-    def _do_something(
+    def _take_random_step(
         self,
         model: EngineModel,
-        chance: random.Random,
+        rng: random.Random,
         prompts: dict[str, str],
         now_s: int,
     ) -> None:
         name = f'a{now_s}'
-        shared = 'crate ' * chance.randint(0, 300)
-        prompt = f'{shared}{chance.randint(0, 3)} answer 80 tokens'
+        shared = 'crate ' * rng.randint(0, 300)
+        prompt = f'{shared}{rng.randint(0, 3)} answer 80 tokens'
         with contextlib.suppress(NotRunError):
-            priority = chance.randint(0, 9)
+            priority = rng.randint(0, 9)
             model.generate(request(name, prompt, priority=priority), now_s)
             prompts[name] = prompt
-        if prompts and chance.random() < 0.2:
-            model.cancel(chance.choice(sorted(prompts)), now_s)
-        if chance.random() < 0.1:
-            role = chance.choice(('prefill', 'decode', 'mixed'))
+        if prompts and rng.random() < 0.2:
+            model.cancel(rng.choice(sorted(prompts)), now_s)
+        if rng.random() < 0.1:
+            role = rng.choice(('prefill', 'decode', 'mixed'))
             model.order(order(name, now_s, 'role', role), now_s)
-        self._check(model, prompts, now_s + 0.5)
+        self._check_finished_answers(model, prompts, now_s + 0.5)
 
-    def _check(
+    def _check_finished_answers(
         self, model: EngineModel, prompts: dict[str, str], now_s: float
     ) -> None:
         for output in model.advance(now_s):
@@ -195,20 +201,20 @@
                 expected = answer_text(prompts[output.attempt_id], 1024)
                 self.assertEqual(expected, text_of(model, output.attempt_id))
 
-    def _answers_in_time(
+    def _count_finished_answers(
         self, role: str, prompt: str, answer_tokens: int
     ) -> int:
         model = engine(role=role)
         for number in range(120):
-            asked = f'{number} {prompt} answer {answer_tokens} tokens'
-            model.generate(request(str(number), asked), 0)
+            numbered_prompt = f'{number} {prompt} answer {answer_tokens} tokens'
+            model.generate(request(str(number), numbered_prompt), 0)
         model.advance(14)
-        ends = [one.end for one in model.record.attempts]
+        ends = [record.end for record in model.record.attempts]
         return len(ends) - ends.count(None)
 
 
 class EngineOrderTest(testtools.TestCase):
-    def test_an_old_fence_has_no_effect_where_it_is_checked(self) -> None:
+    def test_a_stale_fencing_token_is_refused_if_checked(self) -> None:
         model = engine()
         model.order(order('1', 7, 'drain'), 0)
         answer = model.order(order('2', 6, 'undrain'), 0)
@@ -231,10 +237,10 @@
         answer = model.order(order('1', 3, 'drain'), 0)
         self.assertEqual('done', answer.state)
         model.generate(request('a', 'x'), 0)
-        repeats = [one.is_repeat for one in model.record.orders]
+        repeats = [record.is_repeat for record in model.record.orders]
         self.assertEqual([False, False, True], repeats)
 
-    def test_a_role_change_cuts_work_and_takes_seconds(self) -> None:
+    def test_a_role_change_aborts_attempts_and_takes_seconds(self) -> None:
         model = engine()
         model.generate(request('a', 'answer 900 tokens'), 0)
         model.advance(1)
@@ -249,7 +255,7 @@
         self.assertEqual('decode', model.load_report(5).role)
         model.generate(request('b', 'x'), 5)
 
-    def test_a_model_is_served_from_its_load_to_its_unload(self) -> None:
+    def test_a_model_is_served_between_load_and_unload(self) -> None:
         model = engine()
         wanted = GenerateRequest('a', 'other', 'answer 900 tokens')
         self.assertRaises(MissingError, model.generate, wanted, 0)
@@ -259,7 +265,7 @@
         model.order(order('2', 2, 'unload_model', 'other'), 4)
         self.assertEqual('unload_model', model.output_from('a', 0).end.cause)
 
-    def test_exported_work_goes_on_without_computing_it_again(self) -> None:
+    def test_an_exported_attempt_continues_without_recomputation(self) -> None:
         prompt = 'crate ' * 1600 + 'answer 200 tokens'
         source, target = engine(), engine()
         source.generate(request('a', prompt), 0)
--- a/tests/standins/test_engine_http.py
+++ b/tests/standins/test_engine_http.py
@@ -1,4 +1,4 @@
-"""The engine, the plain service and the link as processes."""
+"""Tests of the engine, the plain service and the link as processes."""
 
 import json
 import pathlib
@@ -30,12 +30,12 @@
 def lines(answer: urllib3.BaseHTTPResponse) -> Iterator[dict[str, Any]]:
     pending = b''
     while part := answer.read1():
-        *whole, pending = (pending + part).split(b'\n')
-        yield from map(json.loads, whole)
+        *complete, pending = (pending + part).split(b'\n')
+        yield from map(json.loads, complete)
 
 
-def first_tokens(stream: Iterator[dict[str, Any]]) -> None:
-    """Wait until output comes; the first line only tells acceptance."""
+def skip_to_first_tokens(stream: Iterator[dict[str, Any]]) -> None:
+    """Read until tokens arrive; the first line only confirms acceptance."""
     next(line for line in stream if line['tokens'])
 
 
@@ -59,15 +59,15 @@
         self.assertGreater(len(received), 10)
         end = received[-1]
         self.assertEqual(('stop', 60), (end['end'], end['offset']))
-        again = engine.stream('/resume', {'attempt_id': 'a', 'offset': 50})
-        rest = list(lines(again))
+        resumed = engine.stream('/resume', {'attempt_id': 'a', 'offset': 50})
+        rest = list(lines(resumed))
         self.assertEqual(50, rest[0]['offset'])
         self.assertTrue(text(received).endswith(text(rest)))
 
-    def test_cancelled_work_ends_its_stream(self) -> None:
+    def test_a_cancelled_attempt_ends_its_stream(self) -> None:
         engine = self.engine
         stream = lines(engine.stream('/generate', generate_body('cancelled')))
-        first_tokens(stream)
+        skip_to_first_tokens(stream)
         answer = engine.call('POST', '/cancel', {'attempt_id': 'cancelled'})
         self.assertTrue(answer.body['cancelled'])
         self.assertEqual({'error': 'cancelled'}, list(stream)[-1])
@@ -75,9 +75,9 @@
 
 class EngineProcessTest(ProcessTestCase):
     def test_a_silent_stream_is_resumed_on_a_new_connection(self) -> None:
-        # Something between the ends loses track of the connection: it stays
-        # open and nothing more comes. The caller sees its answer stop in
-        # the middle, while a new connection would go on at once.
+        # A middlebox loses the state of the connection, which stays open
+        # without further data. The answer stops in the middle, while a new
+        # connection can continue it at once.
         engine = self.standin('engine')
         engine.call('POST', '/standin/faults', {'silent_after_tokens': 20})
         stream = engine.stream('/generate', generate_body('a'))
@@ -93,28 +93,32 @@
         self.assertEqual(answer_text(PROMPT, 500), text(received))
         stream.close()
 
-    def test_a_poisonous_prompt_ends_the_process(self) -> None:
-        # One prompt crashes every engine that runs it; the other callers of
-        # that engine see their connections end. What was in progress is
-        # known afterwards from the record outside the process.
+    def test_a_crash_prompt_ends_the_process(self) -> None:
+        # A prompt crashes every engine that runs it, which also closes the
+        # connections of the engine's other callers. The record file shows
+        # afterwards which attempts were in progress.
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = pathlib.Path(folder.name, 'record')
         engine = self.standin(
             'engine', '--crash-on', 'poison', '--record-file', str(path)
         )
-        innocent = engine.stream('/generate', generate_body('a'))
+        other_stream = engine.stream('/generate', generate_body('a'))
         engine.stream('/generate', generate_body('b', 'poison'))
-        self.assertRaises(urllib3.exceptions.HTTPError, list, lines(innocent))
+        self.assertRaises(
+            urllib3.exceptions.HTTPError, list, lines(other_stream)
+        )
         self.assertEqual(CRASH_STATUS, engine.process.wait(20))
         records = [json.loads(line) for line in path.read_text().splitlines()]
-        seen = [(one['kind'], one['record']['attempt_id']) for one in records]
+        seen = [
+            (entry['kind'], entry['record']['attempt_id']) for entry in records
+        ]
         self.assertEqual([('attempt', 'a'), ('attempt', 'b')], seen)
 
-    def test_a_role_change_cuts_streams_and_refuses_work(self) -> None:
+    def test_a_role_change_ends_streams_and_refuses_attempts(self) -> None:
         engine = self.standin('engine', '--role-s', '0.2')
         stream = lines(engine.stream('/generate', generate_body('a')))
-        first_tokens(stream)
+        skip_to_first_tokens(stream)
         order = {
             'order_id': '1',
             'fence': 1,
@@ -136,14 +140,14 @@
         record = engine.call('GET', '/standin/record').body
         self.assertEqual(1, len(record['orders']))
         self.assertEqual(
-            ['a'], [one['attempt_id'] for one in record['attempts']]
+            ['a'], [entry['attempt_id'] for entry in record['attempts']]
         )
 
     def test_kv_moves_from_engine_to_engine(self) -> None:
         source, target = self.standin('engine'), self.standin('engine')
         prompt = 'crate ' * 320 + PROMPT
         stream = lines(source.stream('/generate', generate_body('a', prompt)))
-        first_tokens(stream)
+        skip_to_first_tokens(stream)
         export = source.call('POST', '/kv/export', {'attempt_id': 'a'}).body
         self.assertGreaterEqual(export['blocks'], 20)
         moved = {
@@ -157,8 +161,8 @@
         body = generate_body('b', prompt)
         body['resume_tokens'] = export['tokens']
         received = list(lines(target.stream('/generate', body)))
-        whole = ''.join(export['tokens']) + text(received)
-        self.assertEqual(answer_text(prompt, 500), whole)
+        complete = ''.join(export['tokens']) + text(received)
+        self.assertEqual(answer_text(prompt, 500), complete)
         self.assertGreaterEqual(received[-1]['cached_tokens'], 320)
 
 
@@ -203,15 +207,15 @@
     def setUp(self) -> None:
         super().setUp()
         self.engine = self.standin('engine')
-        there = self.engine.address.removeprefix('http://')
-        self.link = self.standin('link', '--to', there)
-        self.control = self.link.line('CONTROL')
+        engine_address = self.engine.address.removeprefix('http://')
+        self.link = self.standin('link', '--to', engine_address)
+        self.control = self.link.read_address('CONTROL')
 
-    def test_a_cut_resets_what_is_open_and_refuses_what_is_new(self) -> None:
-        # A partition begins in the middle of an answer: its connection is
-        # reset, and no other comes through until it is over.
+    def test_a_cut_resets_open_connections_and_refuses_new_ones(self) -> None:
+        # A partition starts in the middle of an answer: its connection is
+        # reset, and new connections fail until the partition ends.
         stream = lines(self.link.stream('/generate', generate_body('a')))
-        first_tokens(stream)
+        skip_to_first_tokens(stream)
         self._command('cut')
         self.assertRaises(urllib3.exceptions.HTTPError, list, stream)
         self.assertRaises(
@@ -228,7 +232,7 @@
         self,
     ) -> None:
         stream = lines(self.link.stream('/generate', generate_body('a')))
-        first_tokens(stream)
+        skip_to_first_tokens(stream)
         self.assertEqual(1, self._command('silence')['silent'])
         rest = self.link.stream('/resume', {'attempt_id': 'a', 'offset': 0})
         self.assertEqual(answer_text(PROMPT, 500), text(list(lines(rest))))
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -1,4 +1,4 @@
-"""The load driver against a tiny entry that answers well or badly."""
+"""Tests of the load generator against a small entry with faults."""
 
 import http.server
 import json
@@ -17,7 +17,7 @@
 
 
 class _Entry(http.server.BaseHTTPRequestHandler):
-    """Answers as an entry does; the server says which fault it shows."""
+    """Answers as an entry does, with the fault that the server selects."""
 
     protocol_version = 'HTTP/1.1'
 
@@ -74,45 +74,45 @@
         self.wfile.write(body)
 
     def log_message(self, *arguments: object) -> None:
-        """Keep quiet."""
+        """Suppress the request log."""
 
 
 @attrs.frozen
-class Ended:
+class LoadResult:
     status: int
     lines: list[str]
 
 
 class LoadTest(testtools.TestCase):
-    def test_all_whole_is_told_in_the_last_line(self) -> None:
+    def test_the_last_line_counts_correct_answers(self) -> None:
         entries = [self._entry('', refuse_call=3), self._entry('')]
-        ended = self._load(entries, 20)
-        self.assertEqual(['demo: 20 of 20 answers whole'], ended.lines)
-        self.assertEqual(0, ended.status)
+        result = self._load(entries, 20)
+        self.assertEqual(['demo: 20 of 20 answers whole'], result.lines)
+        self.assertEqual(0, result.status)
         self.assertEqual(21, sum(entry.calls for entry in entries))
         keys = {'Bearer key-1', 'Bearer key-2'}
         self.assertEqual(keys, entries[0].keys | entries[1].keys)
 
-    def test_each_kind_of_broken_answer_is_noticed(self) -> None:
-        # An answer with a token too few or too many, a stream that breaks
-        # off, or a confirmation that ran twice: each is a caller who was
-        # told something wrong, so the status must say so.
-        for fault, whole in {
+    def test_each_kind_of_wrong_answer_is_detected(self) -> None:
+        # A missing or duplicated token, a stream that ends early and a
+        # confirmation that ran twice are all wrong answers to a caller, so
+        # the exit status must report a failure.
+        for fault, correct in {
             'lost token': 2,
             'doubled token': 2,
             'cut stream': 6,
             'doubled run': 8,
         }.items():
-            ended = self._load([self._entry(fault)], 10)
-            last = f'demo: {whole} of 10 answers whole'
-            self.assertEqual((1, last), (ended.status, ended.lines[-1]))
+            result = self._load([self._entry(fault)], 10)
+            summary = f'demo: {correct} of 10 answers whole'
+            self.assertEqual((1, summary), (result.status, result.lines[-1]))
 
-    def test_an_entry_that_is_gone_is_passed_over(self) -> None:
-        gone = self._entry('')
-        gone.shutdown()
-        gone.server_close()
-        ended = self._load([gone, self._entry('')], 5)
-        self.assertEqual(['demo: 5 of 5 answers whole'], ended.lines)
+    def test_an_unreachable_entry_is_skipped(self) -> None:
+        closed = self._entry('')
+        closed.shutdown()
+        closed.server_close()
+        result = self._load([closed, self._entry('')], 5)
+        self.assertEqual(['demo: 5 of 5 answers whole'], result.lines)
 
     def _entry(
         self, fault: str, refuse_call: int = 0
@@ -129,14 +129,14 @@
 
     def _load(
         self, entries: list[http.server.ThreadingHTTPServer], count: int
-    ) -> Ended:
+    ) -> LoadResult:
         command = [sys.executable, '-W', 'ignore', '-m']
         command += ['dandelionyoke_standins', 'load', '--model', 'model']
         command += ['--service', 'ledger-desk', '--count', str(count)]
         command += ['--api-key', 'key-1', '--api-key', 'key-2']
         for entry in entries:
             command += ['--entry', f'http://127.0.0.1:{entry.server_port}']
-        ended = subprocess.run(
+        result = subprocess.run(
             command, capture_output=True, text=True, timeout=TIMEOUT_S
         )
-        return Ended(ended.returncode, ended.stdout.splitlines())
+        return LoadResult(result.returncode, result.stdout.splitlines())
--- a/tests/standins/test_store.py
+++ b/tests/standins/test_store.py
@@ -1,4 +1,4 @@
-"""What any implementation of the store must keep to."""
+"""Tests that every implementation of the store must pass."""
 
 import itertools
 
@@ -14,14 +14,14 @@
 
 
 class StoreContract:
-    """Checks for any store; a test case that mixes it in makes the store."""
+    """Tests for any store; a test case inherits it and creates the store."""
 
     TTL_S = 10.0
 
     def make_store(self) -> Store:
         raise NotImplementedError
 
-    def test_a_write_needs_the_present_revision(self) -> None:
+    def test_a_write_needs_the_current_revision(self) -> None:
         store = self.make_store()
         first = store.write('a', 'one', 0)
         refusal = self.assertRaises(ConflictError, store.write, 'a', 'two', 0)
@@ -45,7 +45,7 @@
         seen = store.changes_after('a', entry.revision).items
         self.assertEqual([None], [change.value for change in seen])
 
-    def test_a_list_holds_just_the_prefix(self) -> None:
+    def test_a_list_contains_only_the_prefix(self) -> None:
         store = self.make_store()
         for key in ('p/b', 'q/a', 'p/a'):
             store.write(key, key, 0)
@@ -64,7 +64,7 @@
             [(change.key, change.value) for change in seen],
         )
 
-    def test_a_revoked_lease_takes_its_keys_along(self) -> None:
+    def test_a_revoked_lease_removes_its_keys(self) -> None:
         store = self.make_store()
         lease_id = store.grant_lease(self.TTL_S, 0)
         store.write('held', 'mine', 0, lease_id)
@@ -74,7 +74,7 @@
         self.assertEqual('all', store.read('free').value)
         self.assertRaises(MissingError, store.renew_lease, lease_id, 1)
 
-    def test_a_key_written_anew_outlives_its_former_lease(self) -> None:
+    def test_a_rewritten_key_outlives_its_former_lease(self) -> None:
         store = self.make_store()
         lease_id = store.grant_lease(self.TTL_S, 0)
         held = store.write('key', 'mine', 0, lease_id)
@@ -94,9 +94,9 @@
     def make_store(self) -> StoreModel:
         return StoreModel()
 
-    def test_a_lease_lapses_unless_it_is_renewed(self) -> None:
-        # A holder that is paused past its term must find its key gone when
-        # it wakes, or two holders would both believe in their duty.
+    def test_a_lease_expires_unless_it_is_renewed(self) -> None:
+        # A holder that was paused beyond its lease must find its key gone,
+        # or two holders would both act on the same duty.
         store = StoreModel()
         lease_id = store.grant_lease(10, 0)
         store.write('duty', 'mine', 0, lease_id)
