--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections and record what they get."""
+"""Callers that reuse their connections and record every response."""
 
 import contextlib
 from collections.abc import Callable
@@ -11,17 +11,17 @@
 from dandelionyoke_gateway import clock_s
 from dandelionyoke_links import receive
 from tests.platform.path import HOST
-from tests.soak.record import KINDS, CallerCall, SoakRecord
+from tests.soak.record import CALL_PATHS, CallerCall, SoakRecord
 
-PATIENCE_S = 6.5
+RESPONSE_TIMEOUT_S = 6.5
 DEADLINE_MS = 4000
 PAUSE_S = 0.12
-CALLS_ON_A_CONNECTION = 12
+CALLS_PER_CONNECTION = 12
 PROMPT = 'Model: m\r\nToken-Count: 900,20\r\nPrompt-Prefix: aa:500,bb:400\r\n'
 
 
 class Caller:
-    """One caller that uses one node's address, again and again."""
+    """A caller that sends calls to one node until it is ended."""
 
     def __init__(
         self,
@@ -38,11 +38,11 @@
         self._key_of = key_of
         self._record = record
         self._random = random
-        self._number = 0
+        self._call_count = 0
         self.is_ended = False
 
     def run(self) -> None:
-        """Call until the soak ends."""
+        """Send calls until `is_ended` is set."""
         while not self.is_ended:
             try:
                 sock = eventlet.connect(('127.0.0.1', self._port))
@@ -50,11 +50,11 @@
                 eventlet.sleep(PAUSE_S)
                 continue
             with sock, contextlib.suppress(OSError, h11.RemoteProtocolError):
-                self._use(sock)
+                self._use_connection(sock)
 
-    def _use(self, sock: socket.socket) -> None:
+    def _use_connection(self, sock: socket.socket) -> None:
         parser = h11.Connection(h11.CLIENT)
-        for _ in range(CALLS_ON_A_CONNECTION):
+        for _ in range(CALLS_PER_CONNECTION):
             if self.is_ended:
                 return
             self._call(sock, parser)
@@ -66,10 +66,10 @@
             eventlet.sleep(PAUSE_S * self._random.random())
 
     def _call(self, sock: socket.socket, parser: h11.Connection) -> None:
-        self._number += 1
+        self._call_count += 1
         organisation = self._random.choice(('acme', 'beta'))
-        path = self._random.choice(KINDS)
-        attempt_id = f'{self._name}.{self._number}'
+        path = self._random.choice(CALL_PATHS)
+        attempt_id = f'{self._name}.{self._call_count}'
         call = CallerCall(attempt_id, path, organisation, self._node, clock_s())
         self._record.calls.append(call)
         try:
@@ -97,29 +97,29 @@
     def _read(
         self, sock: socket.socket, parser: h11.Connection, call: CallerCall
     ) -> None:
-        until_s = clock_s() + PATIENCE_S
+        deadline_s = clock_s() + RESPONSE_TIMEOUT_S
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
                 parser.receive_data(
-                    receive(sock, 65536, max(0.01, until_s - clock_s()))
+                    receive(sock, 65536, max(0.01, deadline_s - clock_s()))
                 )
             elif isinstance(event, h11.Response):
-                _note_head(call, event)
+                _record_head(call, event)
             elif isinstance(event, h11.Data):
                 call.body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                call.is_whole = True
+                call.is_complete = True
                 return
             else:
                 return
 
 
-def _note_head(call: CallerCall, head: h11.Response) -> None:
+def _record_head(call: CallerCall, head: h11.Response) -> None:
     headers = {
         name.decode().lower(): text.decode() for name, text in head.headers
     }
     call.status = head.status_code
-    call.attempt_told = headers.get('attempt-id', '')
+    call.answered_attempt_id = headers.get('attempt-id', '')
     call.is_signed = 'response-signature' in headers
     call.retry_after = headers.get('retry-after', '')
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""A seeded series of faults that overlap."""
+"""A seeded plan of overlapping faults."""
 
 from collections.abc import Iterator
 from random import Random
@@ -12,36 +12,39 @@
 TARGET_FAULTS = ('refuse', 'lose', 'extra', 'break', 'leave')
 CHANGES = ('withdraw', 'configure')
 
-LONGEST_S = 4.0
+MAX_FAULT_S = 4.0
 
 
 @attrs.frozen
 class Fault:
-    """What happens when, to which of the nodes or targets, for how long."""
+    """One fault: its start, duration, kind, action and target index.
+
+    The index selects a node or target modulo their number.
+    """
 
     at_s: float
-    for_s: float
+    duration_s: float
     kind: str
-    how: str
-    which: int
+    action: str
+    index: int
 
 
-def plan_faults(seed: int, for_s: float) -> list[Fault]:
-    """Draw the faults of a soak; the same ones for the same seed."""
+def plan_faults(seed: int, duration_s: float) -> list[Fault]:
+    """Draw the faults of a soak; the same seed gives the same faults."""
     random = Random(seed)
-    return sorted(_draw(random, for_s), key=lambda fault: fault.at_s)
+    return sorted(_draw(random, duration_s), key=lambda fault: fault.at_s)
 
 
-def _draw(random: Random, for_s: float) -> Iterator[Fault]:
-    number = max(4, int(for_s * random.uniform(0.4, 1.0)))
-    for _ in range(number):
-        kind, how = _draw_kind(random)
+def _draw(random: Random, duration_s: float) -> Iterator[Fault]:
+    count = max(4, int(duration_s * random.uniform(0.4, 1.0)))
+    for _ in range(count):
+        kind, action = _draw_kind(random)
         yield Fault(
-            at_s=random.uniform(0, for_s),
-            for_s=random.uniform(0.2, LONGEST_S),
+            at_s=random.uniform(0, duration_s),
+            duration_s=random.uniform(0.2, MAX_FAULT_S),
             kind=kind,
-            how=how,
-            which=random.randrange(1000),
+            action=action,
+            index=random.randrange(1000),
         )
 
 
@@ -52,10 +55,10 @@
     if kind == 'link':
         link = random.choice(LINKS)
         return link, random.choice(LINK_FAULTS)
-    hows = {
+    actions = {
         'node': NODE_FAULTS,
         'store': STORE_FAULTS,
         'target': TARGET_FAULTS,
         'change': CHANGES,
     }[kind]
-    return kind, random.choice(hows)
+    return kind, random.choice(actions)
--- /dev/null
+++ b/tests/soak/guarantees.py
@@ -0,0 +1,199 @@
+"""Checks of the documented guarantees, from what was seen from outside."""
+
+from collections import Counter, defaultdict
+from collections.abc import Iterator
+
+from tests.soak.record import (
+    CONFIRM,
+    RESUME,
+    CallerCall,
+    Run,
+    SoakRecord,
+    UsageReport,
+)
+
+# Limits and tolerances of the installation under test.
+MAX_REVOCATION_S = 5.0
+MAX_DRAIN_S = 2.0
+MIN_TURN_S = 3.0
+FAULT_EFFECT_S = 3.0
+ROUTE_TIMEOUT_S = 4.0
+ANSWER_SLACK_S = 0.8
+RESUME_SLACK_S = 0.3
+EVENTS_PER_STREAM = 6
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+STATUS_OK = 200
+
+
+def find_violations(record: SoakRecord) -> list[str]:
+    """Return each violated guarantee as `RULE evidence`."""
+    runs: dict[str, list[Run]] = defaultdict(list)
+    for run in record.runs:
+        runs[run.attempt_id].append(run)
+    violations: list[str] = []
+    for call in record.calls:
+        violations.extend(_check_call(call, runs[call.attempt_id], record))
+    violations.extend(_check_runs(record, runs))
+    violations.extend(_check_usage(record))
+    violations.extend(f'RECOVER {node}' for node in record.unrecovered)
+    violations.extend(f'EXIT {text}' for text in record.unexpected_exits)
+    return violations
+
+
+def _check_call(
+    call: CallerCall, runs: list[Run], record: SoakRecord
+) -> Iterator[str]:
+    run_count = len(runs)
+    if call.path == CONFIRM and run_count > 1:
+        yield f'TWICE {call.attempt_id}: {run_count} runs'
+    if call.path not in {CONFIRM, RESUME} and call.is_stream and run_count > 1:
+        yield f'TWICE {call.attempt_id}: {run_count} runs of a stream'
+    if call.status in NOT_RUN_STATUSES and run_count and call.path != '/look/':
+        yield f'REFUSED {call.attempt_id}: status {call.status} although it ran'
+    if call.status == STATUS_OK and call.is_complete:
+        yield from _check_answer(call)
+    if call.status in {400, 401, 403, 404}:
+        yield from _check_denial(call, record)
+    yield from _check_duration(call, record)
+
+
+def _check_answer(call: CallerCall) -> Iterator[str]:
+    if not call.is_signed or call.answered_attempt_id != call.attempt_id:
+        yield f'MIXED {call.attempt_id}: answer to {call.answered_attempt_id!r}'
+    if call.is_stream:
+        expected = b''.join(
+            stream_event(call.attempt_id, number)
+            for number in range(1, EVENTS_PER_STREAM + 1)
+        )
+        if call.body != expected:
+            yield f'ORDER {call.attempt_id}: {call.body!r}'
+    elif call.body != plain_body(call.attempt_id):
+        yield f'MIXED {call.attempt_id}: {call.body!r}'
+
+
+def _check_denial(call: CallerCall, record: SoakRecord) -> Iterator[str]:
+    revoked_s, replaced_s = record.key_revocations.get(
+        call.organisation, (0.0, 0.0)
+    )
+    may_be_revoked = revoked_s and (
+        call.ended_s >= revoked_s - 0.1
+        and call.sent_s < replaced_s + MAX_REVOCATION_S
+    )
+    if not may_be_revoked:
+        yield f'DENIED {call.attempt_id}: status {call.status} at {call.node}'
+
+
+def _check_duration(call: CallerCall, record: SoakRecord) -> Iterator[str]:
+    """Check that no call takes much longer than the timeout of its route.
+
+    A call is exempt if its node was paused or killed, or if its connection
+    was disturbed, because it can't be answered in time.
+    """
+    took_s = call.ended_s - call.sent_s
+    is_disturbed = any(
+        span.overlaps(call.sent_s - FAULT_EFFECT_S, call.ended_s, call.node)
+        and span.kind in {'pause', 'callers', 'kill'}
+        for span in record.spans
+    )
+    if took_s > ROUTE_TIMEOUT_S + ANSWER_SLACK_S and not is_disturbed:
+        yield f'CONFIG {call.attempt_id}: took {took_s:.2f} s at {call.node}'
+
+
+def _check_runs(
+    record: SoakRecord, runs: dict[str, list[Run]]
+) -> Iterator[str]:
+    calls = {call.attempt_id: call for call in record.calls}
+    for run in record.runs:
+        call = calls.get(run.attempt_id)
+        if call is None:
+            yield f'UNASKED {run.attempt_id} at {run.target_id}'
+            continue
+        if run.had_caller_key or run.organisation != call.organisation:
+            yield f'UNASKED {run.attempt_id}: ran for {run.organisation!r}'
+        revoked_s, replaced_s = record.key_revocations.get(
+            run.organisation, (0.0, 0.0)
+        )
+        if (
+            revoked_s
+            and revoked_s + MAX_REVOCATION_S < call.sent_s < replaced_s
+        ):
+            yield f'CONFIG {run.attempt_id}: ran after its key was revoked'
+        yield from _check_drain(run, record)
+
+
+def _check_drain(run: Run, record: SoakRecord) -> Iterator[str]:
+    leaving_s = record.leaving_since_s.get(run.target_id)
+    if leaving_s is None or run.at_s < leaving_s + MAX_DRAIN_S:
+        return
+    is_undisturbed = not any(
+        span.overlaps(leaving_s - FAULT_EFFECT_S, run.at_s)
+        for span in record.spans
+    )
+    if is_undisturbed:
+        late_s = run.at_s - leaving_s
+        yield f'DRAIN {run.attempt_id}: {late_s:.2f} s after its target left'
+
+
+def _check_usage(record: SoakRecord) -> Iterator[str]:
+    by_window: dict[int, set[tuple[tuple[str, int], ...]]] = defaultdict(set)
+    for report in record.usage:
+        by_window[report.window_id].add(report.counts)
+    for window_id, count_sets in by_window.items():
+        if len(count_sets) > 1:
+            yield f'ONE window {window_id} reported as {count_sets}'
+    reported: Counter[str] = Counter()
+    for count_sets in by_window.values():
+        reported.update(dict(min(count_sets)))
+    run_counts = Counter(
+        organisation
+        for _, organisation in {
+            (run.attempt_id, run.organisation) for run in record.runs
+        }
+    )
+    for organisation, count in reported.items():
+        if count > run_counts[organisation]:
+            yield f'USAGE {organisation}: {count} reported, {run_counts[organisation]} ran'
+    yield from _check_fencing(record.usage, record)
+
+
+def _check_fencing(
+    reports: list[UsageReport], record: SoakRecord
+) -> Iterator[str]:
+    highest_fence = 0
+    holder_by_fence: dict[int, str] = {}
+    terms: list[UsageReport] = []
+    for report in reports:
+        if _is_after_pause(report, record):
+            continue
+        if report.fence < highest_fence:
+            yield f'ONE {report.holder}: fence {report.fence} after {highest_fence}'
+        highest_fence = max(highest_fence, report.fence)
+        if (
+            holder_by_fence.setdefault(report.fence, report.holder)
+            != report.holder
+        ):
+            yield f'ONE fence {report.fence} used by two holders'
+        if not terms or terms[-1].holder != report.holder:
+            terms.append(report)
+        if len(terms) > 2 and terms[-3].holder == report.holder:
+            if report.at_s - terms[-2].at_s < MIN_TURN_S:
+                yield f'ONE {report.holder} became holder again too soon'
+
+
+def _is_after_pause(report: UsageReport, record: SoakRecord) -> bool:
+    return any(
+        span.kind == 'pause'
+        and span.node == report.holder
+        and span.end_s <= report.at_s < span.end_s + RESUME_SLACK_S
+        for span in record.spans
+    )
+
+
+def plain_body(attempt_id: str) -> bytes:
+    """Return the answer of a plain service to an attempt."""
+    return f'{attempt_id}:done'.encode()
+
+
+def stream_event(attempt_id: str, number: int) -> bytes:
+    """Return an event of the stream that answers an attempt."""
+    return f'id: {number}\ndata: {attempt_id}-{number}\n\n'.encode()
--- a/tests/soak/record.py
+++ b/tests/soak/record.py
@@ -1,4 +1,4 @@
-"""What callers, targets and the operator saw during a soak."""
+"""What callers, targets and the platform observed during a soak."""
 
 import attrs
 
@@ -6,15 +6,16 @@
 LOOK = '/look/'
 ASK = '/ask/'
 RESUME = '/resume/'
-KINDS = (CONFIRM, LOOK, ASK, RESUME)
+CALL_PATHS = (CONFIRM, LOOK, ASK, RESUME)
 
 
 @attrs.define
 class CallerCall:
-    """One attempt of a caller, and what it got.
+    """One attempt of a caller and its response.
 
-    `status` is None where no answer came; `is_whole` says that the answer was
-    framed to its end; `is_closed` that the connection ended before that.
+    `status` is None if there was no response. `is_complete` tells whether
+    the response was received to the end of its framing; if not, the
+    connection was closed before that.
     """
 
     attempt_id: str
@@ -24,48 +25,48 @@
     sent_s: float
     ended_s: float = 0.0
     status: int | None = None
-    attempt_told: str = ''
+    answered_attempt_id: str = ''
     is_signed: bool = False
     body: bytes = b''
-    is_whole: bool = False
+    is_complete: bool = False
     retry_after: str = ''
 
     @property
     def is_stream(self) -> bool:
-        """Whether a stream was asked for."""
+        """Whether the call requests a stream."""
         return self.path in {ASK, RESUME}
 
 
 @attrs.frozen
 class Run:
-    """A target began to run an attempt."""
+    """The start of an attempt on a target."""
 
     attempt_id: str
     target_id: str
     organisation: str
-    had_key: bool
+    had_caller_key: bool
     at_s: float
     first_event: int = 1
 
 
 @attrs.frozen
 class Span:
-    """Trouble of one kind, on one node or on all, and when."""
+    """The time of a fault, on one node or (empty `node`) on all."""
 
     kind: str
-    where: str
-    from_s: float
-    until_s: float
+    node: str
+    start_s: float
+    end_s: float
 
-    def touches(self, from_s: float, until_s: float, where: str = '') -> bool:
-        """Whether it overlaps a time, on a node or anywhere."""
-        is_there = not where or self.where in {'', where}
-        return is_there and self.from_s < until_s and from_s < self.until_s
+    def overlaps(self, start_s: float, end_s: float, node: str = '') -> bool:
+        """Return whether the fault overlaps a period, on a node or on any."""
+        is_same_node = not node or self.node in {'', node}
+        return is_same_node and self.start_s < end_s and start_s < self.end_s
 
 
 @attrs.frozen
 class UsageReport:
-    """A usage report as the platform took it."""
+    """A usage report as the platform received it."""
 
     at_s: float
     holder: str
@@ -76,17 +77,17 @@
 
 @attrs.define
 class SoakRecord:
-    """All that was seen."""
+    """Everything that was observed during a soak."""
 
     calls: list[CallerCall] = attrs.field(factory=list)
     runs: list[Run] = attrs.field(factory=list)
     spans: list[Span] = attrs.field(factory=list)
     usage: list[UsageReport] = attrs.field(factory=list)
-    # When the store took the withdrawal of an organisation's key, and when
-    # the organisation got another one.
-    withdrawn: dict[str, tuple[float, float]] = attrs.field(factory=dict)
-    # When a target said in the registry that it leaves.
-    leaving: dict[str, float] = attrs.field(factory=dict)
-    # Nodes that were not served again in time after all trouble had ended.
+    # For each organisation, when the store received the revocation of its
+    # key, and when the organisation had a key again.
+    key_revocations: dict[str, tuple[float, float]] = attrs.field(factory=dict)
+    # When each target was marked as leaving in the registry.
+    leaving_since_s: dict[str, float] = attrs.field(factory=dict)
+    # Nodes that answered no calls in time after all faults had ended.
     unrecovered: list[str] = attrs.field(factory=list)
-    exits: list[str] = attrs.field(factory=list)
+    unexpected_exits: list[str] = attrs.field(factory=list)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""Plays a soak: real programs, faults from outside, promises checked.
+"""Runs a soak test: real processes, injected faults, checked guarantees.
 
 python -m tests.soak.soak --seeds 1-50 --seconds 20
 """
@@ -23,23 +23,23 @@
 from tests.platform.store_standin import StoreStandin
 from tests.soak.callers import Caller
 from tests.soak.faults import Fault, plan_faults
-from tests.soak.promises import CONTACT_S, find_broken
-from tests.soak.record import KINDS, SoakRecord, Span, UsageReport
+from tests.soak.guarantees import FAULT_EFFECT_S, find_violations
+from tests.soak.record import CALL_PATHS, SoakRecord, Span, UsageReport
 from tests.soak.targets import SoakTarget
 
 DOMAINS = ('a', 'a', 'b', 'b')
-CALLERS_A_NODE = 3
-BEAT_S = 1.2
+CALLERS_PER_NODE = 3
+ENTRY_INTERVAL_S = 1.2
 RESTART_S = 0.3
-# Callers are served again within this time after the last fault.
+# Every node must answer callers again within this time after the last fault.
 RECOVERY_S = 12.0
-CALM_S = 3.0
-GRACE_S = 8.0
+SETTLE_S = 3.0
+KEY_RETURN_S = 8.0
 
 
 @attrs.define
 class SoakNode:
-    """A node's ports, relays and its process of the moment."""
+    """A node's ports and relays, and its current process."""
 
     name: str
     domain: str
@@ -53,26 +53,26 @@
 
 @attrs.define
 class SoakResult:
-    """What a seed came to."""
+    """The result of one seed."""
 
     seed: int
     calls: int
-    served: int
-    broken: list[str]
+    served_calls: int
+    violations: list[str]
 
 
 class Soak:
-    """One run of a seed."""
+    """One soak with a seed."""
 
-    def __init__(self, seed: int, for_s: float, folder: str) -> None:
+    def __init__(self, seed: int, duration_s: float, folder: str) -> None:
         self._seed = seed
-        self._for_s = for_s
+        self._duration_s = duration_s
         self._folder = folder
         self._random = Random(seed)
         self._record = SoakRecord()
         self._store = StoreStandin()
         self._keys = {'acme': 'key-acme', 'beta': 'key-beta'}
-        self._withdrawn: set[str] = set()
+        self._revoked: set[str] = set()
         self._version = 0
         self._relays: list[Relay] = []
         self._targets: list[SoakTarget] = []
@@ -81,20 +81,23 @@
         self._nodes: list[SoakNode] = []
         self._is_ended = False
 
-    def play(self) -> SoakResult:
-        """Play the seed; every process is ended in the end."""
+    def run(self) -> SoakResult:
+        """Run the soak, and end every process."""
         try:
-            self._play()
+            self._run()
         finally:
-            self._end()
-        self._note_usage()
-        served = sum(
-            call.status == 200 and call.is_whole for call in self._record.calls
+            self._shut_down()
+        self._record_usage()
+        served_calls = sum(
+            call.status == 200 and call.is_complete
+            for call in self._record.calls
+        )
+        violations = find_violations(self._record)
+        return SoakResult(
+            self._seed, len(self._record.calls), served_calls, violations
         )
-        broken = find_broken(self._record)
-        return SoakResult(self._seed, len(self._record.calls), served, broken)
 
-    def _play(self) -> None:
+    def _run(self) -> None:
         self._configure()
         self._start_targets()
         for number, domain in enumerate(DOMAINS):
@@ -102,20 +105,20 @@
         for node in self._nodes:
             node.program.wait_until_ready()
             self._start_callers(node)
-        eventlet.spawn_n(self._beat)
-        eventlet.spawn_n(self._watch)
+        eventlet.spawn_n(self._write_entries)
+        eventlet.spawn_n(self._restart_ended_nodes)
         faults = [
             eventlet.spawn_after(fault.at_s, self._inject, fault)
-            for fault in plan_faults(self._seed, self._for_s)
+            for fault in plan_faults(self._seed, self._duration_s)
         ]
         for fault in faults:
             fault.wait()
-        began_s = clock_s()
+        start_s = clock_s()
         for node in self._nodes:
-            self._await_recovery(node, began_s + RECOVERY_S)
-        eventlet.sleep(CALM_S)
+            self._await_recovery(node, start_s + RECOVERY_S)
+        eventlet.sleep(SETTLE_S)
 
-    # What is played.
+    # Configuration, processes and callers.
 
     def _configure(self) -> None:
         self._version += 1
@@ -132,7 +135,7 @@
                 'allow_resume': path == '/resume/',
             }
             for path, kind, service in zip(
-                KINDS,
+                CALL_PATHS,
                 ('non_idempotent', 'idempotent', 'streaming', 'streaming'),
                 ('ledger', 'ledger', 'lm', 'lm'),
                 strict=True,
@@ -144,7 +147,7 @@
             'kv_hold_s': 5,
             'role_switch_s': 1,
         }
-        written = {
+        configuration = {
             'version': self._version,
             'routes': routes,
             'services': [
@@ -154,12 +157,12 @@
             'tenants': [
                 {
                     'name': name,
-                    'api_keys': [] if name in self._withdrawn else [key],
+                    'api_keys': [] if name in self._revoked else [key],
                 }
                 for name, key in self._keys.items()
             ],
         }
-        self._store.put('op/config', json.dumps(written))
+        self._store.put('op/config', json.dumps(configuration))
 
     def _start_targets(self) -> None:
         kinds = (
@@ -180,19 +183,19 @@
                 self._store,
                 self._random,
             )
-            link = self._link(target.address)
+            link = self._start_relay(target.address)
             target.register(link.address)
             self._targets.append(target)
             self._target_links.append(link)
 
     def _start_node(self, number: int, domain: str) -> SoakNode:
         ports = Ports()
-        store_link = self._link(self._store.open_address())
-        peer_link = self._link(f'127.0.0.1:{ports.peers}')
-        caller_link = self._link(f'127.0.0.1:{ports.callers}')
-        # Other nodes reach this one over a relay as well.
-        real = f'127.0.0.1:{ports.peers}'
-        self._store.rewrites[real] = peer_link.address
+        store_link = self._start_relay(self._store.open_address())
+        peer_link = self._start_relay(f'127.0.0.1:{ports.peers}')
+        caller_link = self._start_relay(f'127.0.0.1:{ports.callers}')
+        # Other nodes also reach this one through a relay.
+        real_address = f'127.0.0.1:{ports.peers}'
+        self._store.rewrites[real_address] = peer_link.address
         program = self._start_program(ports, domain, store_link.address)
         return SoakNode(
             f'n-{ports.callers}',
@@ -211,7 +214,7 @@
 
     def _start_callers(self, node: SoakNode) -> None:
         port = int(node.caller_link.address.rpartition(':')[2])
-        for number in range(CALLERS_A_NODE):
+        for number in range(CALLERS_PER_NODE):
             caller = Caller(
                 f'{node.name}.{number}',
                 node.name,
@@ -223,22 +226,22 @@
             self._callers.append(caller)
             eventlet.spawn_n(caller.run)
 
-    def _link(self, address: str) -> Relay:
+    def _start_relay(self, address: str) -> Relay:
         host, _, port = address.rpartition(':')
         relay = Relay(host, int(port))
         relay.start()
         self._relays.append(relay)
         return relay
 
-    def _beat(self) -> None:
+    def _write_entries(self) -> None:
         while not self._is_ended:
-            eventlet.sleep(BEAT_S)
+            eventlet.sleep(ENTRY_INTERVAL_S)
             for target in self._targets:
                 if not self._store.is_out:
-                    target.beat()
+                    target.write_entry()
 
-    def _watch(self) -> None:
-        """Start processes again that have ended, as the platform does."""
+    def _restart_ended_nodes(self) -> None:
+        """Restart processes that have ended, as the platform does."""
         while not self._is_ended:
             eventlet.sleep(RESTART_S)
             for node in self._nodes:
@@ -247,9 +250,11 @@
 
     def _restart(self, node: SoakNode) -> None:
         status = node.program.process.returncode
-        is_asked = status in {-signal.SIGKILL, ExitStatus.OK, ExitStatus.CUT}
-        if not is_asked or (status >= 0 and not node.is_leaving):
-            self._record.exits.append(f'{node.name} ended with {status}')
+        is_expected = status in {-signal.SIGKILL, ExitStatus.OK, ExitStatus.CUT}
+        if not is_expected or (status >= 0 and not node.is_leaving):
+            self._record.unexpected_exits.append(
+                f'{node.name} ended with {status}'
+            )
         node.is_leaving = False
         node.program = self._start_program(
             node.ports, node.domain, node.store_link.address
@@ -259,128 +264,128 @@
 
     def _inject(self, fault: Fault) -> None:
         inject = {
-            'node': self._harm_node,
-            'store': self._harm_store,
-            'target': self._harm_target,
-            'change': self._change,
-        }.get(fault.kind, self._harm_link)
+            'node': self._inject_node_fault,
+            'store': self._inject_store_fault,
+            'target': self._inject_target_fault,
+            'change': self._inject_change,
+        }.get(fault.kind, self._inject_link_fault)
         inject(fault)
 
-    def _note(self, kind: str, where: str, began_s: float) -> None:
-        self._record.spans.append(Span(kind, where, began_s, clock_s()))
+    def _record_span(self, kind: str, node_name: str, start_s: float) -> None:
+        self._record.spans.append(Span(kind, node_name, start_s, clock_s()))
 
-    def _harm_node(self, fault: Fault) -> None:
-        node = self._nodes[fault.which % len(self._nodes)]
-        began_s = clock_s()
+    def _inject_node_fault(self, fault: Fault) -> None:
+        node = self._nodes[fault.index % len(self._nodes)]
+        start_s = clock_s()
         if node.program.has_ended():
             return
-        if fault.how == 'reload':
+        if fault.action == 'reload':
             node.program.end(signal.SIGHUP)
-        elif fault.how == 'kill':
+        elif fault.action == 'kill':
             node.program.end(signal.SIGKILL)
             eventlet.sleep(RESTART_S * 4)
-            self._note('kill', node.name, began_s)
-        elif fault.how == 'pause':
-            self._pause(node, fault.for_s)
-            self._note('pause', node.name, began_s)
+            self._record_span('kill', node.name, start_s)
+        elif fault.action == 'pause':
+            self._pause(node, fault.duration_s)
+            self._record_span('pause', node.name, start_s)
         elif not node.is_leaving:
             node.is_leaving = True
             node.program.end(signal.SIGTERM)
-            self._note('term', node.name, began_s)
+            self._record_span('term', node.name, start_s)
 
-    def _pause(self, node: SoakNode, for_s: float) -> None:
+    def _pause(self, node: SoakNode, duration_s: float) -> None:
         program = node.program
         program.end(signal.SIGSTOP)
-        eventlet.sleep(for_s)
+        eventlet.sleep(duration_s)
         if not program.has_ended():
             program.end(signal.SIGCONT)
 
-    def _harm_link(self, fault: Fault) -> None:
-        began_s = clock_s()
-        node = self._nodes[fault.which % len(self._nodes)]
+    def _inject_link_fault(self, fault: Fault) -> None:
+        start_s = clock_s()
+        node = self._nodes[fault.index % len(self._nodes)]
         link = {
             'store': node.store_link,
             'callers': node.caller_link,
             'peers': node.peer_link,
         }.get(fault.kind)
-        where = node.name
+        node_name = node.name
         if link is None:
-            link = self._target_links[fault.which % len(self._target_links)]
-            where = ''
-        if fault.how == 'delay':
-            link.delay(fault.for_s / 10)
+            link = self._target_links[fault.index % len(self._target_links)]
+            node_name = ''
+        if fault.action == 'delay':
+            link.delay(fault.duration_s / 10)
         else:
-            getattr(link, fault.how)()
-        eventlet.sleep(fault.for_s)
+            getattr(link, fault.action)()
+        eventlet.sleep(fault.duration_s)
         link.restore()
-        # What was silenced stays silent until its ends notice.
-        self._note(fault.kind, where, began_s)
+        # A silenced connection stays silent until its endpoints notice.
+        self._record_span(fault.kind, node_name, start_s)
 
-    def _harm_store(self, fault: Fault) -> None:
-        began_s = clock_s()
-        if fault.how == 'out':
+    def _inject_store_fault(self, fault: Fault) -> None:
+        start_s = clock_s()
+        if fault.action == 'out':
             self._store.is_out = True
-            eventlet.sleep(fault.for_s)
+            eventlet.sleep(fault.duration_s)
             self._store.is_out = False
-        elif fault.how == 'refuse':
-            address = f'127.0.0.1:{self._store_port(fault.which)}'
+        elif fault.action == 'refuse':
+            address = f'127.0.0.1:{self._store_port(fault.index)}'
             self._store.refused.add(address)
-            eventlet.sleep(fault.for_s)
+            eventlet.sleep(fault.duration_s)
             self._store.refused.discard(address)
-        elif fault.how == 'forget':
+        elif fault.action == 'forget':
             self._store.history.clear()
             self._store.forgotten = self._store.revision
-        elif fault.how == 'lapse':
+        elif fault.action == 'lapse':
             self._store.lapse()
         else:
             self._store.loses = True
-            eventlet.sleep(fault.for_s)
+            eventlet.sleep(fault.duration_s)
             self._store.loses = False
-        self._note('store', '', began_s)
+        self._record_span('store', '', start_s)
 
-    def _store_port(self, which: int) -> int:
-        node = self._nodes[which % len(self._nodes)]
+    def _store_port(self, index: int) -> int:
+        node = self._nodes[index % len(self._nodes)]
         return node.store_link.to_port
 
-    def _harm_target(self, fault: Fault) -> None:
-        target = self._targets[fault.which % len(self._targets)]
-        if fault.how == 'leave':
+    def _inject_target_fault(self, fault: Fault) -> None:
+        target = self._targets[fault.index % len(self._targets)]
+        if fault.action == 'leave':
             target.leave()
-            eventlet.sleep(fault.for_s)
-            target.come_back()
+            eventlet.sleep(fault.duration_s)
+            target.return_to_service()
             return
-        target.trouble = fault.how
-        eventlet.sleep(fault.for_s)
-        target.trouble = ''
+        target.fault = fault.action
+        eventlet.sleep(fault.duration_s)
+        target.fault = ''
 
-    def _change(self, fault: Fault) -> None:
-        if fault.how == 'configure':
+    def _inject_change(self, fault: Fault) -> None:
+        if fault.action == 'configure':
             self._configure()
-        elif 'beta' not in self._record.withdrawn:
-            self._withdraw()
+        elif 'beta' not in self._record.key_revocations:
+            self._revoke_key()
 
-    def _withdraw(self) -> None:
-        """Take a key away; much later its organisation has another one."""
-        self._withdrawn.add('beta')
+    def _revoke_key(self) -> None:
+        """Revoke a key; after `KEY_RETURN_S` the organisation has one again."""
+        self._revoked.add('beta')
         self._configure()
-        taken_s = clock_s()
-        self._record.withdrawn['beta'] = (taken_s, float('inf'))
-        eventlet.sleep(GRACE_S)
-        self._withdrawn.discard('beta')
+        revoked_s = clock_s()
+        self._record.key_revocations['beta'] = (revoked_s, float('inf'))
+        eventlet.sleep(KEY_RETURN_S)
+        self._revoked.discard('beta')
         self._configure()
-        self._record.withdrawn['beta'] = (taken_s, clock_s())
+        self._record.key_revocations['beta'] = (revoked_s, clock_s())
 
-    # The end.
+    # Recovery and shutdown.
 
-    def _await_recovery(self, node: SoakNode, until_s: float) -> None:
-        while clock_s() < until_s:
-            if self._is_served(node):
+    def _await_recovery(self, node: SoakNode, deadline_s: float) -> None:
+        while clock_s() < deadline_s:
+            if self._is_answering(node):
                 return
             eventlet.sleep(0.2)
         self._record.unrecovered.append(node.name)
 
-    def _is_served(self, node: SoakNode) -> bool:
-        since_s = clock_s() - CONTACT_S / 2
+    def _is_answering(self, node: SoakNode) -> bool:
+        since_s = clock_s() - FAULT_EFFECT_S / 2
         return any(
             call.node == node.name
             and call.sent_s > since_s
@@ -388,7 +393,7 @@
             for call in self._record.calls[-400:]
         )
 
-    def _note_usage(self) -> None:
+    def _record_usage(self) -> None:
         for at_s, holder, fence, body in self._store.reports:
             self._record.usage.append(
                 UsageReport(
@@ -400,7 +405,7 @@
                 )
             )
 
-    def _end(self) -> None:
+    def _shut_down(self) -> None:
         self._is_ended = True
         for caller in self._callers:
             caller.is_ended = True
@@ -416,13 +421,13 @@
         self._store.close()
 
 
-def play(seed: int, for_s: float, folder: str) -> SoakResult:
-    """Play one seed with its logs in a folder."""
-    return Soak(seed, for_s, folder).play()
+def run_soak(seed: int, duration_s: float, folder: str) -> SoakResult:
+    """Run one seed with its logs in a folder."""
+    return Soak(seed, duration_s, folder).run()
 
 
 def main(arguments: list[str]) -> int:
-    """Play seeds one after the other; the logs of broken ones stay."""
+    """Run seeds one after the other; keep the logs of those that fail."""
     parser = argparse.ArgumentParser(prog='soak')
     parser.add_argument('--seeds', default='')
     parser.add_argument('--fresh', type=int, default=0)
@@ -432,28 +437,28 @@
     first, _, last = options.seeds.partition('-')
     seeds = list(range(int(first), int(last or first) + 1)) if first else []
     seeds.extend(secrets.randbelow(10**9) for _ in range(options.fresh))
-    broken = 0
+    failed_seeds = 0
     for seed in seeds:
-        broken += bool(_play_one(seed, options).broken)
-    sys.stdout.write(f'{len(seeds)} seeds, {broken} with a promise broken\n')
-    return 1 if broken else 0
+        failed_seeds += bool(_run_seed(seed, options).violations)
+    sys.stdout.write(f'{len(seeds)} seeds, {failed_seeds} with violations\n')
+    return 1 if failed_seeds else 0
 
 
-def _play_one(seed: int, options: argparse.Namespace) -> SoakResult:
+def _run_seed(seed: int, options: argparse.Namespace) -> SoakResult:
     with tempfile.TemporaryDirectory() as folder:
-        result = play(seed, options.seconds, folder)
+        result = run_soak(seed, options.seconds, folder)
         sys.stdout.write(
-            f'seed {seed}: {result.served} of {result.calls} served, '
-            f'{len(result.broken)} broken\n'
+            f'seed {seed}: {result.served_calls} of {result.calls} served, '
+            f'{len(result.violations)} violations\n'
         )
-        for text in result.broken[:20]:
+        for text in result.violations[:20]:
             sys.stdout.write(f'  {text}\n')
         sys.stdout.flush()
-        if result.broken:
-            kept = pathlib.Path(options.logs) / str(seed)
-            os.makedirs(kept, exist_ok=True)
+        if result.violations:
+            log_folder = pathlib.Path(options.logs) / str(seed)
+            os.makedirs(log_folder, exist_ok=True)
             for log in pathlib.Path(folder).glob('log-*'):
-                (kept / log.name).write_bytes(log.read_bytes())
+                (log_folder / log.name).write_bytes(log.read_bytes())
     return result
 
 
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets that answer by attempt, record each run, and misbehave."""
+"""Targets that record each run and inject faults."""
 
 import json
 from collections.abc import Iterator
@@ -7,21 +7,21 @@
 from dandelionyoke_gateway import clock_s
 from tests.platform.path import Piece, ScriptedTarget, Seen, answer, chunk
 from tests.platform.store_standin import StoreStandin
-from tests.soak.promises import EVENTS, body_of, event_of
+from tests.soak.guarantees import EVENTS_PER_STREAM, plain_body, stream_event
 from tests.soak.record import Run, SoakRecord
 
-PLAIN_S = 0.03
-PREFILL_S = 0.05
-EVENT_S = 0.02
+PLAIN_DELAY_S = 0.03
+PREFILL_DELAY_S = 0.05
+EVENT_INTERVAL_S = 0.02
 SLOTS = 8
 
 
 class SoakTarget:
-    """One target and its entry in the registry.
+    """A target and its entry in the registry.
 
-    `trouble` is what it does to a share of the calls that it gets: `refuse`
-    says that a call was not run, `lose` resets after it ran, `extra` adds
-    bytes behind a whole answer, `break` ends a stream within an event.
+    `fault` affects a share of the calls: `refuse` answers that the call was
+    not run, `lose` resets the connection after the run, `extra` sends bytes
+    after a complete answer, `break` ends a stream within an event.
     """
 
     def __init__(
@@ -39,19 +39,19 @@
         self._record = record
         self._store = store
         self._random = random
-        self.trouble = ''
+        self.fault = ''
         self._state = 'ready'
         self._handles: set[str] = set()
         self.server = ScriptedTarget(self._serve)
         self.address = self.server.address
 
     def register(self, address: str) -> None:
-        """Enter it in the registry, reached at a relay's address."""
+        """Add the target to the registry at the address of a relay."""
         self.address = address
-        self.beat()
+        self.write_entry()
 
-    def beat(self) -> None:
-        """Write the entry again."""
+    def write_entry(self) -> None:
+        """Write the registry entry."""
         entry = {
             'service': self._service,
             'address': self.address,
@@ -64,81 +64,83 @@
         self._store.put(f'servers/{self.target_id}', json.dumps(entry))
 
     def leave(self) -> None:
-        """Say in the registry that it takes no more work."""
+        """Mark the target as draining in the registry."""
         self._state = 'draining'
-        self.beat()
-        self._record.leaving[self.target_id] = clock_s()
+        self.write_entry()
+        self._record.leaving_since_s[self.target_id] = clock_s()
 
-    def come_back(self) -> None:
-        """Take work again, as a new start would."""
+    def return_to_service(self) -> None:
+        """Mark the target as ready again, as after a restart."""
         self._state = 'ready'
-        self._record.leaving.pop(self.target_id, None)
-        self.beat()
+        self._record.leaving_since_s.pop(self.target_id, None)
+        self.write_entry()
 
-    def _serve(self, seen: Seen) -> Iterator[Piece]:
-        attempt_id = seen.headers.get('attempt-id', '')
-        path = seen.line.split(' ')[1]
+    def _serve(self, request: Seen) -> Iterator[Piece]:
+        attempt_id = request.headers.get('attempt-id', '')
+        path = request.line.split(' ')[1]
         if path.startswith('/-/'):
             yield answer('200 OK', b'{}', '')
             return
-        if self._does('refuse') or (
-            seen.headers.get('target-instance') != self.target_id
+        if self._has_fault('refuse') or (
+            request.headers.get('target-instance') != self.target_id
         ):
             yield answer('503 Busy', b'', 'Not-Executed: 1\r\n')
             return
-        if seen.headers.get('serving-phase') == 'prefill':
+        if request.headers.get('serving-phase') == 'prefill':
             yield from self._prefill(attempt_id)
             return
-        last = int(seen.headers.get('last-event-id', '0'))
+        last_event_id = int(request.headers.get('last-event-id', '0'))
         self._record.runs.append(
             Run(
                 attempt_id,
                 self.target_id,
-                seen.headers.get('tenant', ''),
-                'x-api-key' in seen.headers,
+                request.headers.get('tenant', ''),
+                'x-api-key' in request.headers,
                 clock_s(),
-                last + 1,
+                last_event_id + 1,
             )
         )
         if self._phase is None:
             yield from self._plain(attempt_id)
         else:
-            yield from self._stream(attempt_id, last)
+            yield from self._stream(attempt_id, last_event_id)
 
     def _prefill(self, attempt_id: str) -> Iterator[Piece]:
-        yield PREFILL_S
+        yield PREFILL_DELAY_S
         handle = json.dumps(
             {'kv_handle': f'h{attempt_id}', 'tokens': 9, 'version': 1}
         )
         yield answer('200 OK', handle.encode(), _signed(attempt_id))
 
     def _plain(self, attempt_id: str) -> Iterator[Piece]:
-        yield PLAIN_S
-        if self._does('lose'):
+        yield PLAIN_DELAY_S
+        if self._has_fault('lose'):
             yield None
             return
-        whole = answer('200 OK', body_of(attempt_id), _signed(attempt_id))
-        yield whole + (b'HTTP/1.1 200 OK\r\n' if self._does('extra') else b'')
+        response = answer('200 OK', plain_body(attempt_id), _signed(attempt_id))
+        yield response + (
+            b'HTTP/1.1 200 OK\r\n' if self._has_fault('extra') else b''
+        )
 
-    def _stream(self, attempt_id: str, last: int) -> Iterator[Piece]:
-        yield EVENT_S
+    def _stream(self, attempt_id: str, last_event_id: int) -> Iterator[Piece]:
+        yield EVENT_INTERVAL_S
         yield (
             f'HTTP/1.1 200 OK\r\n{_signed(attempt_id)}'
             'Content-Type: text/event-stream\r\n'
             'Transfer-Encoding: chunked\r\n\r\n'
         ).encode()
-        for number in range(last + 1, EVENTS + 1):
-            event = event_of(attempt_id, number)
-            if self._does('break'):
+        for number in range(last_event_id + 1, EVENTS_PER_STREAM + 1):
+            event = stream_event(attempt_id, number)
+            if self._has_fault('break'):
                 yield chunk(event[: len(event) // 2])
                 yield None
                 return
             yield chunk(event)
-            yield EVENT_S
+            yield EVENT_INTERVAL_S
         yield chunk(b'')
 
-    def _does(self, trouble: str) -> bool:
-        return self.trouble == trouble and self._random.random() < 0.3
+    def _has_fault(self, fault: str) -> bool:
+        return self.fault == fault and self._random.random() < 0.3
 
 
 def _signed(attempt_id: str) -> str:
--- /dev/null
+++ b/tests/soak/test_guarantees.py
@@ -0,0 +1,136 @@
+"""Tests that the soak's checks detect each kind of violation."""
+
+import attrs
+import testtools
+
+from tests.soak.faults import plan_faults
+from tests.soak.guarantees import (
+    EVENTS_PER_STREAM,
+    find_violations,
+    plain_body,
+    stream_event,
+)
+from tests.soak.record import (
+    ASK,
+    CONFIRM,
+    CallerCall,
+    Run,
+    SoakRecord,
+    Span,
+    UsageReport,
+)
+
+
+def new_confirmation(**changes: object) -> CallerCall:
+    call = CallerCall(
+        'c.1',
+        CONFIRM,
+        'acme',
+        'n-1',
+        100.0,
+        100.1,
+        200,
+        'c.1',
+        is_signed=True,
+        body=plain_body('c.1'),
+        is_complete=True,
+    )
+    for name, value in changes.items():
+        setattr(call, name, value)
+    return call
+
+
+RUN = Run('c.1', 'i-1', 'acme', had_caller_key=False, at_s=100.05)
+REPORT = UsageReport(110.0, 'n-1', 5, 20, (('acme', 1),))
+
+
+class GuaranteesTest(testtools.TestCase):
+    def rules(self, record: SoakRecord) -> list[str]:
+        return [text.split(' ')[0] for text in find_violations(record)]
+
+    def test_a_correct_call_violates_nothing(self) -> None:
+        record = SoakRecord([new_confirmation()], [RUN], usage=[REPORT])
+        self.assertEqual([], find_violations(record))
+
+    def test_a_second_run_is_detected(self) -> None:
+        record = SoakRecord([new_confirmation()], [RUN, RUN])
+        self.assertEqual(['TWICE'], self.rules(record))
+
+    def test_a_refusal_after_a_run_is_detected(self) -> None:
+        record = SoakRecord([new_confirmation(status=503)], [RUN])
+        self.assertEqual(['REFUSED'], self.rules(record))
+
+    def test_an_answer_to_another_call_is_detected(self) -> None:
+        call = new_confirmation(
+            answered_attempt_id='c.2', body=plain_body('c.2')
+        )
+        self.assertEqual(
+            ['MIXED', 'MIXED'], self.rules(SoakRecord([call], [RUN]))
+        )
+
+    def test_a_missing_event_is_detected(self) -> None:
+        body = b''.join(
+            stream_event('c.1', number)
+            for number in range(2, EVENTS_PER_STREAM + 1)
+        )
+        call = new_confirmation(path=ASK, body=body)
+        self.assertEqual(['ORDER'], self.rules(SoakRecord([call], [RUN])))
+
+    def test_a_run_for_another_organisation_is_detected(self) -> None:
+        run = attrs.evolve(RUN, organisation='beta')
+        record = SoakRecord([new_confirmation()], [run])
+        self.assertEqual(['UNASKED'], self.rules(record))
+
+    def test_a_run_after_a_key_revocation_is_detected(self) -> None:
+        record = SoakRecord([new_confirmation()], [RUN])
+        record.key_revocations['acme'] = (94.9, 200.0)
+        self.assertEqual(['CONFIG'], self.rules(record))
+
+    def test_a_refusal_of_a_valid_key_is_detected(self) -> None:
+        record = SoakRecord([new_confirmation(status=401)], [])
+        self.assertEqual(['DENIED'], self.rules(record))
+
+    def test_a_call_without_an_answer_is_detected_unless_its_node_paused(
+        self,
+    ) -> None:
+        call = new_confirmation(status=None, is_complete=False, ended_s=106.0)
+        record = SoakRecord([call], [RUN])
+        self.assertEqual(['CONFIG'], self.rules(record))
+        record.spans.append(Span('pause', 'n-1', 101.0, 104.0))
+        self.assertEqual([], self.rules(record))
+
+    def test_a_run_on_a_drained_target_is_detected(self) -> None:
+        record = SoakRecord([new_confirmation()], [RUN])
+        record.leaving_since_s['i-1'] = 97.9
+        self.assertEqual(['DRAIN'], self.rules(record))
+
+    def test_two_reports_for_a_window_are_detected(self) -> None:
+        second_report = attrs.evolve(REPORT, counts=(('acme', 0),))
+        record = SoakRecord(
+            [new_confirmation()], [RUN], usage=[REPORT, second_report]
+        )
+        self.assertEqual(['ONE'], self.rules(record))
+
+    def test_a_call_reported_twice_is_detected(self) -> None:
+        second_report = attrs.evolve(REPORT, window_id=21)
+        record = SoakRecord(
+            [new_confirmation()], [RUN], usage=[REPORT, second_report]
+        )
+        self.assertEqual(['USAGE'], self.rules(record))
+
+    def test_a_decreasing_fencing_token_is_detected(self) -> None:
+        second_report = attrs.evolve(
+            REPORT, window_id=21, fence=4, holder='n-2', counts=()
+        )
+        record = SoakRecord(
+            [new_confirmation()], [RUN], usage=[REPORT, second_report]
+        )
+        self.assertEqual(['ONE'], self.rules(record))
+
+    def test_a_node_without_recovery_is_detected(self) -> None:
+        record = SoakRecord(unrecovered=['n-1'])
+        self.assertEqual(['RECOVER'], self.rules(record))
+
+    def test_a_seed_gives_the_same_faults(self) -> None:
+        self.assertEqual(plan_faults(7, 20.0), plan_faults(7, 20.0))
+        self.assertNotEqual(plan_faults(7, 20.0), plan_faults(8, 20.0))
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,23 +1,23 @@
-"""Short soaks of real processes, from fixed seeds."""
+"""A short soak of real processes with a fixed seed."""
 
 import tempfile
 
 import testtools
 
-from tests.soak.soak import play
+from tests.soak.soak import run_soak
 
 SECONDS = 8.0
 
 
 class SoakTest(testtools.TestCase):
-    def test_a_short_soak_keeps_the_promises(self) -> None:
-        """Nodes are killed, paused and cut off while callers go on.
+    def test_a_short_soak_keeps_the_guarantees(self) -> None:
+        """Kill, pause and disconnect nodes while callers send calls.
 
-        A caller would notice a doubled confirmation, a refusal that was not
-        true, another one's answer, a torn stream, or a node that does not
-        come back.
+        The soak detects a confirmation that ran twice, a refusal of a call
+        that ran, an answer to another call, a damaged stream, and a node
+        that does not recover.
         """
         with tempfile.TemporaryDirectory() as folder:
-            result = play(1, SECONDS, folder)
-        self.assertEqual([], result.broken)
-        self.assertGreater(result.served, 0)
+            result = run_soak(1, SECONDS, folder)
+        self.assertEqual([], result.violations)
+        self.assertGreater(result.served_calls, 0)
