--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -23,7 +23,7 @@
 from tests.platform.store_standin import StoreStandin
 from tests.soak.callers import Caller
 from tests.soak.faults import Fault, plan_faults
-from tests.soak.guarantees import FAULT_EFFECT_S, find_violations
+from tests.soak.promises import FAULT_EFFECT_S, find_violations
 from tests.soak.record import CALL_PATHS, SoakRecord, Span, UsageReport
 from tests.soak.targets import SoakTarget
 
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -7,7 +7,7 @@
 from dandelionyoke_gateway import clock_s
 from tests.platform.path import Piece, ScriptedTarget, Seen, answer, chunk
 from tests.platform.store_standin import StoreStandin
-from tests.soak.guarantees import EVENTS_PER_STREAM, plain_body, stream_event
+from tests.soak.promises import EVENTS_PER_STREAM, plain_body, stream_event
 from tests.soak.record import Run, SoakRecord
 
 PLAIN_DELAY_S = 0.03
--- a/tests/soak/test_guarantees.py
+++ b/tests/soak/test_promises.py
@@ -4,7 +4,7 @@
 import testtools
 
 from tests.soak.faults import plan_faults
-from tests.soak.guarantees import (
+from tests.soak.promises import (
     EVENTS_PER_STREAM,
     find_violations,
     plain_body,
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -42,7 +42,7 @@
         """Read the next output line, `WORD ADDRESS`, and return the address."""
         line = self.process.stdout.readline().split()
         if line[:1] != [word]:
-            raise AssertionError(f'expected {word}, got {line}')
+            raise AssertionError(f'{word} expected, got {line}')
         return line[1]
 
     def call(self, method: str, path: str, body: Any = None) -> Answer:
