--- a/packages/standins/dandelionyoke_standins/_engine_http.py
+++ b/packages/standins/dandelionyoke_standins/_engine_http.py
@@ -16,9 +16,9 @@
     MissingError,
 )
 from dandelionyoke_standins._http import (
-    Call,
     ChangeNotifier,
-    Reply,
+    Request,
+    Response,
     Route,
     Server,
 )
@@ -82,27 +82,29 @@
             record = self._model.attempt_record(output.attempt_id)
             self._record_file.write('attempt_ended', record)
 
-    def _generate(self, call: Call) -> Reply:
+    def _generate(self, request: Request) -> Response:
         self._check_silence()
-        request = build(GenerateRequest, call.json)
-        self._model.generate(request, time.monotonic())
-        record = self._model.attempt_record(request.attempt_id)
+        generate_request = build(GenerateRequest, request.json)
+        self._model.generate(generate_request, time.monotonic())
+        record = self._model.attempt_record(generate_request.attempt_id)
         self._record_file.write('attempt', record)
         self._lose_answer()
-        offset = len(request.resume_tokens)
+        offset = len(generate_request.resume_tokens)
         silent_after = self._model.faults.silent_after_tokens
-        return Reply(
-            lines=self._stream_lines(request.attempt_id, offset, silent_after)
+        return Response(
+            lines=self._stream_lines(
+                generate_request.attempt_id, offset, silent_after
+            )
         )
 
-    def _resume(self, call: Call) -> Reply:
+    def _resume(self, request: Request) -> Response:
         self._check_silence()
-        body = call.json
+        body = request.json
         attempt_id = _string_field(body, 'attempt_id')
         offset = int(body.get('offset', 0))
         self._model.output_from(attempt_id, offset)
         self._lose_answer()
-        return Reply(lines=self._stream_lines(attempt_id, offset, None))
+        return Response(lines=self._stream_lines(attempt_id, offset, None))
 
     def _stream_lines(
         self, attempt_id: str, offset: int, silent_after: int | None
@@ -144,41 +146,41 @@
             }
         )
 
-    def _cancel(self, call: Call) -> Reply:
+    def _cancel(self, request: Request) -> Response:
         self._check_silence()
-        attempt_id = _string_field(call.json, 'attempt_id')
+        attempt_id = _string_field(request.json, 'attempt_id')
         cancelled = self._model.cancel(attempt_id, time.monotonic())
         self._changed.notify()
         self._lose_answer()
-        return Reply({'cancelled': cancelled})
+        return Response({'cancelled': cancelled})
 
-    def _load(self, call: Call) -> Reply:
+    def _load(self, request: Request) -> Response:
         self._check_silence()
-        return Reply(self._model.load_report(time.monotonic()))
+        return Response(self._model.load_report(time.monotonic()))
 
-    def _cache_events(self, call: Call) -> Reply:
+    def _cache_events(self, request: Request) -> Response:
         self._check_silence()
-        after = int(call.query.get('after', 0))
-        return Reply(self._model.cache_events(after, time.monotonic()))
+        after = int(request.query.get('after', 0))
+        return Response(self._model.cache_events(after, time.monotonic()))
 
-    def _order(self, call: Call) -> Reply:
+    def _order(self, request: Request) -> Response:
         self._check_silence()
-        order = build(EngineOrder, call.json)
+        order = build(EngineOrder, request.json)
         answer = self._model.order(order, time.monotonic())
         self._record_file.write('order', self._model.record.orders[-1])
         self._changed.notify()
         self._lose_answer()
-        return Reply(answer)
+        return Response(answer)
 
-    def _order_state(self, call: Call, order_id: str) -> Reply:
+    def _order_state(self, request: Request, order_id: str) -> Response:
         self._check_silence()
-        return Reply(self._model.order_state(order_id, time.monotonic()))
+        return Response(self._model.order_state(order_id, time.monotonic()))
 
-    def _export_kv(self, call: Call) -> Reply:
+    def _export_kv(self, request: Request) -> Response:
         self._check_silence()
-        attempt_id = _string_field(call.json, 'attempt_id')
+        attempt_id = _string_field(request.json, 'attempt_id')
         export = self._model.export_kv(attempt_id, time.monotonic())
-        return Reply(
+        return Response(
             {
                 'handle': export.handle,
                 'blocks': len(export.blocks),
@@ -186,16 +188,16 @@
             }
         )
 
-    def _exported_kv(self, call: Call, handle: str) -> Reply:
-        return Reply(self._model.exported_kv(handle))
+    def _exported_kv(self, request: Request, handle: str) -> Response:
+        return Response(self._model.exported_kv(handle))
 
-    def _import_kv(self, call: Call) -> Reply:
+    def _import_kv(self, request: Request) -> Response:
         self._check_silence()
-        body = call.json
+        body = request.json
         url = f'{_string_field(body, "source")}/kv/{_string_field(body, "handle")}'
         export = self._fetch_export(url)
         self._model.import_kv(export, time.monotonic())
-        return Reply({'imported': True})
+        return Response({'imported': True})
 
     def _fetch_export(self, url: str) -> KvExport:
         try:
@@ -206,16 +208,16 @@
             raise MissingError(imported=False, cause='unknown_handle')
         return build(KvExport, decode(response.data))
 
-    def _set_faults(self, call: Call) -> Reply:
-        for name, value in call.json.items():
+    def _set_faults(self, request: Request) -> Response:
+        for name, value in request.json.items():
             if not hasattr(self._model.faults, name):
                 raise BadCallError(cause=f'unknown fault {name}')
             setattr(self._model.faults, name, value)
         self._changed.notify()
-        return Reply(self._model.faults)
+        return Response(self._model.faults)
 
-    def _record(self, call: Call) -> Reply:
-        return Reply(self._model.record)
+    def _record(self, request: Request) -> Response:
+        return Response(self._model.record)
 
     def _check_silence(self) -> None:
         self._block_while_silent(is_silent=False)
--- a/packages/standins/dandelionyoke_standins/_http.py
+++ b/packages/standins/dandelionyoke_standins/_http.py
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class Call:
+class Request:
     """An HTTP request as received."""
 
     method: str
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class Reply:
+class Response:
     """An HTTP response: a JSON body, or a stream of JSON lines."""
 
     body: Any = None
@@ -63,14 +63,14 @@
     lines: Iterator[bytes] | None = None
 
 
-Handler = Callable[..., Reply]
+Handler = Callable[..., Response]
 
 
 @attrs.frozen
 class Route:
     """A method, a regular expression for the full path, and a handler.
 
-    The method `*` matches any method. The handler gets the call, followed
+    The method `*` matches any method. The handler gets the request, followed
     by the groups of the pattern.
     """
 
@@ -120,18 +120,18 @@
         self, environ: Environ, start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         try:
-            reply = self._dispatch(environ)
+            response = self._dispatch(environ)
         except LostAnswerError:
             _drop_connection(environ)
             return []
         except StandinError as error:
-            reply = Reply(error.answer, error.status)
-        status = f'{reply.status} {STATUS_TEXT[reply.status]}'
-        if reply.lines is not None:
+            response = Response(error.answer, error.status)
+        status = f'{response.status} {STATUS_TEXT[response.status]}'
+        if response.lines is not None:
             headers = [('Content-Type', 'application/x-ndjson')]
             start_response(status, headers)
-            return reply.lines
-        body = encode(reply.body)
+            return response.lines
+        body = encode(response.body)
         headers = [
             ('Content-Type', 'application/json'),
             ('Content-Length', str(len(body))),
@@ -139,18 +139,18 @@
         start_response(status, headers)
         return [body]
 
-    def _dispatch(self, environ: Environ) -> Reply:
-        call = _read_call(environ)
+    def _dispatch(self, environ: Environ) -> Response:
+        request = _read_request(environ)
         is_known_path = False
         for route in self._routes:
-            match = re.fullmatch(route.pattern, call.path)
+            match = re.fullmatch(route.pattern, request.path)
             if match is None:
                 continue
             is_known_path = True
-            if route.method in {call.method, '*'}:
-                return route.handler(call, *match.groups())
+            if route.method in {request.method, '*'}:
+                return route.handler(request, *match.groups())
         cause = 'method' if is_known_path else 'path'
-        return Reply({'cause': f'unknown {cause}'}, 404)
+        return Response({'cause': f'unknown {cause}'}, 404)
 
 
 class StopSignal:
@@ -188,11 +188,11 @@
     """Do nothing; the wakeup descriptor reports the signal."""
 
 
-def _read_call(environ: Environ) -> Call:
+def _read_request(environ: Environ) -> Request:
     size = int(environ.get('CONTENT_LENGTH') or 0)
     if size > MAX_BODY_BYTES:
         raise BadCallError(cause='body too large')
-    return Call(
+    return Request(
         method=environ['REQUEST_METHOD'],
         path=unquote(environ['PATH_INFO']),
         query=dict(parse_qsl(environ.get('QUERY_STRING', ''))),
--- a/packages/standins/dandelionyoke_standins/_link.py
+++ b/packages/standins/dandelionyoke_standins/_link.py
@@ -3,8 +3,8 @@
 import attrs
 
 from dandelionyoke_standins._http import (
-    Call,
-    Reply,
+    Request,
+    Response,
     Route,
     Server,
     print_line,
@@ -54,24 +54,24 @@
         """Print the address of the control server."""
         print_line(f'CONTROL {self._control.address}')
 
-    def _cut(self, call: Call) -> Reply:
+    def _cut(self, request: Request) -> Response:
         self._relay.cut()
-        return self._state(call)
+        return self._state(request)
 
-    def _silence(self, call: Call) -> Reply:
+    def _silence(self, request: Request) -> Response:
         self._relay.silence()
-        return self._state(call)
+        return self._state(request)
 
-    def _blackhole(self, call: Call) -> Reply:
+    def _blackhole(self, request: Request) -> Response:
         self._relay.blackhole()
-        return self._state(call)
+        return self._state(request)
 
-    def _restore(self, call: Call) -> Reply:
+    def _restore(self, request: Request) -> Response:
         self._relay.restore()
-        return self._state(call)
+        return self._state(request)
 
-    def _state(self, call: Call) -> Reply:
-        return Reply(
+    def _state(self, request: Request) -> Response:
+        return Response(
             {
                 'state': self._relay.state.value,
                 'connections': self._relay.connections,
--- a/packages/standins/dandelionyoke_standins/_plain_http.py
+++ b/packages/standins/dandelionyoke_standins/_plain_http.py
@@ -12,9 +12,9 @@
     NotRunError,
 )
 from dandelionyoke_standins._http import (
-    Call,
     ChangeNotifier,
-    Reply,
+    Request,
+    Response,
     Route,
     Server,
 )
@@ -61,7 +61,7 @@
             Route('*', '/.*', self._run),
         )
 
-    def _run(self, call: Call) -> Reply:
+    def _run(self, request: Request) -> Response:
         faults = self._model.faults
         if faults.refuse:
             raise NotRunError(
@@ -70,19 +70,19 @@
         with ExitStack() as stack:
             self._running_calls += 1
             stack.callback(self._end_call)
-            return self._run_once(call)
+            return self._run_once(request)
 
     def _end_call(self) -> None:
         self._running_calls -= 1
 
-    def _run_once(self, call: Call) -> Reply:
+    def _run_once(self, request: Request) -> Response:
         faults = self._model.faults
         if faults.delay_s:
             eventlet.sleep(faults.delay_s)
-        text = call.body.decode(errors='replace')
+        text = request.body.decode(errors='replace')
         if faults.crash_before_run or _contains(text, faults.crash_on):
             os._exit(CRASH_STATUS)
-        run = _plain_run(call)
+        run = _plain_run(request)
         runs = self._model.run(run)
         self._record_file.write('run', run)
         if faults.crash_after_run:
@@ -92,10 +92,10 @@
             raise LostAnswerError
         while faults.silent:
             self._faults_changed.wait(1)
-        return Reply({'runs': runs})
+        return Response({'runs': runs})
 
-    def _load(self, call: Call) -> Reply:
-        return Reply(
+    def _load(self, request: Request) -> Response:
+        return Response(
             {
                 'engine_id': self._engine_id,
                 'incarnation': self._incarnation,
@@ -107,34 +107,34 @@
             }
         )
 
-    def _set_faults(self, call: Call) -> Reply:
-        for name, value in call.json.items():
+    def _set_faults(self, request: Request) -> Response:
+        for name, value in request.json.items():
             if not hasattr(self._model.faults, name):
                 raise BadCallError(cause=f'unknown fault {name}')
             setattr(self._model.faults, name, value)
         self._faults_changed.notify()
         if self._model.faults.crash:
             eventlet.spawn_after(CRASH_DELAY_S, os._exit, CRASH_STATUS)
-        return Reply(self._model.faults)
+        return Response(self._model.faults)
 
-    def _runs(self, call: Call) -> Reply:
-        return Reply({'runs': self._model.runs})
+    def _runs(self, request: Request) -> Response:
+        return Response({'runs': self._model.runs})
 
-    def _record(self, call: Call) -> Reply:
-        return Reply({'runs': self._model.record})
+    def _record(self, request: Request) -> Response:
+        return Response({'runs': self._model.record})
 
 
 def _contains(text: str, substring: str) -> bool:
     return bool(substring) and substring in text
 
 
-def _plain_run(call: Call) -> PlainRun:
+def _plain_run(request: Request) -> PlainRun:
     return PlainRun(
         at_s=time.monotonic(),
-        key=call.headers.get('idempotency-key', ''),
-        request_id=call.headers.get('x-request-id', ''),
-        attempt_id=call.headers.get('x-attempt-id', ''),
-        method=call.method,
-        path=call.path,
-        has_caller_key='authorization' in call.headers,
+        key=request.headers.get('idempotency-key', ''),
+        request_id=request.headers.get('x-request-id', ''),
+        attempt_id=request.headers.get('x-attempt-id', ''),
+        method=request.method,
+        path=request.path,
+        has_caller_key='authorization' in request.headers,
     )
--- a/packages/standins/dandelionyoke_standins/_platform_http.py
+++ b/packages/standins/dandelionyoke_standins/_platform_http.py
@@ -9,9 +9,9 @@
 
 from dandelionyoke_standins._errors import BadCallError
 from dandelionyoke_standins._http import (
-    Call,
     ChangeNotifier,
-    Reply,
+    Request,
+    Response,
     Route,
     Server,
 )
@@ -67,13 +67,13 @@
             Route('GET', '/standin/record', self._record),
         ]
 
-    def _read(self, call: Call, key: str) -> Reply:
+    def _read(self, request: Request, key: str) -> Response:
         self._begin_call('read', key)
         entry = self._model.store.read(key)
-        return _entry_reply(entry, 200 if entry.revision else 404)
+        return _entry_response(entry, 200 if entry.revision else 404)
 
-    def _write(self, call: Call, key: str) -> Reply:
-        body = call.json
+    def _write(self, request: Request, key: str) -> Response:
+        body = request.json
         text = body.get('value')
         if not isinstance(text, str):
             raise BadCallError(cause='value is not text')
@@ -85,26 +85,26 @@
                 key, text, expected, body.get('lease_id')
             ),
         )
-        return Reply({'key': key, 'revision': entry.revision})
+        return Response({'key': key, 'revision': entry.revision})
 
-    def _delete(self, call: Call, key: str) -> Reply:
-        expected = _revision(call.query.get('expected_revision'))
+    def _delete(self, request: Request, key: str) -> Response:
+        expected = _revision(request.query.get('expected_revision'))
         entry = self._apply_change(
             'write',
             key,
             lambda: self._model.store.delete(key, expected),
         )
-        return Reply({'key': key, 'revision': entry.revision})
+        return Response({'key': key, 'revision': entry.revision})
 
-    def _list(self, call: Call) -> Reply:
-        prefix = call.query.get('prefix', '')
+    def _list(self, request: Request) -> Response:
+        prefix = request.query.get('prefix', '')
         self._begin_call('list', prefix)
-        return _changes_reply(self._model.store.list_prefix(prefix))
+        return _changes_response(self._model.store.list_prefix(prefix))
 
-    def _watch(self, call: Call) -> Reply:
-        prefix = call.query.get('prefix', '')
-        after = _revision(call.query.get('after'))
-        wait_s = min(float(call.query.get('wait_s', 0)), MAX_WAIT_S)
+    def _watch(self, request: Request) -> Response:
+        prefix = request.query.get('prefix', '')
+        after = _revision(request.query.get('after'))
+        wait_s = min(float(request.query.get('wait_s', 0)), MAX_WAIT_S)
         self._begin_call('watch', prefix)
         deadline_s = time.monotonic() + wait_s
         while True:
@@ -112,96 +112,96 @@
             changes = self._model.store.changes_after(prefix, after)
             remaining_s = deadline_s - time.monotonic()
             if changes.items or remaining_s <= 0:
-                return _changes_reply(changes)
+                return _changes_response(changes)
             self._changed.wait(remaining_s)
 
-    def _grant(self, call: Call) -> Reply:
-        ttl_s = float(_field(call.json, 'ttl_s'))
+    def _grant(self, request: Request) -> Response:
+        ttl_s = float(_field(request.json, 'ttl_s'))
         lease_id = self._apply_change(
             'lease',
             None,
             lambda: self._model.store.grant_lease(ttl_s, time.monotonic()),
         )
-        return Reply({'lease_id': lease_id})
+        return Response({'lease_id': lease_id})
 
-    def _renew(self, call: Call, lease_id: str) -> Reply:
+    def _renew(self, request: Request, lease_id: str) -> Response:
         ttl_s = self._apply_change(
             'lease',
             None,
             lambda: self._model.store.renew_lease(lease_id, time.monotonic()),
         )
-        return Reply({'lease_id': lease_id, 'ttl_s': ttl_s})
+        return Response({'lease_id': lease_id, 'ttl_s': ttl_s})
 
-    def _revoke(self, call: Call, lease_id: str) -> Reply:
+    def _revoke(self, request: Request, lease_id: str) -> Response:
         self._apply_change(
             'lease',
             None,
             lambda: self._model.store.revoke_lease(lease_id, time.monotonic()),
         )
-        return Reply({'lease_id': lease_id})
+        return Response({'lease_id': lease_id})
 
-    def _instances(self, call: Call) -> Reply:
+    def _instances(self, request: Request) -> Response:
         self._begin_call('instances', None)
-        return Reply({'instances': self._model.instances(time.monotonic())})
+        return Response({'instances': self._model.instances(time.monotonic())})
 
-    def _add_instance(self, call: Call) -> Reply:
-        instance = build(Instance, call.json)
+    def _add_instance(self, request: Request) -> Response:
+        instance = build(Instance, request.json)
         self._model.list_instance(instance, time.monotonic())
-        return Reply({'instance_id': instance.instance_id})
+        return Response({'instance_id': instance.instance_id})
 
-    def _remove_instance(self, call: Call, instance_id: str) -> Reply:
+    def _remove_instance(self, request: Request, instance_id: str) -> Response:
         self._model.unlist_instance(instance_id, time.monotonic())
-        return Reply({'instance_id': instance_id})
+        return Response({'instance_id': instance_id})
 
-    def _targets(self, call: Call) -> Reply:
+    def _targets(self, request: Request) -> Response:
         self._begin_call('targets', None)
-        return Reply({'targets': self._model.targets(time.monotonic())})
+        return Response({'targets': self._model.targets(time.monotonic())})
 
-    def _order(self, call: Call) -> Reply:
-        order = build(TargetOrder, call.json)
+    def _order(self, request: Request) -> Response:
+        order = build(TargetOrder, request.json)
         result = self._apply_change(
             'order',
             None,
             lambda: self._model.order_targets(order, time.monotonic()),
         )
-        return Reply(result)
+        return Response(result)
 
-    def _usage(self, call: Call) -> Reply:
-        window = build(UsageWindow, call.json)
+    def _usage(self, request: Request) -> Response:
+        window = build(UsageWindow, request.json)
         self._apply_change(
             'usage',
             None,
             lambda: self._model.report_usage(window, time.monotonic()),
         )
-        return Reply({'window_id': window.window_id})
+        return Response({'window_id': window.window_id})
 
-    def _set_faults(self, call: Call) -> Reply:
-        for name, value in call.json.items():
+    def _set_faults(self, request: Request) -> Response:
+        for name, value in request.json.items():
             if not hasattr(self._model.faults, name):
                 raise BadCallError(cause=f'unknown fault {name}')
             setattr(self._model.faults, name, value)
         self._changed.notify()
-        return Reply(self._model.faults)
+        return Response(self._model.faults)
 
-    def _set_targets(self, call: Call) -> Reply:
-        body = call.json
+    def _set_targets(self, request: Request) -> Response:
+        body = request.json
         targets = [build(Target, entry) for entry in body.get('targets', ())]
         spares = [build(Target, entry) for entry in body.get('spares', ())]
         self._model.replace_targets(targets, spares)
-        return Reply({'targets': targets, 'spares': spares})
+        return Response({'targets': targets, 'spares': spares})
 
-    def _reclaim(self, call: Call) -> Reply:
-        body = call.json
+    def _reclaim(self, request: Request) -> Response:
+        body = request.json
         domain = _field(body, 'domain')
         notice_s = float(_field(body, 'notice_s'))
         self._model.reclaim_targets(domain, notice_s, time.monotonic())
-        return Reply({'domain': domain})
+        return Response({'domain': domain})
 
-    def _counts(self, call: Call) -> Reply:
-        return Reply(self._model.meter.counts)
+    def _counts(self, request: Request) -> Response:
+        return Response(self._model.meter.counts)
 
-    def _record(self, call: Call) -> Reply:
-        return Reply(self._model.record)
+    def _record(self, request: Request) -> Response:
+        return Response(self._model.record)
 
     def _begin_call(self, kind: str, key: str | None) -> None:
         delay_s = self._model.delay_s(key)
@@ -241,11 +241,11 @@
     return str(body[name])
 
 
-def _entry_reply(entry: StoreEntry, status: int) -> Reply:
+def _entry_response(entry: StoreEntry, status: int) -> Response:
     if status == 404:
-        return Reply({'key': entry.key, 'revision': 0}, status)
-    return Reply(attrs.asdict(entry), status)
+        return Response({'key': entry.key, 'revision': 0}, status)
+    return Response(attrs.asdict(entry), status)
 
 
-def _changes_reply(changes: StoreChanges) -> Reply:
-    return Reply(changes)
+def _changes_response(changes: StoreChanges) -> Response:
+    return Response(changes)
