--- a/packages/standins/dandelionyoke_standins/_platform_http.py
+++ b/packages/standins/dandelionyoke_standins/_platform_http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, as docs/PROTOCOL.md section 3 lays it down."""
+"""The platform over HTTP, as specified in docs/PROTOCOL.md section 3."""
 
 import time
 from collections.abc import Callable
@@ -8,7 +8,13 @@
 import eventlet
 
 from dandelionyoke_standins._errors import BadCallError
-from dandelionyoke_standins._http import Call, Reply, Route, Server, Signal
+from dandelionyoke_standins._http import (
+    ChangeNotifier,
+    Request,
+    Response,
+    Route,
+    Server,
+)
 from dandelionyoke_standins._json import Json, build
 from dandelionyoke_standins._platform import (
     Instance,
@@ -21,20 +27,20 @@
 LEASE_CHECK_S = 0.02
 MAX_WAIT_S = 60.0
 
-Answer = TypeVar('Answer')
+Result = TypeVar('Result')
 
 
-class PlatformShell:
-    """Owns a platform model, and gives it the clock and the callers."""
+class PlatformServer:
+    """Serves a platform model over HTTP, in real time."""
 
     def __init__(self, model: PlatformModel, port: int = 0) -> None:
         self._model = model
-        self._changed = Signal()
+        self._changed = ChangeNotifier()
         self._server = Server(self._routes(), port)
         self.address = self._server.address
 
     def start(self) -> None:
-        """Serve, and end the leases that lapse."""
+        """Start serving, and expire leases with the clock."""
         self._server.start()
         eventlet.spawn(self._expire_leases)
 
@@ -50,7 +56,7 @@
             Route('DELETE', '/store/leases/([^/]+)', self._revoke),
             Route('GET', '/instances', self._instances),
             Route('POST', '/instances', self._add_instance),
-            Route('DELETE', '/instances/([^/]+)', self._drop_instance),
+            Route('DELETE', '/instances/([^/]+)', self._remove_instance),
             Route('GET', '/targets', self._targets),
             Route('POST', '/targets/orders', self._order),
             Route('POST', '/usage/windows', self._usage),
@@ -61,157 +67,157 @@
             Route('GET', '/standin/record', self._record),
         ]
 
-    def _read(self, call: Call, key: str) -> Reply:
-        self._enter('read', key)
+    def _read(self, request: Request, key: str) -> Response:
+        self._begin_call('read', key)
         entry = self._model.store.read(key)
-        return _entry_reply(entry, 200 if entry.revision else 404)
+        return _entry_response(entry, 200 if entry.revision else 404)
 
-    def _write(self, call: Call, key: str) -> Reply:
-        body = call.json
+    def _write(self, request: Request, key: str) -> Response:
+        body = request.json
         text = body.get('value')
         if not isinstance(text, str):
             raise BadCallError(cause='value is not text')
         expected = _revision(body.get('expected_revision'))
-        entry = self._change(
+        entry = self._apply_change(
             'write',
             key,
             lambda: self._model.store.write(
                 key, text, expected, body.get('lease_id')
             ),
         )
-        return Reply({'key': key, 'revision': entry.revision})
+        return Response({'key': key, 'revision': entry.revision})
 
-    def _delete(self, call: Call, key: str) -> Reply:
-        expected = _revision(call.query.get('expected_revision'))
-        entry = self._change(
+    def _delete(self, request: Request, key: str) -> Response:
+        expected = _revision(request.query.get('expected_revision'))
+        entry = self._apply_change(
             'write',
             key,
             lambda: self._model.store.delete(key, expected),
         )
-        return Reply({'key': key, 'revision': entry.revision})
-
-    def _list(self, call: Call) -> Reply:
-        prefix = call.query.get('prefix', '')
-        self._enter('list', prefix)
-        return _changes_reply(self._model.store.list_prefix(prefix))
-
-    def _watch(self, call: Call) -> Reply:
-        prefix = call.query.get('prefix', '')
-        after = _revision(call.query.get('after'))
-        wait_s = min(float(call.query.get('wait_s', 0)), MAX_WAIT_S)
-        self._enter('watch', prefix)
-        until_s = time.monotonic() + wait_s
+        return Response({'key': key, 'revision': entry.revision})
+
+    def _list(self, request: Request) -> Response:
+        prefix = request.query.get('prefix', '')
+        self._begin_call('list', prefix)
+        return _changes_response(self._model.store.list_prefix(prefix))
+
+    def _watch(self, request: Request) -> Response:
+        prefix = request.query.get('prefix', '')
+        after = _revision(request.query.get('after'))
+        wait_s = min(float(request.query.get('wait_s', 0)), MAX_WAIT_S)
+        self._begin_call('watch', prefix)
+        deadline_s = time.monotonic() + wait_s
         while True:
             self._model.faults.before(prefix)
             changes = self._model.store.changes_after(prefix, after)
-            left_s = until_s - time.monotonic()
-            if changes.items or left_s <= 0:
-                return _changes_reply(changes)
-            self._changed.wait(left_s)
-
-    def _grant(self, call: Call) -> Reply:
-        ttl_s = float(_field(call.json, 'ttl_s'))
-        lease_id = self._change(
+            remaining_s = deadline_s - time.monotonic()
+            if changes.items or remaining_s <= 0:
+                return _changes_response(changes)
+            self._changed.wait(remaining_s)
+
+    def _grant(self, request: Request) -> Response:
+        ttl_s = float(_field(request.json, 'ttl_s'))
+        lease_id = self._apply_change(
             'lease',
             None,
             lambda: self._model.store.grant_lease(ttl_s, time.monotonic()),
         )
-        return Reply({'lease_id': lease_id})
+        return Response({'lease_id': lease_id})
 
-    def _renew(self, call: Call, lease_id: str) -> Reply:
-        ttl_s = self._change(
+    def _renew(self, request: Request, lease_id: str) -> Response:
+        ttl_s = self._apply_change(
             'lease',
             None,
             lambda: self._model.store.renew_lease(lease_id, time.monotonic()),
         )
-        return Reply({'lease_id': lease_id, 'ttl_s': ttl_s})
+        return Response({'lease_id': lease_id, 'ttl_s': ttl_s})
 
-    def _revoke(self, call: Call, lease_id: str) -> Reply:
-        self._change(
+    def _revoke(self, request: Request, lease_id: str) -> Response:
+        self._apply_change(
             'lease',
             None,
             lambda: self._model.store.revoke_lease(lease_id, time.monotonic()),
         )
-        return Reply({'lease_id': lease_id})
+        return Response({'lease_id': lease_id})
 
-    def _instances(self, call: Call) -> Reply:
-        self._enter('instances', None)
-        return Reply({'instances': self._model.instances(time.monotonic())})
+    def _instances(self, request: Request) -> Response:
+        self._begin_call('instances', None)
+        return Response({'instances': self._model.instances(time.monotonic())})
 
-    def _add_instance(self, call: Call) -> Reply:
-        instance = build(Instance, call.json)
+    def _add_instance(self, request: Request) -> Response:
+        instance = build(Instance, request.json)
         self._model.list_instance(instance, time.monotonic())
-        return Reply({'instance_id': instance.instance_id})
+        return Response({'instance_id': instance.instance_id})
 
-    def _drop_instance(self, call: Call, instance_id: str) -> Reply:
+    def _remove_instance(self, request: Request, instance_id: str) -> Response:
         self._model.unlist_instance(instance_id, time.monotonic())
-        return Reply({'instance_id': instance_id})
+        return Response({'instance_id': instance_id})
 
-    def _targets(self, call: Call) -> Reply:
-        self._enter('targets', None)
-        return Reply({'targets': self._model.targets(time.monotonic())})
+    def _targets(self, request: Request) -> Response:
+        self._begin_call('targets', None)
+        return Response({'targets': self._model.targets(time.monotonic())})
 
-    def _order(self, call: Call) -> Reply:
-        order = build(TargetOrder, call.json)
-        answer = self._change(
+    def _order(self, request: Request) -> Response:
+        order = build(TargetOrder, request.json)
+        result = self._apply_change(
             'order',
             None,
             lambda: self._model.order_targets(order, time.monotonic()),
         )
-        return Reply(answer)
+        return Response(result)
 
-    def _usage(self, call: Call) -> Reply:
-        window = build(UsageWindow, call.json)
-        self._change(
+    def _usage(self, request: Request) -> Response:
+        window = build(UsageWindow, request.json)
+        self._apply_change(
             'usage',
             None,
             lambda: self._model.report_usage(window, time.monotonic()),
         )
-        return Reply({'window_id': window.window_id})
+        return Response({'window_id': window.window_id})
 
-    def _set_faults(self, call: Call) -> Reply:
-        for name, setting in call.json.items():
+    def _set_faults(self, request: Request) -> Response:
+        for name, value in request.json.items():
             if not hasattr(self._model.faults, name):
                 raise BadCallError(cause=f'unknown fault {name}')
-            setattr(self._model.faults, name, setting)
+            setattr(self._model.faults, name, value)
         self._changed.notify()
-        return Reply(self._model.faults)
+        return Response(self._model.faults)
 
-    def _set_targets(self, call: Call) -> Reply:
-        body = call.json
+    def _set_targets(self, request: Request) -> Response:
+        body = request.json
         targets = [build(Target, entry) for entry in body.get('targets', ())]
         spares = [build(Target, entry) for entry in body.get('spares', ())]
         self._model.replace_targets(targets, spares)
-        return Reply({'targets': targets, 'spares': spares})
+        return Response({'targets': targets, 'spares': spares})
 
-    def _reclaim(self, call: Call) -> Reply:
-        body = call.json
+    def _reclaim(self, request: Request) -> Response:
+        body = request.json
         domain = _field(body, 'domain')
         notice_s = float(_field(body, 'notice_s'))
         self._model.reclaim_targets(domain, notice_s, time.monotonic())
-        return Reply({'domain': domain})
+        return Response({'domain': domain})
 
-    def _counts(self, call: Call) -> Reply:
-        return Reply(self._model.meter.counts)
+    def _counts(self, request: Request) -> Response:
+        return Response(self._model.meter.counts)
 
-    def _record(self, call: Call) -> Reply:
-        return Reply(self._model.record)
+    def _record(self, request: Request) -> Response:
+        return Response(self._model.record)
 
-    def _enter(self, kind: str, key: str | None) -> None:
+    def _begin_call(self, kind: str, key: str | None) -> None:
         delay_s = self._model.delay_s(key)
         if delay_s:
             eventlet.sleep(delay_s)
-        self._model.enter(kind, key, time.monotonic())
-
-    def _change(
-        self, kind: str, key: str | None, act: Callable[[], Answer]
-    ) -> Answer:
-        """Let a change take effect, then perhaps lose its answer."""
-        self._enter(kind, key)
-        answer = act()
+        self._model.begin_call(kind, key, time.monotonic())
+
+    def _apply_change(
+        self, kind: str, key: str | None, apply: Callable[[], Result]
+    ) -> Result:
+        """Apply a change, and lose its answer if that fault is active."""
+        self._begin_call(kind, key)
+        result = apply()
         self._changed.notify()
-        self._model.leave(key)
-        return answer
+        self._model.finish_write(key)
+        return result
 
     def _expire_leases(self) -> None:
         while True:
@@ -235,11 +241,11 @@
     return str(body[name])
 
 
-def _entry_reply(entry: StoreEntry, status: int) -> Reply:
+def _entry_response(entry: StoreEntry, status: int) -> Response:
     if status == 404:
-        return Reply({'key': entry.key, 'revision': 0}, status)
-    return Reply(attrs.asdict(entry), status)
+        return Response({'key': entry.key, 'revision': 0}, status)
+    return Response(attrs.asdict(entry), status)
 
 
-def _changes_reply(changes: StoreChanges) -> Reply:
-    return Reply(changes)
+def _changes_response(changes: StoreChanges) -> Response:
+    return Response(changes)
