--- a/packages/entry/dandelionyoke_entry/_process.py
+++ b/packages/entry/dandelionyoke_entry/_process.py
@@ -162,7 +162,7 @@
     def _flush_answers(self) -> None:
         checks = int(FLUSH_TIMEOUT_S / FLUSH_CHECK_INTERVAL_S)
         for _ in range(checks):
-            if not self._app.open_answers:
+            if not self._app.open_responses:
                 return
             sleep(FLUSH_CHECK_INTERVAL_S)
 
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -74,14 +74,14 @@
         self._is_leaving = is_leaving
         # Number of responses not fully written. The node may have finished
         # them already; stopping the process now would truncate them.
-        self.open_answers = 0
+        self.open_responses = 0
 
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
         """Serve one call."""
         request_id = self._new_request_id()
-        self.open_answers += 1
+        self.open_responses += 1
         try:
             chunks = self._route(request_id, environ, start_response)
         except CallError as error:
@@ -90,7 +90,7 @@
         return TrackedBody(chunks, self._response_closed)
 
     def _response_closed(self) -> None:
-        self.open_answers -= 1
+        self.open_responses -= 1
 
     def _new_request_id(self) -> RequestId:
         unique = secrets.token_hex(REQUEST_ID_BYTES)
