--- a/packages/entry/dandelionyoke_entry/_process.py
+++ b/packages/entry/dandelionyoke_entry/_process.py
@@ -30,12 +30,12 @@
 from dandelionyoke_entry._settings import Endpoint, EntrySettings
 from dandelionyoke_links import PeerSettings
 from dandelionyoke_wire import (
+    ActionExecutor,
     CallerApp,
     CallerSettings,
     Inbox,
     Mailboxes,
     NodeTask,
-    Performer,
 )
 
 # A connection without progress in sending or receiving is closed after this.
@@ -61,7 +61,7 @@
         self._log = JsonLog(sys.stderr, settings.instance_id)
         self._inbox = Inbox()
         self._mailboxes = Mailboxes()
-        self._performer = Performer(
+        self._action_executor = ActionExecutor(
             settings.platform_url,
             PeerSettings(settings.instance_id, settings.secret),
             self._inbox,
@@ -84,7 +84,7 @@
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(signal_number, self._on_signal)
         spawn_n(self._run_node)
-        spawn_n(self._performer.peers.serve, self._peers)
+        spawn_n(self._action_executor.peers.serve, self._peers)
         spawn_n(self._serve_callers)
         self._inbox.put(Started(time.time()))
         self._print_addresses()
@@ -124,7 +124,7 @@
         )
 
     def _run_node(self) -> None:
-        task = NodeTask(self._node, self._inbox, self._performer.perform)
+        task = NodeTask(self._node, self._inbox, self._action_executor.perform)
         try:
             task.run()
         except Exception:
--- a/packages/wire/dandelionyoke_wire/__init__.py
+++ b/packages/wire/dandelionyoke_wire/__init__.py
@@ -7,11 +7,11 @@
 from dandelionyoke_wire._mailboxes import Mailboxes as Mailboxes
 from dandelionyoke_wire._platform import PlatformClient as PlatformClient
 from dandelionyoke_wire._runtime import (
+    ActionExecutor as ActionExecutor,
     ActionSink as ActionSink,
     EventHandler as EventHandler,
     Inbox as Inbox,
     NodeTask as NodeTask,
-    Performer as Performer,
     clock_s as clock_s,
 )
 from dandelionyoke_wire._store import StoreClient as StoreClient
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -166,7 +166,7 @@
             self._perform(action)
 
 
-class Performer:
+class ActionExecutor:
     """Executor of actions; each blocking one runs in its own green thread."""
 
     def __init__(
