--- a/packages/entry/dandelionyoke_entry/_process.py
+++ b/packages/entry/dandelionyoke_entry/_process.py
@@ -35,7 +35,7 @@
     CallerSettings,
     Inbox,
     Mailboxes,
-    NodeTask,
+    NodeEventLoop,
 )
 
 # A connection without progress in sending or receiving is closed after this.
@@ -124,9 +124,11 @@
         )
 
     def _run_node(self) -> None:
-        task = NodeTask(self._node, self._inbox, self._action_executor.perform)
+        event_loop = NodeEventLoop(
+            self._node, self._inbox, self._action_executor.perform
+        )
         try:
-            task.run()
+            event_loop.run()
         except Exception:
             # After an exception the state of the node is undefined, and
             # callers must not be answered from it. The process ends, and its
--- a/packages/wire/dandelionyoke_wire/__init__.py
+++ b/packages/wire/dandelionyoke_wire/__init__.py
@@ -11,7 +11,7 @@
     ActionSink as ActionSink,
     EventHandler as EventHandler,
     Inbox as Inbox,
-    NodeTask as NodeTask,
+    NodeEventLoop as NodeEventLoop,
     clock_s as clock_s,
 )
 from dandelionyoke_wire._store import StoreClient as StoreClient
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -129,7 +129,7 @@
         return event
 
 
-class NodeTask:
+class NodeEventLoop:
     """Event loop of a node, and its only caller."""
 
     def __init__(
