--- a/packages/entry/dandelionyoke_entry/_process.py
+++ b/packages/entry/dandelionyoke_entry/_process.py
@@ -33,7 +33,7 @@
     ActionExecutor,
     CallerApp,
     CallerSettings,
-    Inbox,
+    EventQueue,
     Mailboxes,
     NodeEventLoop,
 )
@@ -59,12 +59,12 @@
         self._exit_status = green_event.Event()
         self._metrics = Metrics()
         self._log = JsonLog(sys.stderr, settings.instance_id)
-        self._inbox = Inbox()
+        self._event_queue = EventQueue()
         self._mailboxes = Mailboxes()
         self._action_executor = ActionExecutor(
             settings.platform_url,
             PeerSettings(settings.instance_id, settings.secret),
-            self._inbox,
+            self._event_queue,
             self._mailboxes,
             self,
         )
@@ -74,7 +74,7 @@
         self._app = CallerApp(
             CallerSettings(settings.instance_id, settings.max_body_bytes),
             self._mailboxes,
-            self._inbox.put,
+            self._event_queue.put,
             self._metrics.text,
             lambda: self._node.leaving,
         )
@@ -86,7 +86,7 @@
         spawn_n(self._run_node)
         spawn_n(self._action_executor.peers.serve, self._peers)
         spawn_n(self._serve_callers)
-        self._inbox.put(Started(time.time()))
+        self._event_queue.put(Started(time.time()))
         self._print_addresses()
         status: ExitStatus = self._exit_status.wait()
         self._flush_answers()
@@ -125,7 +125,7 @@
 
     def _run_node(self) -> None:
         event_loop = NodeEventLoop(
-            self._node, self._inbox, self._action_executor.perform
+            self._node, self._event_queue, self._action_executor.perform
         )
         try:
             event_loop.run()
@@ -153,9 +153,9 @@
 
     def _on_signal(self, signal_number: int, frame: object) -> None:
         if self._node.leaving:
-            self._inbox.put(ShutdownForced())
+            self._event_queue.put(ShutdownForced())
         else:
-            self._inbox.put(ShutdownRequested())
+            self._event_queue.put(ShutdownRequested())
 
     def _stop(self, status: ExitStatus) -> None:
         if not self._exit_status.ready():
--- a/packages/wire/dandelionyoke_wire/__init__.py
+++ b/packages/wire/dandelionyoke_wire/__init__.py
@@ -10,7 +10,7 @@
     ActionExecutor as ActionExecutor,
     ActionSink as ActionSink,
     EventHandler as EventHandler,
-    Inbox as Inbox,
+    EventQueue as EventQueue,
     NodeEventLoop as NodeEventLoop,
     clock_s as clock_s,
 )
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -1,7 +1,7 @@
 """WSGI application that turns calls into events.
 
 The HTTP server runs each connection in its own task. For each call the task
-puts an event into the node's inbox and waits on a mailbox of that call.
+puts an event into the node's event queue and waits on a mailbox of that call.
 """
 
 import secrets
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -110,7 +110,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Inbox:
+class EventQueue:
     """Queue of events for the node."""
 
     def __init__(self) -> None:
@@ -135,11 +135,11 @@
     def __init__(
         self,
         node: EventHandler,
-        inbox: Inbox,
+        event_queue: EventQueue,
         perform: Callable[[Action], None],
     ) -> None:
         self._node = node
-        self._inbox = inbox
+        self._event_queue = event_queue
         self._perform = perform
 
     def run(self) -> None:
@@ -150,7 +150,7 @@
             sleep(0)
 
     def _handle_next(self) -> None:
-        self._handle(self._inbox.take(self._wakeup_delay_s()))
+        self._handle(self._event_queue.take(self._wakeup_delay_s()))
         wakeup_s = self._node.next_wakeup_s()
         if wakeup_s is not None and wakeup_s <= clock_s():
             self._handle(Woken())
@@ -173,17 +173,17 @@
         self,
         platform_url: str,
         peer_settings: PeerSettings,
-        inbox: Inbox,
+        event_queue: EventQueue,
         mailboxes: Mailboxes,
         sink: ActionSink,
     ) -> None:
         pools = TargetPools()
-        self.peers = PeerHub(peer_settings, inbox.put)
-        self.platform = PlatformClient(platform_url, inbox.put)
-        self._engines = EngineClient(pools, inbox.put)
-        self._plain = PlainClient(pools, inbox.put)
+        self.peers = PeerHub(peer_settings, event_queue.put)
+        self.platform = PlatformClient(platform_url, event_queue.put)
+        self._engines = EngineClient(pools, event_queue.put)
+        self._plain = PlainClient(pools, event_queue.put)
         self._store = StoreClient(platform_url)
-        self._inbox = inbox
+        self._event_queue = event_queue
         self._mailboxes = mailboxes
         self._sink = sink
         self._green_threads = GreenPool(MAX_GREEN_THREADS)
@@ -228,7 +228,7 @@
 
     def _call_store(self, action: StoreAction) -> None:
         result = self._store.perform(action)
-        self._inbox.put(StoreAnswered(action.operation_id, result))
+        self._event_queue.put(StoreAnswered(action.operation_id, result))
 
     def _start_attempt(self, action: AttemptAction) -> None:
         task = self._green_threads.spawn(self._run_attempt, action)
