--- a/packages/entry/dandelionyoke_entry/_process.py
+++ b/packages/entry/dandelionyoke_entry/_process.py
@@ -34,8 +34,8 @@
     CallerApp,
     CallerSettings,
     EventQueue,
-    Mailboxes,
     NodeEventLoop,
+    ResponseQueues,
 )
 
 # A connection without progress in sending or receiving is closed after this.
@@ -60,12 +60,12 @@
         self._metrics = Metrics()
         self._log = JsonLog(sys.stderr, settings.instance_id)
         self._event_queue = EventQueue()
-        self._mailboxes = Mailboxes()
+        self._response_queues = ResponseQueues()
         self._action_executor = ActionExecutor(
             settings.platform_url,
             PeerSettings(settings.instance_id, settings.secret),
             self._event_queue,
-            self._mailboxes,
+            self._response_queues,
             self,
         )
         self._callers = _listen(settings.callers)
@@ -73,7 +73,7 @@
         self._node = Node(self._node_settings(), random.Random())
         self._app = CallerApp(
             CallerSettings(settings.instance_id, settings.max_body_bytes),
-            self._mailboxes,
+            self._response_queues,
             self._event_queue.put,
             self._metrics.text,
             lambda: self._node.leaving,
--- a/packages/wire/dandelionyoke_wire/__init__.py
+++ b/packages/wire/dandelionyoke_wire/__init__.py
@@ -4,8 +4,8 @@
     CallerApp as CallerApp,
     CallerSettings as CallerSettings,
 )
-from dandelionyoke_wire._mailboxes import Mailboxes as Mailboxes
 from dandelionyoke_wire._platform import PlatformClient as PlatformClient
+from dandelionyoke_wire._response_queues import ResponseQueues as ResponseQueues
 from dandelionyoke_wire._runtime import (
     ActionExecutor as ActionExecutor,
     ActionSink as ActionSink,
--- a/packages/wire/dandelionyoke_wire/_caller_output.py
+++ b/packages/wire/dandelionyoke_wire/_caller_output.py
@@ -23,12 +23,12 @@
 )
 from dandelionyoke_wire import _openai as openai
 from dandelionyoke_wire._caller_input import Environ, is_disconnected
-from dandelionyoke_wire._mailboxes import Mailboxes
 from dandelionyoke_wire._problems import (
     error_object,
     problem_body,
     problem_headers,
 )
+from dandelionyoke_wire._response_queues import ResponseQueues
 
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
 
@@ -66,20 +66,20 @@
 
 
 class PendingCall:
-    """A call in flight: its mailbox and the connection of its caller."""
+    """A call in flight: its response queue and its caller's connection."""
 
     def __init__(
         self,
-        mailboxes: Mailboxes,
+        response_queues: ResponseQueues,
         emit: Callable[[Event], None],
         environ: Environ,
         request_id: RequestId,
     ) -> None:
         self.request_id = request_id
-        self._mailboxes = mailboxes
+        self._response_queues = response_queues
         self._emit = emit
         self._environ = environ
-        self._mailbox = mailboxes.open(request_id)
+        self._response_queue = response_queues.open(request_id)
         self._is_open = True
         self._next_check_s = time.monotonic() + DISCONNECT_CHECK_INTERVAL_S
 
@@ -92,13 +92,13 @@
 
         A response that is buffered until it is complete writes nothing while
         its tokens arrive, so no write can fail. The connection is therefore
-        checked at a fixed interval, not only when the mailbox is empty.
+        checked at a fixed interval, not only when the response queue is empty.
         """
         while True:
             if self._is_check_due() and is_disconnected(self._environ):
                 return None
             try:
-                action: Action = self._mailbox.get(
+                action: Action = self._response_queue.get(
                     timeout=DISCONNECT_CHECK_INTERVAL_S
                 )
             except queue.Empty:
@@ -113,11 +113,11 @@
         return True
 
     def close(self, *, completed: bool) -> None:
-        """Close the mailbox; emit CallerGone if the response is incomplete."""
+        """Close the queue; emit CallerGone if the response is incomplete."""
         if not self._is_open:
             return
         self._is_open = False
-        self._mailboxes.close(self.request_id)
+        self._response_queues.close(self.request_id)
         if not completed:
             self._emit(CallerGone(self.request_id))
 
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -1,7 +1,8 @@
 """WSGI application that turns calls into events.
 
 The HTTP server runs each connection in its own task. For each call the task
-puts an event into the node's event queue and waits on a mailbox of that call.
+puts an event into the node's event queue and waits on the response queue of
+that call.
 """
 
 import secrets
@@ -42,7 +43,7 @@
     send_response,
     stream_response,
 )
-from dandelionyoke_wire._mailboxes import Mailboxes
+from dandelionyoke_wire._response_queues import ResponseQueues
 
 REQUEST_ID_BYTES = 9
 SERVICES_PREFIX = '/services/'
@@ -62,13 +63,13 @@
     def __init__(
         self,
         settings: CallerSettings,
-        mailboxes: Mailboxes,
+        response_queues: ResponseQueues,
         emit: Callable[[Event], None],
         metrics_text: Callable[[], bytes],
         is_leaving: Callable[[], bool],
     ) -> None:
         self._settings = settings
-        self._mailboxes = mailboxes
+        self._response_queues = response_queues
         self._emit = emit
         self._metrics_text = metrics_text
         self._is_leaving = is_leaving
@@ -182,7 +183,9 @@
             request.max_output_tokens,
             deadline_in_s(environ),
         )
-        call = PendingCall(self._mailboxes, self._emit, environ, request_id)
+        call = PendingCall(
+            self._response_queues, self._emit, environ, request_id
+        )
         call.submit(event)
         if request.stream:
             return stream_response(call, request, start_response)
@@ -194,7 +197,9 @@
         environ: Environ,
     ) -> Response:
         request_id = event.request_id
-        call = PendingCall(self._mailboxes, self._emit, environ, request_id)
+        call = PendingCall(
+            self._response_queues, self._emit, environ, request_id
+        )
         call.submit(event)
         action = call.next_action()
         call.close(completed=action is not None)
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -47,10 +47,10 @@
 from dandelionyoke_links import PeerHub, PeerSettings
 from dandelionyoke_wire._engine import EngineClient
 from dandelionyoke_wire._guarded import MaySend
-from dandelionyoke_wire._mailboxes import Mailboxes
 from dandelionyoke_wire._plain import PlainClient
 from dandelionyoke_wire._platform import PlatformClient
 from dandelionyoke_wire._pools import TargetPools
+from dandelionyoke_wire._response_queues import ResponseQueues
 from dandelionyoke_wire._store import StoreClient
 
 # Maximum concurrent green threads; further actions wait for a free one.
@@ -174,7 +174,7 @@
         platform_url: str,
         peer_settings: PeerSettings,
         event_queue: EventQueue,
-        mailboxes: Mailboxes,
+        response_queues: ResponseQueues,
         sink: ActionSink,
     ) -> None:
         pools = TargetPools()
@@ -184,7 +184,7 @@
         self._plain = PlainClient(pools, event_queue.put)
         self._store = StoreClient(platform_url)
         self._event_queue = event_queue
-        self._mailboxes = mailboxes
+        self._response_queues = response_queues
         self._sink = sink
         self._green_threads = GreenPool(MAX_GREEN_THREADS)
         self._attempts: dict[AttemptId, greenthread.GreenThread] = {}
@@ -218,7 +218,7 @@
         }
 
     def _deliver(self, action: CallerAction) -> None:
-        self._mailboxes.deliver(action.request_id, action)
+        self._response_queues.deliver(action.request_id, action)
 
     def _send_peer(self, action: SendPeer) -> None:
         self.peers.send(action.peer_id, action.message)
