--- a/packages/wire/dandelionyoke_wire/__init__.py
+++ b/packages/wire/dandelionyoke_wire/__init__.py
@@ -16,7 +16,7 @@
 )
 from dandelionyoke_wire._store import StoreClient as StoreClient
 from dandelionyoke_wire._transport import (
-    Reply as Reply,
+    JsonResponse as JsonResponse,
     TransportError as TransportError,
     call_json as call_json,
     new_pool as new_pool,
--- a/packages/wire/dandelionyoke_wire/_engine.py
+++ b/packages/wire/dandelionyoke_wire/_engine.py
@@ -36,7 +36,7 @@
 from dandelionyoke_wire._guarded import MaySend, call_guarded
 from dandelionyoke_wire._pools import TargetPools
 from dandelionyoke_wire._transport import (
-    Reply,
+    JsonResponse,
     TransportError,
     call_json,
     may_have_been_sent,
@@ -110,10 +110,10 @@
     def poll_load(self, action: PollLoad) -> None:
         """Poll the load report of an engine."""
         try:
-            reply = self._call(
+            response = self._call(
                 'GET', action.address, '/load', None, POLL_TIMEOUT_S
             )
-            report = structure(dict(reply.body), LoadReport)
+            report = structure(dict(response.body), LoadReport)
         except TransportError as error:
             self._pools.replace(action.address)
             self._emit(TargetUnreachable(action.target_id, error.cause))
@@ -131,14 +131,14 @@
         """
         path = f'/cache-events?after={action.after_sequence}'
         try:
-            reply = self._call(
+            response = self._call(
                 'GET', action.address, path, None, POLL_TIMEOUT_S
             )
             reported = CacheEventsReported(
                 action.target_id,
-                int(reply.body['first']),
-                int(reply.body['next']),
-                tuple(map(_parse_cache_event, reply.body['events'])),
+                int(response.body['first']),
+                int(response.body['next']),
+                tuple(map(_parse_cache_event, response.body['events'])),
             )
         except _CALL_ERRORS:
             return
@@ -154,7 +154,7 @@
             'argument': order.argument,
         }
         try:
-            reply = call_guarded(
+            response = call_guarded(
                 'POST',
                 f'{action.address}/orders',
                 body,
@@ -164,32 +164,32 @@
         except TransportError as error:
             self._emit_order_unknown(action, order.order_id, error.cause)
         else:
-            self._emit_order_state(action, order.order_id, reply)
+            self._emit_order_state(action, order.order_id, response)
 
     def read_order(self, action: ReadEngineOrder) -> None:
         """Read the state of an order."""
         path = f'/orders/{action.order_id}'
         try:
-            reply = self._call(
+            response = self._call(
                 'GET', action.address, path, None, ORDER_TIMEOUT_S
             )
         except TransportError as error:
             self._emit_order_unknown(action, action.order_id, error.cause)
         else:
-            self._emit_order_state(action, action.order_id, reply)
+            self._emit_order_state(action, action.order_id, response)
 
     def _emit_order_state(
         self,
         action: SendEngineOrder | ReadEngineOrder,
         order_id: OrderId,
-        reply: Reply,
+        response: JsonResponse,
     ) -> None:
         try:
-            state = OrderState(reply.body['state'])
+            state = OrderState(response.body['state'])
         except _DECODE_ERRORS as error:
             self._emit_order_unknown(action, order_id, repr(error))
             return
-        cause = str(reply.body.get('cause', ''))
+        cause = str(response.body.get('cause', ''))
         self._emit(
             EngineOrderAnswered(action.target_id, order_id, state, cause)
         )
@@ -213,7 +213,7 @@
         path: str,
         body: Mapping[str, Any] | None,
         read_timeout_s: float,
-    ) -> Reply:
+    ) -> JsonResponse:
         return call_json(
             self._pools.get(address),
             method,
--- a/packages/wire/dandelionyoke_wire/_guarded.py
+++ b/packages/wire/dandelionyoke_wire/_guarded.py
@@ -18,7 +18,7 @@
 from dandelionyoke_wire._transport import (
     CONNECT_TIMEOUT_S,
     JSON_TYPE,
-    Reply,
+    JsonResponse,
     TransportError,
     decode_json,
     may_have_been_sent,
@@ -67,7 +67,7 @@
     body: Mapping[str, Any],
     may_send: MaySend,
     read_timeout_s: float,
-) -> Reply:
+) -> JsonResponse:
     """Make one call on a new connection while `may_send` returns True.
 
     Raises:
@@ -80,7 +80,7 @@
         may_send,
     )
     try:
-        reply = _send_request(
+        response = _send_request(
             connection, method, parts.path, body, read_timeout_s
         )
     except _CONNECTION_ERRORS as error:
@@ -88,7 +88,7 @@
         raise TransportError(str(error), sent=sent) from error
     finally:
         connection.close()
-    return reply
+    return response
 
 
 def _send_request(
@@ -97,7 +97,7 @@
     path: str,
     body: Mapping[str, Any],
     read_timeout_s: float,
-) -> Reply:
+) -> JsonResponse:
     # Connect first: the lease may expire while connecting, and `send` then
     # detects this before any byte of the call is sent.
     connection.connect()
@@ -111,4 +111,4 @@
         headers={'Content-Type': JSON_TYPE},
     )
     response = connection.getresponse()
-    return Reply(response.status, decode_json(response.data))
+    return JsonResponse(response.status, decode_json(response.data))
--- a/packages/wire/dandelionyoke_wire/_platform.py
+++ b/packages/wire/dandelionyoke_wire/_platform.py
@@ -23,7 +23,7 @@
 )
 from dandelionyoke_wire._guarded import MaySend, call_guarded
 from dandelionyoke_wire._transport import (
-    Reply,
+    JsonResponse,
     TransportError,
     call_json,
     new_pool,
@@ -60,10 +60,10 @@
         """Send an order; `may_send` is checked before each write."""
         state, cause = OrderState.UNKNOWN, ''
         try:
-            reply = self._call_guarded(
+            response = self._call_guarded(
                 '/targets/orders', action.order, may_send
             )
-            state = OrderState(reply.body['state'])
+            state = OrderState(response.body['state'])
         except _CALL_ERRORS as error:
             cause = str(error)
         self._emit(TargetOrderAnswered(action.order.order_id, state, cause))
@@ -73,11 +73,11 @@
         window = action.window
         accepted: bool | None = None
         try:
-            reply = self._call_guarded('/usage/windows', window, may_send)
+            response = self._call_guarded('/usage/windows', window, may_send)
         except TransportError:
             accepted = None
         else:
-            accepted = reply.status == HTTPStatus.OK
+            accepted = response.status == HTTPStatus.OK
         self._emit(UsageAnswered(window.window_id, accepted))
 
     def _call_guarded(
@@ -85,7 +85,7 @@
         path: str,
         record: TargetOrder | UsageWindow,
         may_send: MaySend,
-    ) -> Reply:
+    ) -> JsonResponse:
         return call_guarded(
             'POST',
             f'{self._base_url}{path}',
@@ -98,15 +98,15 @@
         self, path: str, parse: Callable[[Mapping[str, Any]], Event]
     ) -> None:
         try:
-            reply = self._call('GET', path, None)
-            event = parse(reply.body)
+            response = self._call('GET', path, None)
+            event = parse(response.body)
         except _CALL_ERRORS as error:
             event = ListingFailed(f'{path}: {error}')
         self._emit(event)
 
     def _call(
         self, method: str, path: str, body: Mapping[str, Any] | None
-    ) -> Reply:
+    ) -> JsonResponse:
         return call_json(
             self._pool,
             method,
--- a/packages/wire/dandelionyoke_wire/_store.py
+++ b/packages/wire/dandelionyoke_wire/_store.py
@@ -29,7 +29,7 @@
     StoreWritten,
 )
 from dandelionyoke_wire._transport import (
-    Reply,
+    JsonResponse,
     TransportError,
     call_json,
     new_pool,
@@ -83,10 +83,10 @@
         raise TypeError(f'{type(action).__name__} is not a store action')
 
     def _get(self, action: StoreGet) -> StoreResult:
-        reply = self._call('GET', _value_path(action.key))
-        if reply.status == HTTPStatus.NOT_FOUND:
+        response = self._call('GET', _value_path(action.key))
+        if response.status == HTTPStatus.NOT_FOUND:
             return StoreItem(action.key, 0, None)
-        return _failure(reply) or _parse_item(reply.body)
+        return _failure(response) or _parse_item(response.body)
 
     def _put(self, action: StorePut) -> StoreResult:
         body: dict[str, Any] = {
@@ -95,8 +95,8 @@
         }
         if action.lease_id is not None:
             body['lease_id'] = action.lease_id
-        reply = self._call('PUT', _value_path(action.key), body)
-        return _parse_write(reply)
+        response = self._call('PUT', _value_path(action.key), body)
+        return _parse_write(response)
 
     def _delete(self, action: StoreDelete) -> StoreResult:
         query = urlencode({'expected_revision': action.expected_revision})
@@ -106,7 +106,7 @@
     def _list_or_watch(self, action: StoreList | StoreWatch) -> StoreResult:
         if isinstance(action, StoreList):
             query = urlencode({'prefix': action.prefix})
-            reply = self._call('GET', f'/store/list?{query}')
+            response = self._call('GET', f'/store/list?{query}')
         else:
             query = urlencode(
                 {
@@ -115,30 +115,32 @@
                     'wait_s': action.wait_s,
                 }
             )
-            reply = self._call(
+            response = self._call(
                 'GET',
                 f'/store/watch?{query}',
                 read_timeout_s=action.wait_s + WATCH_MARGIN_S,
             )
-        return _failure(reply) or _parse_listing(reply.body)
+        return _failure(response) or _parse_listing(response.body)
 
     def _lease(
         self, action: LeaseGrant | LeaseRenew | LeaseRelease
     ) -> StoreResult:
         if isinstance(action, LeaseGrant):
-            reply = self._call('POST', '/store/leases', {'ttl_s': action.ttl_s})
-            return _failure(reply) or LeaseGranted(
-                LeaseId(str(reply.body['lease_id'])), action.ttl_s
+            response = self._call(
+                'POST', '/store/leases', {'ttl_s': action.ttl_s}
+            )
+            return _failure(response) or LeaseGranted(
+                LeaseId(str(response.body['lease_id'])), action.ttl_s
             )
         path = f'/store/leases/{quote(action.lease_id, safe="")}'
         if isinstance(action, LeaseRelease):
-            reply = self._call('DELETE', path)
-            return _failure(reply) or LeaseLapsed(action.lease_id)
-        reply = self._call('POST', f'{path}/renew', _EMPTY_BODY)
-        if reply.status == HTTPStatus.NOT_FOUND:
+            response = self._call('DELETE', path)
+            return _failure(response) or LeaseLapsed(action.lease_id)
+        response = self._call('POST', f'{path}/renew', _EMPTY_BODY)
+        if response.status == HTTPStatus.NOT_FOUND:
             return LeaseLapsed(action.lease_id)
-        return _failure(reply) or LeaseGranted(
-            action.lease_id, float(reply.body['ttl_s'])
+        return _failure(response) or LeaseGranted(
+            action.lease_id, float(response.body['ttl_s'])
         )
 
     def _call(
@@ -147,7 +149,7 @@
         path: str,
         body: Mapping[str, Any] | None = None,
         read_timeout_s: float | None = None,
-    ) -> Reply:
+    ) -> JsonResponse:
         return call_json(
             self._pool,
             method,
@@ -161,22 +163,22 @@
     return f'/store/value/{quote(key)}'
 
 
-def _failure(reply: Reply) -> StoreFailed | None:
-    if reply.status == HTTPStatus.OK:
+def _failure(response: JsonResponse) -> StoreFailed | None:
+    if response.status == HTTPStatus.OK:
         return None
     # The store returns 503 and 429 before it processes a write.
     refused = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.TOO_MANY_REQUESTS)
     return StoreFailed(
-        f'the store answered {reply.status}',
-        may_have_happened=reply.status not in refused,
+        f'the store answered {response.status}',
+        may_have_happened=response.status not in refused,
     )
 
 
-def _parse_write(reply: Reply) -> StoreResult:
-    if reply.status == HTTPStatus.CONFLICT:
-        return StoreConflict(_parse_item(reply.body))
-    return _failure(reply) or StoreWritten(
-        str(reply.body['key']), int(reply.body['revision'])
+def _parse_write(response: JsonResponse) -> StoreResult:
+    if response.status == HTTPStatus.CONFLICT:
+        return StoreConflict(_parse_item(response.body))
+    return _failure(response) or StoreWritten(
+        str(response.body['key']), int(response.body['revision'])
     )
 
 
--- a/packages/wire/dandelionyoke_wire/_transport.py
+++ b/packages/wire/dandelionyoke_wire/_transport.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Reply:
+class JsonResponse:
     """Status and decoded JSON body; an empty body is decoded as {}."""
 
     status: int
@@ -63,7 +63,7 @@
     body: Mapping[str, Any] | None = None,
     *,
     read_timeout_s: float,
-) -> Reply:
+) -> JsonResponse:
     """Make one call and decode the response.
 
     Raises:
@@ -82,7 +82,7 @@
         raise TransportError(
             str(error), sent=may_have_been_sent(error)
         ) from error
-    return Reply(response.status, decode_json(response.data))
+    return JsonResponse(response.status, decode_json(response.data))
 
 
 def decode_json(raw: bytes) -> Mapping[str, Any]:
