--- a/packages/standins/dandelionyoke_standins/__init__.py
+++ b/packages/standins/dandelionyoke_standins/__init__.py
@@ -44,6 +44,10 @@
     TooLargeError as TooLargeError,
 )
 from dandelionyoke_standins._meter import CallMeter as CallMeter
+from dandelionyoke_standins._node_simulation import (
+    CallRecord as CallRecord,
+    NodeSimulation as NodeSimulation,
+)
 from dandelionyoke_standins._output import (
     answer_plan as answer_plan,
     answer_text as answer_text,
@@ -73,10 +77,6 @@
     TargetOrderAnswer as TargetOrderAnswer,
     TargetSettings as TargetSettings,
 )
-from dandelionyoke_standins._world import (
-    CallRecord as CallRecord,
-    World as World,
-)
 from dandelionyoke_standins._world_platform import (
     WorldSettings as WorldSettings,
 )
--- a/packages/standins/dandelionyoke_standins/_node_measure.py
+++ b/packages/standins/dandelionyoke_standins/_node_measure.py
@@ -36,7 +36,7 @@
     message_to_mapping,
 )
 from dandelionyoke_standins._engine import EngineSettings
-from dandelionyoke_standins._world import NodeHandler, World
+from dandelionyoke_standins._node_simulation import NodeHandler, NodeSimulation
 from dandelionyoke_standins._world_platform import WorldSettings
 from dandelionyoke_standins._world_setup import (
     DeploymentPlan,
@@ -137,18 +137,18 @@
 
 def _measure(node_count: int) -> None:
     meter = CostMeter()
-    world = World(SEED, WorldSettings(engine_step_s=MEASURE_S))
+    simulation = NodeSimulation(SEED, WorldSettings(engine_step_s=MEASURE_S))
     group = EngineGroup(
         'assistant',
         int(node_count * ENGINES_PER_NODE),
         EngineSettings(models=('crate-lm',)),
     )
     plan = DeploymentPlan(DOMAINS, node_count, (group,))
-    deploy(world, plan, lambda node: MeteredNode(node, meter))
-    commit(world, _configuration())
-    world.run(WARM_UP_S)
+    deploy(simulation, plan, lambda node: MeteredNode(node, meter))
+    commit(simulation, _configuration())
+    simulation.run(WARM_UP_S)
     meter.reset()
-    world.run(WARM_UP_S + MEASURE_S)
+    simulation.run(WARM_UP_S + MEASURE_S)
     _report(node_count, group.count, meter)
 
 
--- a/packages/standins/dandelionyoke_standins/_world.py
+++ b/packages/standins/dandelionyoke_standins/_node_simulation.py
@@ -100,7 +100,7 @@
     callback: Callable[[], None]
 
 
-class World:
+class NodeSimulation:
     """Nodes, platform and targets with a common virtual clock.
 
     Actions of the types in `keep_actions` are recorded in `actions`.
--- a/packages/standins/dandelionyoke_standins/_world_platform.py
+++ b/packages/standins/dandelionyoke_standins/_world_platform.py
@@ -86,26 +86,28 @@
 class PlatformAdapter:
     """Adapter that performs the nodes' calls on the platform model."""
 
-    def __init__(self, world: Environment, model: PlatformModel) -> None:
-        self._world = world
+    def __init__(self, simulation: Environment, model: PlatformModel) -> None:
+        self._simulation = simulation
         self._model = model
         self._watches: list[_Watch] = []
 
     def submit(self, instance_id: InstanceId, action: Action) -> None:
         """Schedule a listing, a target order or a usage report."""
-        self._world.call_later(
-            self._world.add_jitter(self._world.settings.store_delay_s),
+        self._simulation.call_later(
+            self._simulation.add_jitter(
+                self._simulation.settings.store_delay_s
+            ),
             lambda: self._answer(instance_id, action),
         )
 
     def _answer(self, instance_id: InstanceId, action: Action) -> None:
         event = self._perform(instance_id, action)
-        self._world.send_later(
-            instance_id, self._world.settings.store_delay_s, event
+        self._simulation.send_later(
+            instance_id, self._simulation.settings.store_delay_s, event
         )
 
     def _perform(self, instance_id: InstanceId, action: Action) -> Event:
-        is_available = self._world.reaches(instance_id, PLATFORM)
+        is_available = self._simulation.reaches(instance_id, PLATFORM)
         is_available = is_available and not self._model.faults.outage
         match action:
             case SendTargetOrder():
@@ -115,19 +117,19 @@
         if not is_available:
             return ListingFailed('the platform is unavailable')
         if isinstance(action, ListTargets):
-            targets = self._model.targets(self._world.now_s)
+            targets = self._model.targets(self._simulation.now_s)
             return TargetsListed(_convert(targets, Target))
-        instances = self._model.instances(self._world.now_s)
+        instances = self._model.instances(self._simulation.now_s)
         return InstancesListed(_convert(instances, Instance))
 
     def _order_targets(
         self, action: SendTargetOrder, *, is_available: bool
     ) -> Event:
         order = action.order
-        if not is_available or self._world.now_s >= action.not_after_s:
+        if not is_available or self._simulation.now_s >= action.not_after_s:
             return TargetOrderAnswered(order.order_id, OrderState.UNKNOWN)
         model_order = cattrs.structure(cattrs.unstructure(order), TargetOrder)
-        answer = self._model.order_targets(model_order, self._world.now_s)
+        answer = self._model.order_targets(model_order, self._simulation.now_s)
         return TargetOrderAnswered(
             order.order_id, OrderState(answer.state), answer.cause
         )
@@ -136,13 +138,13 @@
         self, action: SubmitUsage, *, is_available: bool
     ) -> Event:
         window = action.window
-        if not is_available or self._world.now_s >= action.not_after_s:
+        if not is_available or self._simulation.now_s >= action.not_after_s:
             return UsageAnswered(window.window_id, None)
         model_window = cattrs.structure(
             cattrs.unstructure(window), platform_models.UsageWindow
         )
         try:
-            self._model.report_usage(model_window, self._world.now_s)
+            self._model.report_usage(model_window, self._simulation.now_s)
         except StandinError:
             return UsageAnswered(window.window_id, None)
         return UsageAnswered(window.window_id, accepted=True)
@@ -151,26 +153,28 @@
         self, instance_id: InstanceId, action: Action
     ) -> None:
         """Schedule a store call."""
-        delay_s = self._world.add_jitter(self._world.settings.store_delay_s)
+        delay_s = self._simulation.add_jitter(
+            self._simulation.settings.store_delay_s
+        )
         if isinstance(action, StoreWatch):
-            end_s = self._world.now_s + action.wait_s
-            self._world.call_later(
+            end_s = self._simulation.now_s + action.wait_s
+            self._simulation.call_later(
                 delay_s,
                 lambda: self._register_watch(instance_id, action, end_s),
             )
         else:
-            self._world.call_later(
+            self._simulation.call_later(
                 delay_s, lambda: self._perform_store_call(instance_id, action)
             )
 
     def _perform_store_call(
         self, instance_id: InstanceId, action: Action
     ) -> None:
-        if not self._world.reaches(instance_id, PLATFORM):
+        if not self._simulation.reaches(instance_id, PLATFORM):
             self._fail_store_call(instance_id, action)
             return
-        self._model.meter.count(type(action).__name__, self._world.now_s)
-        result = perform_store(self._model, action, self._world.now_s)
+        self._model.meter.count(type(action).__name__, self._simulation.now_s)
+        result = perform_store(self._model, action, self._simulation.now_s)
         self._deliver_store_result(instance_id, action, result)
 
     def _fail_store_call(self, instance_id: InstanceId, action: Action) -> None:
@@ -183,22 +187,23 @@
         self, instance_id: InstanceId, action: Action, result: StoreResult
     ) -> None:
         event = StoreAnswered(_operation_id(action), result)
-        delay_s = self._world.settings.store_delay_s
+        delay_s = self._simulation.settings.store_delay_s
         delay_s += self._model.faults.delay_s
-        self._world.send_later(instance_id, delay_s, event)
+        self._simulation.send_later(instance_id, delay_s, event)
         self.answer_watches()
 
     def _register_watch(
         self, instance_id: InstanceId, action: StoreWatch, end_s: float
     ) -> None:
-        if not self._world.reaches(instance_id, PLATFORM):
+        if not self._simulation.reaches(instance_id, PLATFORM):
             self._fail_store_call(instance_id, action)
             return
-        self._model.meter.count('StoreWatch', self._world.now_s)
+        self._model.meter.count('StoreWatch', self._simulation.now_s)
         watch = _Watch(instance_id, action)
         self._watches.append(watch)
-        self._world.call_later(
-            max(0, end_s - self._world.now_s), lambda: self._end_watch(watch)
+        self._simulation.call_later(
+            max(0, end_s - self._simulation.now_s),
+            lambda: self._end_watch(watch),
         )
         self.answer_watches()
 
@@ -212,15 +217,15 @@
         if watch not in self._watches:
             return
         self._watches.remove(watch)
-        if not self._world.reaches(watch.instance_id, PLATFORM):
+        if not self._simulation.reaches(watch.instance_id, PLATFORM):
             self._fail_store_call(watch.instance_id, watch.action)
             return
         event = StoreAnswered(
             watch.action.operation_id,
             listing_from_changes(self._changes(watch)),
         )
-        delay_s = self._world.settings.store_delay_s
-        self._world.send_later(watch.instance_id, delay_s, event)
+        delay_s = self._simulation.settings.store_delay_s
+        self._simulation.send_later(watch.instance_id, delay_s, event)
 
     def _changes(self, watch: _Watch) -> StoreChanges:
         return self._model.store.changes_after(
--- a/packages/standins/dandelionyoke_standins/_world_setup.py
+++ b/packages/standins/dandelionyoke_standins/_world_setup.py
@@ -20,9 +20,9 @@
     StoreAnswered,
 )
 from dandelionyoke_standins._engine import EngineModel, EngineSettings
+from dandelionyoke_standins._node_simulation import NodeHandler, NodeSimulation
 from dandelionyoke_standins._plain import PlainModel
 from dandelionyoke_standins._targets import Target
-from dandelionyoke_standins._world import NodeHandler, World
 from dandelionyoke_standins._world_store import perform_store
 from dandelionyoke_standins._world_targets import VirtualEngine
 
@@ -52,7 +52,7 @@
 
 
 def deploy(
-    world: World,
+    simulation: NodeSimulation,
     plan: DeploymentPlan,
     wrap_node: Callable[[NodeHandler], NodeHandler] | None = None,
 ) -> tuple[InstanceId, ...]:
@@ -62,17 +62,17 @@
     """
     targets: list[Target] = []
     for group in plan.engines:
-        targets.extend(_add_engines(world, group, plan.domains))
+        targets.extend(_add_engines(simulation, group, plan.domains))
     for service in plan.plain_services:
         address = f'plain://{service}'
-        world.plain_services[address] = PlainModel()
+        simulation.plain_services[address] = PlainModel()
         targets.append(
             Target(f'{service}-0', service, plan.domains[0], address, 'plain')
         )
-    world.platform.replace_targets(targets, [])
+    simulation.platform.replace_targets(targets, [])
     return tuple(
         add_entry(
-            world,
+            simulation,
             number,
             plan.domains[number % len(plan.domains)],
             wrap_node=wrap_node,
@@ -82,7 +82,7 @@
 
 
 def add_entry(
-    world: World,
+    simulation: NodeSimulation,
     number: int,
     domain: str,
     incarnation: int = FIRST_INCARNATION,
@@ -96,16 +96,20 @@
         f'http://{instance_id}',
         f'ws://{instance_id}',
     )
-    seed = world.random.getrandbits(64)
+    seed = simulation.random.getrandbits(64)
     settings = NodeSettings(instance, incarnation)
     node = Node(settings, random.Random(seed))
-    world.add_node(instance, node if wrap_node is None else wrap_node(node))
-    world.send(instance_id, Started(wall_s=0))
+    simulation.add_node(
+        instance, node if wrap_node is None else wrap_node(node)
+    )
+    simulation.send(instance_id, Started(wall_s=0))
     return instance_id
 
 
 def commit(
-    world: World, operations: Sequence[Operation], name: str = 'change'
+    simulation: NodeSimulation,
+    operations: Sequence[Operation],
+    name: str = 'change',
 ) -> int:
     """Commit a change without delay; return its revision.
 
@@ -117,11 +121,11 @@
     pending = list(committer.begin())
     while pending:
         action = pending.pop(0)
-        result = perform_store(world.platform, action, world.now_s)
+        result = perform_store(simulation.platform, action, simulation.now_s)
         operation_id = action.operation_id  # type: ignore[attr-defined]
         event = StoreAnswered(operation_id, result)
-        pending.extend(committer.handle(event, world.now_s))
-    world.answer_watches()
+        pending.extend(committer.handle(event, simulation.now_s))
+    simulation.answer_watches()
     outcome = committer.outcome
     if not isinstance(outcome, Committed):
         raise ValueError(f'{name} was not committed: {outcome!r}')
@@ -129,7 +133,7 @@
 
 
 def _add_engines(
-    world: World, group: EngineGroup, domains: Sequence[str]
+    simulation: NodeSimulation, group: EngineGroup, domains: Sequence[str]
 ) -> list[Target]:
     targets = []
     for number in range(group.count):
@@ -137,9 +141,9 @@
         domain = domains[number % len(domains)]
         address = f'engine://{target_id}'
         settings = attrs.evolve(group.settings, engine_id=target_id)
-        engine_random = random.Random(world.random.getrandbits(64))
-        model = EngineModel(settings, engine_random, world.now_s)
-        world.add_engine(address, VirtualEngine(model), domain)
+        engine_random = random.Random(simulation.random.getrandbits(64))
+        model = EngineModel(settings, engine_random, simulation.now_s)
+        simulation.add_engine(address, VirtualEngine(model), domain)
         targets.append(
             Target(
                 target_id,
--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -42,8 +42,8 @@
     DeploymentPlan,
     EngineGroup,
     EngineSettings,
+    NodeSimulation,
     PlatformModel,
-    World,
     commit,
     deploy,
 )
@@ -247,34 +247,36 @@
 
 def small_fleet(
     seed: int, entries: int, engines: int
-) -> tuple[World, list[InstanceId]]:
+) -> tuple[NodeSimulation, list[InstanceId]]:
     """Start whole nodes in one domain and run until they are connected."""
-    world = World(seed)
+    simulation = NodeSimulation(seed)
     settings = EngineSettings(models=('crate-lm',))
     group = EngineGroup('assistant', engines, settings)
     plan = DeploymentPlan((DOMAIN,), entries=entries, engines=(group,))
-    names = deploy(world, plan)
+    names = deploy(simulation, plan)
     operations = (
         Put(Organisation('depot')),
         Put(ApiKey(hash_key(KEY), 'depot')),
         Put(Service('assistant')),
         Put(Model('crate-lm', 'assistant')),
     )
-    commit(world, operations)
-    world.run(40)
-    return world, list(names)
+    commit(simulation, operations)
+    simulation.run(40)
+    return simulation, list(names)
 
 
-def call_all(world: World, names: Iterable[InstanceId], round_: int) -> None:
+def call_all(
+    simulation: NodeSimulation, names: Iterable[InstanceId], round_: int
+) -> None:
     """Send one call for 20 tokens to each entry."""
     for name in names:
         prompt = f'{name} {round_}: answer 20 tokens'
         request_id = RequestId(f'{name}-{round_}')
         called = ModelCalled(request_id, KEY, 'crate-lm', prompt, 64)
-        world.send(name, called)
+        simulation.send(name, called)
 
 
-def holder_of(world: World, duty: str) -> InstanceId:
+def holder_of(simulation: NodeSimulation, duty: str) -> InstanceId:
     """Return the holder of a duty according to the store."""
-    item = world.platform.store.read(f'duty/{DOMAIN}/{duty}')
+    item = simulation.platform.store.read(f'duty/{DOMAIN}/{duty}')
     return record_from_json(item.value or '', DutyRecord).instance_id
--- a/tests/core/test_authority.py
+++ b/tests/core/test_authority.py
@@ -31,7 +31,7 @@
     StoreWritten,
     Woken,
 )
-from dandelionyoke_standins import DeploymentPlan, World, deploy
+from dandelionyoke_standins import DeploymentPlan, NodeSimulation, deploy
 from tests.core.duty_bench import (
     DOMAIN,
     NAMES,
@@ -201,15 +201,20 @@
         """
         call_counts = []
         for entries in (4, 16):
-            world = World(5)
-            world.keep_actions = (LeaseRenew, LeaseGrant, StoreGet, StorePut)
-            deploy(world, DeploymentPlan(('ubungo',), entries))
+            simulation = NodeSimulation(5)
+            simulation.keep_actions = (
+                LeaseRenew,
+                LeaseGrant,
+                StoreGet,
+                StorePut,
+            )
+            deploy(simulation, DeploymentPlan(('ubungo',), entries))
             # Until it has read the platform's list an entry knows only itself
             # and is always a candidate.
-            world.run(40)
-            world.actions.clear()
-            world.run(60)
-            call_counts.append(_count_duty_calls(world))
+            simulation.run(40)
+            simulation.actions.clear()
+            simulation.run(60)
+            call_counts.append(_count_duty_calls(simulation))
         self.assertGreater(call_counts[0], 10)
         self.assertLess(call_counts[1], call_counts[0] * 1.5)
 
@@ -219,10 +224,10 @@
     return sum(isinstance(action, action_type) for action in seen)
 
 
-def _count_duty_calls(world: World) -> int:
+def _count_duty_calls(simulation: NodeSimulation) -> int:
     return sum(
         action.operation_id.startswith('duty.')
-        for _, _, action in world.actions
+        for _, _, action in simulation.actions
     )
 
 
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -24,7 +24,7 @@
     DeploymentPlan,
     EngineGroup,
     EngineSettings,
-    World,
+    NodeSimulation,
     answer_text,
     commit,
     deploy,
@@ -41,23 +41,23 @@
 ENGINES = EngineGroup('assistant', 6, EngineSettings(models=('crate-lm',)))
 
 
-def run_nodes(seed: int, entries: int) -> World:
+def run_nodes(seed: int, entries: int) -> NodeSimulation:
     """Simulate a fleet in which each entry receives one call of each kind."""
-    world = World(seed)
+    simulation = NodeSimulation(seed)
     plan = DeploymentPlan(
         entries=entries, engines=(ENGINES,), plain_services=('ledger',)
     )
-    names = deploy(world, plan)
-    commit(world, OPERATIONS)
-    world.run(8)
+    names = deploy(simulation, plan)
+    commit(simulation, OPERATIONS)
+    simulation.run(8)
     for name in names:
-        world.send(
+        simulation.send(
             name,
             ModelCalled(
                 RequestId(f'{name}-model'), KEY, 'crate-lm', prompt(name), 64
             ),
         )
-        world.send(
+        simulation.send(
             name,
             ServiceCalled(
                 RequestId(f'{name}-plain'),
@@ -68,12 +68,12 @@
                 idempotency_key=f'empties of {name}',
             ),
         )
-    world.run(20)
-    return world
+    simulation.run(20)
+    return simulation
 
 
 def append_node(nodes: list[Node], node: Node) -> Node:
-    """Append a node that is added to a world to a list, and return it."""
+    """Append a node that is added to a simulation to a list, and return it."""
     nodes.append(node)
     return node
 
@@ -85,15 +85,15 @@
 
 class NodeTest(testtools.TestCase):
     def test_fifty_nodes_answer_and_replay_with_the_same_seed(self) -> None:
-        worlds = [run_nodes(seed=11, entries=50) for _ in range(2)]
-        for request_id, call in worlds[0].calls.items():
+        simulations = [run_nodes(seed=11, entries=50) for _ in range(2)]
+        for request_id, call in simulations[0].calls.items():
             if request_id.endswith('-plain'):
                 assert call.answered is not None, call
                 self.assertEqual(b'{"runs": 1}', call.answered.body)
             else:
                 expected = answer_text(prompt(request_id[:-6]), 64)
                 self.assertEqual(expected, ''.join(call.tokens))
-        self.assertEqual(worlds[0].trace, worlds[1].trace)
+        self.assertEqual(simulations[0].trace, simulations[1].trace)
 
     def test_entries_started_together_discover_each_other(self) -> None:
         """All entries start together and are not yet in the platform's list.
@@ -101,14 +101,14 @@
         Without early re-reads of the list each would stay isolated for half
         a minute, and the withdrawal of a key would not spread.
         """
-        world = World(seed=3)
+        simulation = NodeSimulation(seed=3)
         nodes: list[Node] = []
         deploy(
-            world,
+            simulation,
             DeploymentPlan(entries=12),
             lambda node: append_node(nodes, node),
         )
-        world.run(6)
+        simulation.run(6)
         self.assertEqual({12}, {len(node.membership.live) for node in nodes})
 
     def test_idle_targets_are_drained_and_removed(self) -> None:
@@ -118,25 +118,29 @@
         fencing token of its own domain, but keep enough of them to answer
         the next call.
         """
-        world = World(seed=5)
-        world.keep_actions = (SendEngineOrder, SendTargetOrder)
-        names = deploy(world, DeploymentPlan(entries=6, engines=(ENGINES,)))
-        commit(world, OPERATIONS)
-        world.run(160)
-        orders = [received.order for received in world.platform.record.orders]
+        simulation = NodeSimulation(seed=5)
+        simulation.keep_actions = (SendEngineOrder, SendTargetOrder)
+        names = deploy(
+            simulation, DeploymentPlan(entries=6, engines=(ENGINES,))
+        )
+        commit(simulation, OPERATIONS)
+        simulation.run(160)
+        orders = [
+            received.order for received in simulation.platform.record.orders
+        ]
         self.assertEqual(3, len({order.domain for order in orders}))
         for order in orders:
             (removed,) = order.target_ids
-            engine = world.engines[f'engine://{removed}'].model
+            engine = simulation.engines[f'engine://{removed}'].model
             kinds = [entry.order.kind for entry in engine.record.orders]
             self.assertEqual(['drain'], kinds)
-        world.send(
+        simulation.send(
             names[0],
             ModelCalled(RequestId('late'), KEY, 'crate-lm', prompt('x'), 64),
         )
-        world.run(170)
+        simulation.run(170)
         expected = answer_text(prompt('x'), 64)
-        self.assertEqual(expected, ''.join(world.calls['late'].tokens))
+        self.assertEqual(expected, ''.join(simulation.calls['late'].tokens))
 
     def test_a_second_signal_reports_an_unclean_stop(self) -> None:
         """A process is signalled twice while an answer is streamed.
@@ -144,18 +148,21 @@
         It must not report a clean stop, since the second signal interrupts
         the answer.
         """
-        world = World(seed=6)
-        world.keep_actions = (StopProcess,)
-        names = deploy(world, DeploymentPlan(entries=2, engines=(ENGINES,)))
-        commit(world, OPERATIONS)
-        world.run(8)
+        simulation = NodeSimulation(seed=6)
+        simulation.keep_actions = (StopProcess,)
+        names = deploy(
+            simulation, DeploymentPlan(entries=2, engines=(ENGINES,))
+        )
+        commit(simulation, OPERATIONS)
+        simulation.run(8)
         call = ModelCalled(RequestId('r'), KEY, 'crate-lm', prompt('y'), 64)
-        world.send(names[0], call)
-        world.run(8.2)
-        world.send(names[0], ShutdownRequested())
-        world.send(names[0], ShutdownForced())
+        simulation.send(names[0], call)
+        simulation.run(8.2)
+        simulation.send(names[0], ShutdownRequested())
+        simulation.send(names[0], ShutdownForced())
         self.assertEqual(
-            [StopProcess(clean=False)], [entry[2] for entry in world.actions]
+            [StopProcess(clean=False)],
+            [entry[2] for entry in simulation.actions],
         )
 
     def test_different_seeds_give_different_runs(self) -> None:
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -406,24 +406,26 @@
         Another entry must complete the change. Callers must get whole
         answers, and the engine must take work again.
         """
-        world, names = small_fleet(7, entries=4, engines=3)
-        holder = holder_of(world, CONTROL_DUTY)
-        fence = world.platform.store.read(DUTY_KEY).revision
+        simulation, names = small_fleet(7, entries=4, engines=3)
+        holder = holder_of(simulation, CONTROL_DUTY)
+        fence = simulation.platform.store.read(DUTY_KEY).revision
         wanted = RoleWanted(ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test')
-        call_all(world, names, 1)
-        world.run(40.2)
-        world.send(holder, wanted)
-        world.run(40.5)
-        world.kill(holder)
+        call_all(simulation, names, 1)
+        simulation.run(40.2)
+        simulation.send(holder, wanted)
+        simulation.run(40.5)
+        simulation.kill(holder)
         for round_ in range(2, 8):
-            call_all(world, [name for name in names if name != holder], round_)
-            world.run(world.now_s + 5)
-        engine = world.engines['engine://assistant-000'].model
+            call_all(
+                simulation, [name for name in names if name != holder], round_
+            )
+            simulation.run(simulation.now_s + 5)
+        engine = simulation.engines['engine://assistant-000'].model
         kinds = [
             one.order.kind for one in engine.record.orders if not one.is_repeat
         ]
         self.assertEqual(['drain', 'role', 'undrain'], kinds)
-        self.assertEqual('prefill', engine.load_report(world.now_s).role)
-        for request_id, call in world.calls.items():
+        self.assertEqual('prefill', engine.load_report(simulation.now_s).role)
+        for request_id, call in simulation.calls.items():
             if not request_id.startswith(holder):
                 self.assertEqual(20, len(call.tokens), request_id)
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -27,7 +27,7 @@
     UsagePart,
     UsageSettings,
 )
-from dandelionyoke_standins import PlatformModel, World
+from dandelionyoke_standins import NodeSimulation, PlatformModel
 from dandelionyoke_standins._platform import UsageWindow
 from tests.core.duty_bench import (
     DOMAIN,
@@ -246,9 +246,9 @@
     assert total <= 12, (total, path)
 
 
-def count_received_tokens(world: World) -> int:
+def count_received_tokens(simulation: NodeSimulation) -> int:
     """Return the number of tokens that callers received."""
-    return sum(len(call.tokens) for call in world.calls.values())
+    return sum(len(call.tokens) for call in simulation.calls.values())
 
 
 class CrashTest(testtools.TestCase):
@@ -258,22 +258,23 @@
         A peer must save the usage and another entry report it, all within
         the billed total.
         """
-        world, names = small_fleet(3, entries=6, engines=2)
-        call_all(world, names, 1)
-        world.run(44)
-        call_all(world, names, 2)
-        world.run(45.6)
-        reporter = holder_of(world, REPORT_DUTY)
+        simulation, names = small_fleet(3, entries=6, engines=2)
+        call_all(simulation, names, 1)
+        simulation.run(44)
+        call_all(simulation, names, 2)
+        simulation.run(45.6)
+        reporter = holder_of(simulation, REPORT_DUTY)
         owner = next(name for name in names if name != reporter)
-        world.kill(owner)
-        world.kill(reporter)
-        world.run(190)
-        self.assertGreater(count_received_tokens(world), 200)
+        simulation.kill(owner)
+        simulation.kill(reporter)
+        simulation.run(190)
+        self.assertGreater(count_received_tokens(simulation), 200)
         self.assertEqual(
-            count_received_tokens(world), sum_reported(world.platform)['tokens']
+            count_received_tokens(simulation),
+            sum_reported(simulation.platform)['tokens'],
         )
         self.assertEqual(
-            len(world.calls), sum_reported(world.platform)['requests']
+            len(simulation.calls), sum_reported(simulation.platform)['requests']
         )
 
     def test_loss_is_bounded_when_owner_and_both_peers_are_killed(self) -> None:
@@ -282,21 +283,21 @@
         At most the usage since its last save may be lost, and nothing may be
         billed twice.
         """
-        world, names = small_fleet(4, entries=6, engines=2)
-        call_all(world, names, 1)
-        world.run(50)
-        saved_tokens = count_received_tokens(world)
-        call_all(world, names, 2)
-        world.run(50.9)
+        simulation, names = small_fleet(4, entries=6, engines=2)
+        call_all(simulation, names, 1)
+        simulation.run(50)
+        saved_tokens = count_received_tokens(simulation)
+        call_all(simulation, names, 2)
+        simulation.run(50.9)
         owner = names[0]
-        usage = world._members[owner].node.usage  # type: ignore[attr-defined]
+        usage = simulation._members[owner].node.usage  # type: ignore[attr-defined]
         for name in (owner, *usage._counter._copy_holders):
-            world.kill(name)
-        world.run(190)
+            simulation.kill(name)
+        simulation.run(190)
         self.assertEqual(2, len(usage._counter._copy_holders))
-        total = sum_reported(world.platform)['tokens']
+        total = sum_reported(simulation.platform)['tokens']
         self.assertGreaterEqual(total, saved_tokens)
-        self.assertLessEqual(total, count_received_tokens(world))
+        self.assertLessEqual(total, count_received_tokens(simulation))
 
     def test_a_paused_owner_is_not_counted_twice(self) -> None:
         """An entry is paused for half a minute and its links end.
@@ -304,17 +305,18 @@
         Peers save its counts meanwhile. When it resumes and saves them
         itself, nothing may be billed twice.
         """
-        world, names = small_fleet(5, entries=6, engines=2)
-        call_all(world, names, 1)
-        world.run(41.5)
-        world.pause(names[0])
-        world.run(70)
-        world.resume(names[0])
-        world.run(75)
-        call_all(world, names, 2)
-        world.run(200)
+        simulation, names = small_fleet(5, entries=6, engines=2)
+        call_all(simulation, names, 1)
+        simulation.run(41.5)
+        simulation.pause(names[0])
+        simulation.run(70)
+        simulation.resume(names[0])
+        simulation.run(75)
+        call_all(simulation, names, 2)
+        simulation.run(200)
         self.assertEqual(
-            count_received_tokens(world), sum_reported(world.platform)['tokens']
+            count_received_tokens(simulation),
+            sum_reported(simulation.platform)['tokens'],
         )
 
     def test_a_shutdown_saves_what_was_counted(self) -> None:
@@ -322,13 +324,14 @@
 
         Its counts must be in the store before it stops.
         """
-        world, names = small_fleet(6, entries=6, engines=2)
-        call_all(world, names, 1)
-        world.run(40.5)
-        world.send(names[0], ShutdownRequested())
-        world.run(46)
-        world.kill(names[0])
-        world.run(140)
+        simulation, names = small_fleet(6, entries=6, engines=2)
+        call_all(simulation, names, 1)
+        simulation.run(40.5)
+        simulation.send(names[0], ShutdownRequested())
+        simulation.run(46)
+        simulation.kill(names[0])
+        simulation.run(140)
         self.assertEqual(
-            count_received_tokens(world), sum_reported(world.platform)['tokens']
+            count_received_tokens(simulation),
+            sum_reported(simulation.platform)['tokens'],
         )
