--- a/packages/standins/dandelionyoke_standins/__init__.py
+++ b/packages/standins/dandelionyoke_standins/__init__.py
@@ -78,7 +78,7 @@
     TargetSettings as TargetSettings,
 )
 from dandelionyoke_standins._world_platform import (
-    WorldSettings as WorldSettings,
+    NodeSimulationSettings as NodeSimulationSettings,
 )
 from dandelionyoke_standins._world_setup import (
     DeploymentPlan as DeploymentPlan,
--- a/packages/standins/dandelionyoke_standins/_node_measure.py
+++ b/packages/standins/dandelionyoke_standins/_node_measure.py
@@ -37,7 +37,7 @@
 )
 from dandelionyoke_standins._engine import EngineSettings
 from dandelionyoke_standins._node_simulation import NodeHandler, NodeSimulation
-from dandelionyoke_standins._world_platform import WorldSettings
+from dandelionyoke_standins._world_platform import NodeSimulationSettings
 from dandelionyoke_standins._world_setup import (
     DeploymentPlan,
     EngineGroup,
@@ -137,7 +137,9 @@
 
 def _measure(node_count: int) -> None:
     meter = CostMeter()
-    simulation = NodeSimulation(SEED, WorldSettings(engine_step_s=MEASURE_S))
+    simulation = NodeSimulation(
+        SEED, NodeSimulationSettings(engine_step_s=MEASURE_S)
+    )
     group = EngineGroup(
         'assistant',
         int(node_count * ENGINES_PER_NODE),
--- a/packages/standins/dandelionyoke_standins/_node_simulation.py
+++ b/packages/standins/dandelionyoke_standins/_node_simulation.py
@@ -50,8 +50,8 @@
 from dandelionyoke_standins._plain import PlainModel
 from dandelionyoke_standins._platform import PlatformModel
 from dandelionyoke_standins._world_platform import (
+    NodeSimulationSettings,
     PlatformAdapter,
-    WorldSettings,
 )
 from dandelionyoke_standins._world_targets import (
     Delivery,
@@ -107,9 +107,9 @@
     """
 
     def __init__(
-        self, seed: int, settings: WorldSettings | None = None
+        self, seed: int, settings: NodeSimulationSettings | None = None
     ) -> None:
-        self.settings = settings or WorldSettings()
+        self.settings = settings or NodeSimulationSettings()
         self.random = random.Random(seed)
         self.now_s = 0.0
         self.platform = PlatformModel()
--- a/packages/standins/dandelionyoke_standins/_world_platform.py
+++ b/packages/standins/dandelionyoke_standins/_world_platform.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class WorldSettings:
+class NodeSimulationSettings:
     """One-way delays in seconds, and the interval of engine steps.
 
     Jitter adds up to `jitter_share` of a delay to it.
@@ -59,7 +59,7 @@
 class Environment(Protocol):
     """The part of the simulation that the platform adapter uses."""
 
-    settings: WorldSettings
+    settings: NodeSimulationSettings
     now_s: float
 
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
