--- a/packages/standins/dandelionyoke_standins/_node_simulation.py
+++ b/packages/standins/dandelionyoke_standins/_node_simulation.py
@@ -103,7 +103,7 @@
 class NodeSimulation:
     """Nodes, platform and targets with a common virtual clock.
 
-    Actions of the types in `keep_actions` are recorded in `actions`.
+    Actions of the types in `recorded_types` are recorded in `recorded_actions`.
     """
 
     def __init__(
@@ -116,8 +116,8 @@
         self.engines: dict[str, VirtualEngine] = {}
         self.plain_services: dict[str, PlainModel] = {}
         self.calls: dict[RequestId, CallRecord] = {}
-        self.actions: list[tuple[float, str, Action]] = []
-        self.keep_actions: tuple[type[Action], ...] = ()
+        self.recorded_actions: list[tuple[float, str, Action]] = []
+        self.recorded_types: tuple[type[Action], ...] = ()
         self.peer_message_count = 0
         self.target_domains: dict[str, str] = {}
         self._platform_adapter = PlatformAdapter(self, self.platform)
@@ -148,7 +148,7 @@
         self.engines[address] = engine
         self.target_domains[address] = domain
 
-    def send(self, instance_id: InstanceId, event: Event) -> None:
+    def deliver(self, instance_id: InstanceId, event: Event) -> None:
         """Deliver an event to a node now."""
         request_id = getattr(event, 'request_id', None)
         if request_id is not None:
@@ -208,7 +208,7 @@
         self._platform_adapter.answer_watches()
 
     @property
-    def trace(self) -> str:
+    def trace_digest(self) -> str:
         """Digest of all events to nodes and all their actions."""
         return self._digest.hexdigest()
 
@@ -250,8 +250,8 @@
     def _trace(self, instance_id: InstanceId, item: Event | Action) -> None:
         line = f'{self.now_s:.9f} {instance_id} {item!r}\n'
         self._digest.update(line.encode())
-        if isinstance(item, self.keep_actions):
-            self.actions.append((self.now_s, instance_id, item))
+        if isinstance(item, self.recorded_types):
+            self.recorded_actions.append((self.now_s, instance_id, item))
 
     def send_later(
         self, instance_id: InstanceId, delay_s: float, event: Event
--- a/packages/standins/dandelionyoke_standins/_world_setup.py
+++ b/packages/standins/dandelionyoke_standins/_world_setup.py
@@ -102,7 +102,7 @@
     simulation.add_node(
         instance, node if wrap_node is None else wrap_node(node)
     )
-    simulation.send(instance_id, Started(wall_s=0))
+    simulation.deliver(instance_id, Started(wall_s=0))
     return instance_id
 
 
--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -273,7 +273,7 @@
         prompt = f'{name} {round_}: answer 20 tokens'
         request_id = RequestId(f'{name}-{round_}')
         called = ModelCalled(request_id, KEY, 'crate-lm', prompt, 64)
-        simulation.send(name, called)
+        simulation.deliver(name, called)
 
 
 def holder_of(simulation: NodeSimulation, duty: str) -> InstanceId:
--- a/tests/core/test_authority.py
+++ b/tests/core/test_authority.py
@@ -202,7 +202,7 @@
         call_counts = []
         for entries in (4, 16):
             simulation = NodeSimulation(5)
-            simulation.keep_actions = (
+            simulation.recorded_types = (
                 LeaseRenew,
                 LeaseGrant,
                 StoreGet,
@@ -212,7 +212,7 @@
             # Until it has read the platform's list an entry knows only itself
             # and is always a candidate.
             simulation.run(40)
-            simulation.actions.clear()
+            simulation.recorded_actions.clear()
             simulation.run(60)
             call_counts.append(_count_duty_calls(simulation))
         self.assertGreater(call_counts[0], 10)
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -51,13 +51,13 @@
     commit(simulation, OPERATIONS)
     simulation.run(8)
     for name in names:
-        simulation.send(
+        simulation.deliver(
             name,
             ModelCalled(
                 RequestId(f'{name}-model'), KEY, 'crate-lm', prompt(name), 64
             ),
         )
-        simulation.send(
+        simulation.deliver(
             name,
             ServiceCalled(
                 RequestId(f'{name}-plain'),
@@ -93,7 +93,9 @@
             else:
                 expected = answer_text(prompt(request_id[:-6]), 64)
                 self.assertEqual(expected, ''.join(call.tokens))
-        self.assertEqual(simulations[0].trace, simulations[1].trace)
+        self.assertEqual(
+            simulations[0].trace_digest, simulations[1].trace_digest
+        )
 
     def test_entries_started_together_discover_each_other(self) -> None:
         """All entries start together and are not yet in the platform's list.
@@ -119,7 +121,7 @@
         the next call.
         """
         simulation = NodeSimulation(seed=5)
-        simulation.keep_actions = (SendEngineOrder, SendTargetOrder)
+        simulation.recorded_types = (SendEngineOrder, SendTargetOrder)
         names = deploy(
             simulation, DeploymentPlan(entries=6, engines=(ENGINES,))
         )
@@ -134,7 +136,7 @@
             engine = simulation.engines[f'engine://{removed}'].model
             kinds = [entry.order.kind for entry in engine.record.orders]
             self.assertEqual(['drain'], kinds)
-        simulation.send(
+        simulation.deliver(
             names[0],
             ModelCalled(RequestId('late'), KEY, 'crate-lm', prompt('x'), 64),
         )
@@ -149,22 +151,22 @@
         the answer.
         """
         simulation = NodeSimulation(seed=6)
-        simulation.keep_actions = (StopProcess,)
+        simulation.recorded_types = (StopProcess,)
         names = deploy(
             simulation, DeploymentPlan(entries=2, engines=(ENGINES,))
         )
         commit(simulation, OPERATIONS)
         simulation.run(8)
         call = ModelCalled(RequestId('r'), KEY, 'crate-lm', prompt('y'), 64)
-        simulation.send(names[0], call)
+        simulation.deliver(names[0], call)
         simulation.run(8.2)
-        simulation.send(names[0], ShutdownRequested())
-        simulation.send(names[0], ShutdownForced())
+        simulation.deliver(names[0], ShutdownRequested())
+        simulation.deliver(names[0], ShutdownForced())
         self.assertEqual(
             [StopProcess(clean=False)],
-            [entry[2] for entry in simulation.actions],
+            [entry[2] for entry in simulation.recorded_actions],
         )
 
     def test_different_seeds_give_different_runs(self) -> None:
-        traces = {run_nodes(seed, entries=4).trace for seed in (1, 2)}
+        traces = {run_nodes(seed, entries=4).trace_digest for seed in (1, 2)}
         self.assertEqual(2, len(traces))
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -412,7 +412,7 @@
         wanted = RoleWanted(ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test')
         call_all(simulation, names, 1)
         simulation.run(40.2)
-        simulation.send(holder, wanted)
+        simulation.deliver(holder, wanted)
         simulation.run(40.5)
         simulation.kill(holder)
         for round_ in range(2, 8):
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -327,7 +327,7 @@
         simulation, names = small_fleet(6, entries=6, engines=2)
         call_all(simulation, names, 1)
         simulation.run(40.5)
-        simulation.send(names[0], ShutdownRequested())
+        simulation.deliver(names[0], ShutdownRequested())
         simulation.run(46)
         simulation.kill(names[0])
         simulation.run(140)
