--- a/packages/standins/dandelionyoke_standins/_node_simulation.py
+++ b/packages/standins/dandelionyoke_standins/_node_simulation.py
@@ -124,7 +124,7 @@
         self._members: dict[InstanceId, _Member] = {}
         self._queue: list[_ScheduledCallback] = []
         self._sequence = itertools.count()
-        self._cuts: set[frozenset[str]] = set()
+        self._partitions: set[frozenset[str]] = set()
         self._digest = hashlib.sha256()
         self._is_stepping = False
         self._performers = self._build_performers()
@@ -191,17 +191,17 @@
             self._deliver(instance_id, event)
         self._wake(instance_id)
 
-    def cut(self, left: str, right: str) -> None:
+    def partition(self, left: str, right: str) -> None:
         """Partition two places (failure domains, or the platform)."""
-        self._cuts.add(frozenset((left, right)))
+        self._partitions.add(frozenset((left, right)))
         for instance_id, member in self._members.items():
             for peer_id in tuple(member.connected_peers):
                 if not self.reaches(instance_id, self._domain(peer_id)):
                     self._close_link(instance_id, peer_id, 'timed out')
 
-    def heal(self, left: str, right: str) -> None:
+    def end_partition(self, left: str, right: str) -> None:
         """End a partition."""
-        self._cuts.discard(frozenset((left, right)))
+        self._partitions.discard(frozenset((left, right)))
 
     def answer_watches(self) -> None:
         """Answer the watches after a write that no node made."""
@@ -443,7 +443,7 @@
 
     def reaches(self, instance_id: InstanceId, place: str) -> bool:
         pair = frozenset((self._domain(instance_id), place))
-        return pair not in self._cuts
+        return pair not in self._partitions
 
     def _reaches_target(self, instance_id: InstanceId, address: str) -> bool:
         domain = self.target_domains.get(address)
