--- a/packages/wire/dandelionyoke_wire/__init__.py
+++ b/packages/wire/dandelionyoke_wire/__init__.py
@@ -4,19 +4,19 @@
     CallerApp as CallerApp,
     CallerSettings as CallerSettings,
 )
-from dandelionyoke_wire._mailboxes import Mailboxes as Mailboxes
 from dandelionyoke_wire._platform import PlatformClient as PlatformClient
+from dandelionyoke_wire._response_queues import ResponseQueues as ResponseQueues
 from dandelionyoke_wire._runtime import (
+    ActionExecutor as ActionExecutor,
     ActionSink as ActionSink,
     EventHandler as EventHandler,
-    Inbox as Inbox,
-    NodeTask as NodeTask,
-    Performer as Performer,
+    EventQueue as EventQueue,
+    NodeEventLoop as NodeEventLoop,
     clock_s as clock_s,
 )
 from dandelionyoke_wire._store import StoreClient as StoreClient
 from dandelionyoke_wire._transport import (
-    Reply as Reply,
+    JsonResponse as JsonResponse,
     TransportError as TransportError,
     call_json as call_json,
     new_pool as new_pool,
--- a/packages/wire/dandelionyoke_wire/_callers.py
+++ b/packages/wire/dandelionyoke_wire/_callers.py
@@ -1,7 +1,8 @@
 """WSGI application that turns calls into events.
 
 The HTTP server runs each connection in its own task. For each call the task
-puts an event into the node's inbox and waits on a mailbox of that call.
+puts an event into the node's event queue and waits on the response queue of
+that call.
 """
 
 import secrets
@@ -42,7 +43,7 @@
     send_response,
     stream_response,
 )
-from dandelionyoke_wire._mailboxes import Mailboxes
+from dandelionyoke_wire._response_queues import ResponseQueues
 
 REQUEST_ID_BYTES = 9
 SERVICES_PREFIX = '/services/'
@@ -62,26 +63,26 @@
     def __init__(
         self,
         settings: CallerSettings,
-        mailboxes: Mailboxes,
+        response_queues: ResponseQueues,
         emit: Callable[[Event], None],
         metrics_text: Callable[[], bytes],
         is_leaving: Callable[[], bool],
     ) -> None:
         self._settings = settings
-        self._mailboxes = mailboxes
+        self._response_queues = response_queues
         self._emit = emit
         self._metrics_text = metrics_text
         self._is_leaving = is_leaving
         # Number of responses not fully written. The node may have finished
         # them already; stopping the process now would truncate them.
-        self.open_answers = 0
+        self.open_responses = 0
 
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
         """Serve one call."""
         request_id = self._new_request_id()
-        self.open_answers += 1
+        self.open_responses += 1
         try:
             chunks = self._route(request_id, environ, start_response)
         except CallError as error:
@@ -90,7 +91,7 @@
         return TrackedBody(chunks, self._response_closed)
 
     def _response_closed(self) -> None:
-        self.open_answers -= 1
+        self.open_responses -= 1
 
     def _new_request_id(self) -> RequestId:
         unique = secrets.token_hex(REQUEST_ID_BYTES)
@@ -184,7 +185,9 @@
             request.max_output_tokens,
             deadline_in_s(environ),
         )
-        call = PendingCall(self._mailboxes, self._emit, environ, request_id)
+        call = PendingCall(
+            self._response_queues, self._emit, environ, request_id
+        )
         call.submit(event)
         if request.stream:
             return stream_response(call, request, start_response)
@@ -196,7 +199,9 @@
         environ: Environ,
     ) -> Response:
         request_id = event.request_id
-        call = PendingCall(self._mailboxes, self._emit, environ, request_id)
+        call = PendingCall(
+            self._response_queues, self._emit, environ, request_id
+        )
         call.submit(event)
         action = call.next_action()
         call.close(completed=action is not None)
