--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -160,9 +160,9 @@
     TargetOrderAnswered as TargetOrderAnswered,
     TargetsListed as TargetsListed,
     TargetUnreachable as TargetUnreachable,
+    TimerFired as TimerFired,
     TokensArrived as TokensArrived,
     UsageAnswered as UsageAnswered,
-    Woken as Woken,
 )
 from dandelionyoke_core._fleet import (
     CONTROL_DUTY as CONTROL_DUTY,
--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -10,7 +10,7 @@
 from dandelionyoke_core._admission_settings import AdmissionSettings
 from dandelionyoke_core._capacity import CallForecast, CapacityView
 from dandelionyoke_core._demand import DemandShared, DemandTable
-from dandelionyoke_core._events import Event, Started, Woken
+from dandelionyoke_core._events import Event, Started, TimerFired
 from dandelionyoke_core._limits import OrganisationLimits
 from dandelionyoke_core._load_estimate import WorkSize
 from dandelionyoke_core._names import InstanceId, RequestId, ServiceName
@@ -39,7 +39,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
-        Woken,
+        TimerFired,
         RecordLearned,
         PeersKnown,
     )
@@ -68,7 +68,7 @@
             case Started(wall_s=wall_s):
                 self._demand.start(now_s, wall_s)
                 self._limits.update_entry_count(len(self._peers.live), now_s)
-            case Woken():
+            case TimerFired():
                 return [*self._demand.share(now_s), *self._start_queued(now_s)]
             case PeersKnown(live=live):
                 self._limits.update_entry_count(len(live), now_s)
--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -37,7 +37,7 @@
     PeerMessageArrived,
     Started,
     StoreAnswered,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_core._knowledge import Knowledge, KnowledgeSettings
 from dandelionyoke_core._names import Domain, InstanceId
@@ -66,7 +66,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
-        Woken,
+        TimerFired,
         StoreAnswered,
         PeerConnected,
         PeerDisconnected,
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -290,7 +290,7 @@
 
 
 @attrs.frozen
-class Woken(Event):
+class TimerFired(Event):
     """A wake-up time that a part returned from `next_wakeup_s` is due."""
 
 
--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -12,7 +12,7 @@
 import attrs
 
 from dandelionyoke_core._entities import Service, ServiceKind
-from dandelionyoke_core._events import Event, Started, Woken
+from dandelionyoke_core._events import Event, Started, TimerFired
 from dandelionyoke_core._fleet_roles import RoleDecider
 from dandelionyoke_core._fleet_settings import FleetSettings
 from dandelionyoke_core._fleet_size import SizeDecider
@@ -55,7 +55,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
-        Woken,
+        TimerFired,
         DutyGained,
         DutyExtended,
         DutyLost,
@@ -89,7 +89,7 @@
                     )
             case DutyLost() if event.duty == CONTROL_DUTY:
                 self._stop()
-            case Woken():
+            case TimerFired():
                 return self._handle_wakeup(now_s)
         return []
 
--- a/packages/core/dandelionyoke_core/_idempotency.py
+++ b/packages/core/dandelionyoke_core/_idempotency.py
@@ -28,7 +28,7 @@
     ServiceCallRequested,
     Started,
     StoreAnswered,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_core._names import InstanceId, OrganisationId, RequestId
 from dandelionyoke_core._notices import ClaimRefused
@@ -42,7 +42,7 @@
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
         StoreAnswered,
-        Woken,
+        TimerFired,
     )
 
     def __init__(
@@ -70,7 +70,7 @@
                 self._clock.start(event.wall_s, now_s)
             case StoreAnswered():
                 return self._handle_store_answer(event, now_s)
-            case Woken():
+            case TimerFired():
                 return self._handle_wakeup(now_s)
         return []
 
--- a/packages/core/dandelionyoke_core/_lifecycle.py
+++ b/packages/core/dandelionyoke_core/_lifecycle.py
@@ -11,7 +11,7 @@
     ShutdownForced,
     ShutdownRequested,
     Started,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_core._notices import Leaving
 from dandelionyoke_core._ports import Output
@@ -41,7 +41,7 @@
         Started,
         ShutdownRequested,
         ShutdownForced,
-        Woken,
+        TimerFired,
     )
 
     def __init__(
--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -19,7 +19,7 @@
     PeerMessage,
     PeerMessageArrived,
     Started,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_core._links import Links
 from dandelionyoke_core._members import MemberTable
@@ -58,7 +58,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
-        Woken,
+        TimerFired,
         InstancesListed,
         ListingFailed,
         PeerConnected,
--- a/packages/core/dandelionyoke_core/_node.py
+++ b/packages/core/dandelionyoke_core/_node.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 from dandelionyoke_core._actions import Action
-from dandelionyoke_core._events import Event, Notice, Woken
+from dandelionyoke_core._events import Event, Notice, TimerFired
 from dandelionyoke_core._ports import Part
 
 # Guards against notices that cause each other without end, which would hang
@@ -65,7 +65,7 @@
                     actions.append(output)
 
     def _parts_for(self, event: Event, now_s: float) -> tuple[Part, ...]:
-        if isinstance(event, Woken):
+        if isinstance(event, TimerFired):
             return tuple(part for part in self._parts if _is_due(part, now_s))
         event_type = type(event)
         if event_type not in self._parts_by_event_type:
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -27,7 +27,7 @@
     StoreAnswered,
     TargetOrderAnswered,
     TargetsListed,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_core._fleet import CONTROL_DUTY
 from dandelionyoke_core._fleet_notices import RoleWanted, TargetsWanted
@@ -87,7 +87,7 @@
     """Carries out the requested fleet changes, one open order per target."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
-        Woken,
+        TimerFired,
         StoreAnswered,
         DutyGained,
         DutyExtended,
@@ -200,7 +200,7 @@
                 self._handle_load_report(event, duty.order_ids, now_s)
             case TargetsListed():
                 self._remove_plans_of_missing_targets(event)
-            case Woken():
+            case TimerFired():
                 overdue = self._journal.slot.overdue(now_s)
                 if overdue is not None:
                     return self._handle_journal_result(overdue, now_s)
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -29,8 +29,8 @@
     ServiceAnswered,
     ServiceCallRequested,
     ShutdownForced,
+    TimerFired,
     TokensArrived,
-    Woken,
 )
 from dandelionyoke_core._intake import Intake
 from dandelionyoke_core._notices import (
@@ -86,7 +86,7 @@
         TargetCrashed,
         TargetLeaving,
         ShutdownForced,
-        Woken,
+        TimerFired,
     )
 
     def __init__(  # noqa: WPS211  each collaborator by its own name
@@ -153,7 +153,7 @@
             TargetCrashed: self._on_target_crashed,
             TargetLeaving: self._on_target_leaving,
             ShutdownForced: self._on_shutdown_forced,
-            Woken: self._on_woken,
+            TimerFired: self._on_woken,
             **dict.fromkeys(_ATTEMPT_EVENTS, self._on_attempt_event),
         }
 
@@ -262,7 +262,7 @@
                 return handler.on_failed(call, event, now_s)
         return handler.on_answered(call, event, now_s)
 
-    def _on_woken(self, event: Woken, now_s: float) -> list[Output]:
+    def _on_woken(self, event: TimerFired, now_s: float) -> list[Output]:
         return self._call_handlers.handle_due(now_s)
 
     # Events that end or move several calls at once.
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -12,7 +12,7 @@
     Started,
     TargetsListed,
     TargetUnreachable,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_core._fleet_view import TargetStatus
 from dandelionyoke_core._load_estimate import WorkSize
@@ -48,7 +48,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
-        Woken,
+        TimerFired,
         TargetsListed,
         ListingFailed,
         LoadReported,
@@ -85,7 +85,7 @@
         """Handle an event and return the resulting outputs."""
         if isinstance(event, Started):
             self._poll_schedule.start(now_s, event.wall_s)
-        if isinstance(event, Started | Woken):
+        if isinstance(event, Started | TimerFired):
             return self._poll_schedule.due(now_s)
         return self._table.learn(event, now_s)
 
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -16,8 +16,8 @@
     PeerMessageArrived,
     Started,
     StoreAnswered,
+    TimerFired,
     UsageAnswered,
-    Woken,
 )
 from dandelionyoke_core._notices import (
     DutyExtended,
@@ -40,7 +40,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
-        Woken,
+        TimerFired,
         UsageDelivered,
         StoreAnswered,
         UsageAnswered,
@@ -83,7 +83,7 @@
                 return self._counter.count(event, now_s)
             case StoreAnswered():
                 return self._handle_store_answer(event, now_s)
-            case Woken():
+            case TimerFired():
                 return self._handle_wakeup(now_s)
             case Leaving():
                 deadline_s = now_s + self._settings.final_flush_timeout_s
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -21,7 +21,7 @@
     Leaving,
     PeersKnown,
     StoreAnswered,
-    Woken,
+    TimerFired,
     WriteLog,
 )
 from dandelionyoke_gateway._clock import clock_s
@@ -128,7 +128,7 @@
         try:
             event: Event = self._inbox.get(timeout=wait_s)
         except Empty:
-            return Woken()
+            return TimerFired()
         return event
 
     def _handle_event(self, event: Event) -> None:
--- a/packages/standins/dandelionyoke_standins/_node_simulation.py
+++ b/packages/standins/dandelionyoke_standins/_node_simulation.py
@@ -44,7 +44,7 @@
     SendTokens,
     StartAttempt,
     SubmitUsage,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_standins import _platform as platform_models
 from dandelionyoke_standins._plain import PlainModel
@@ -245,7 +245,7 @@
         member = self._members[instance_id]
         member.scheduled_wakeup_s = None
         if not member.is_paused:
-            self._deliver(instance_id, Woken())
+            self._deliver(instance_id, TimerFired())
 
     def _trace(self, instance_id: InstanceId, item: Event | Action) -> None:
         line = f'{self.now_s:.9f} {instance_id} {item!r}\n'
--- a/packages/standins/dandelionyoke_standins/_policy_caller.py
+++ b/packages/standins/dandelionyoke_standins/_policy_caller.py
@@ -26,8 +26,8 @@
     Target,
     TargetId,
     Ticket,
+    TimerFired,
     TokensArrived,
-    Woken,
 )
 from dandelionyoke_standins._policy_ledger import Ending, Ledger
 from dandelionyoke_standins._policy_workload import Call
@@ -81,7 +81,7 @@
         AttemptEnded,
         AttemptRefused,
         AttemptFailed,
-        Woken,
+        TimerFired,
     )
 
     def __init__(
@@ -98,7 +98,7 @@
         match event:
             case CallArrived(call=call):
                 return self._admit(call, now_s)
-            case Woken():
+            case TimerFired():
                 return self._retry_unrouted(now_s)
             case CallRejected(request_id=request_id):
                 self._states.pop(request_id)
--- a/packages/standins/dandelionyoke_standins/_policy_naive.py
+++ b/packages/standins/dandelionyoke_standins/_policy_naive.py
@@ -31,7 +31,7 @@
     TargetsListed,
     TargetUnreachable,
     Ticket,
-    Woken,
+    TimerFired,
 )
 
 LIST_INTERVAL_S = 2.0
@@ -44,7 +44,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
-        Woken,
+        TimerFired,
         TargetsListed,
         LoadReported,
         TargetUnreachable,
@@ -68,7 +68,7 @@
                 self._reports[target_id] = report
             case TargetUnreachable(target_id=target_id):
                 self._reports.pop(target_id, None)
-        if isinstance(event, Started | Woken):
+        if isinstance(event, Started | TimerFired):
             return self._request_updates(now_s)
         return []
 
@@ -149,7 +149,7 @@
     Each entry uses an equal part of the slots.
     """
 
-    handles: ClassVar[tuple[type[Event], ...]] = (Woken,)
+    handles: ClassVar[tuple[type[Event], ...]] = (TimerFired,)
 
     def __init__(self, router: NaiveRouter, entries: int) -> None:
         self._router = router
--- a/packages/standins/dandelionyoke_standins/_policy_world.py
+++ b/packages/standins/dandelionyoke_standins/_policy_world.py
@@ -19,7 +19,7 @@
     TargetId,
     TargetsListed,
     TargetUnreachable,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_standins._policy_caller import (
     CallArrived,
@@ -85,7 +85,7 @@
     def _wake(self, node: SimulatedNode, due_s: float) -> None:
         if node.wakeup_s == due_s:
             node.wakeup_s = None
-        self.handle(node, Woken())
+        self.handle(node, TimerFired())
 
     def _perform(self, node: SimulatedNode, action: Action) -> None:
         match action:
--- a/packages/standins/dandelionyoke_standins/_spread_world.py
+++ b/packages/standins/dandelionyoke_standins/_spread_world.py
@@ -34,7 +34,7 @@
     StoreGet,
     StorePut,
     StoreWatch,
-    Woken,
+    TimerFired,
     WriteLog,
 )
 from dandelionyoke_standins._spread_node import PropagationSettings, VirtualNode
@@ -229,7 +229,7 @@
         if node.is_paused or wakeup_s is None or wakeup_s > self.now_s:
             return
         node.scheduled_wakeup_s = None
-        self.give(node, Woken())
+        self.give(node, TimerFired())
 
     def _perform(self, node: VirtualNode, action: Action) -> None:
         match action:
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -42,7 +42,7 @@
     StorePut,
     StoreWatch,
     SubmitUsage,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_links import PeerHub, PeerSettings
 from dandelionyoke_wire._engine import EngineClient
@@ -153,7 +153,7 @@
         self._handle(self._event_queue.take(self._wakeup_delay_s()))
         wakeup_s = self._node.next_wakeup_s()
         if wakeup_s is not None and wakeup_s <= clock_s():
-            self._handle(Woken())
+            self._handle(TimerFired())
 
     def _wakeup_delay_s(self) -> float | None:
         wakeup_s = self._node.next_wakeup_s()
--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -34,7 +34,7 @@
     Service,
     StoreAnswered,
     StoreFailed,
-    Woken,
+    TimerFired,
     hash_key,
     record_from_json,
 )
@@ -170,7 +170,7 @@
 
     def wake(self, name: str) -> None:
         """Send a wakeup event to an entry."""
-        self.entries[name].take(Woken(), self.now_s)
+        self.entries[name].take(TimerFired(), self.now_s)
 
     def tick(self, elapsed_s: float, running: Iterable[str]) -> bool:
         """Advance the time and wake the running entries."""
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -261,7 +261,7 @@
             if wakeup_s > until_s:
                 break
             self.now_s = max(self.now_s, wakeup_s)
-            actions += self.tell(core.Woken())
+            actions += self.tell(core.TimerFired())
         self.now_s = until_s
         return actions
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -22,7 +22,7 @@
     RequestId,
     RunState,
     ShareRecord,
-    Woken,
+    TimerFired,
     message_from_mapping,
     message_to_mapping,
 )
@@ -48,7 +48,7 @@
     """Wake a part until no wake-up is due."""
     outputs: list[object] = []
     while (due_s := part.next_wakeup_s()) is not None and due_s <= now_s:
-        outputs += part.handle(Woken(), now_s)
+        outputs += part.handle(TimerFired(), now_s)
     return outputs
 
 
@@ -319,7 +319,7 @@
         shared_s = [
             now_s
             for now_s in range(60)
-            for output in part.handle(Woken(), now_s)
+            for output in part.handle(TimerFired(), now_s)
             if isinstance(output, ShareRecord)
         ]
         gaps_s = [late - early for early, late in pairwise(shared_s)]
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -48,8 +48,8 @@
     StoreGet,
     StoreItem,
     StoreWatch,
+    TimerFired,
     Unsettled,
-    Woken,
     apply_change,
     difference,
     hash_key,
@@ -372,7 +372,7 @@
             )
             return [PeerMessageArrived(peer, offer)]
         if kind == 'wake':
-            return [PeerConnected(peer), Woken()]
+            return [PeerConnected(peer), TimerFired()]
         return self._answers(outputs, first, last)
 
     def _answers(self, outputs, first, last):
--- a/tests/core/test_duty_lease.py
+++ b/tests/core/test_duty_lease.py
@@ -29,7 +29,7 @@
     StorePut,
     StoreResult,
     StoreWritten,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_standins import DeploymentPlan, NodeSimulation, deploy
 from tests.core.duty_bench import (
@@ -263,7 +263,7 @@
                     )
                     return action
             self.now_s = self.part.next_wakeup_s() or self.now_s
-            self.handle_event(Woken())
+            self.handle_event(TimerFired())
         raise AssertionError(f'no {action_type.__name__} was requested')
 
     def fences(self) -> list[int]:
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -23,7 +23,7 @@
     TargetId,
     TargetStatus,
     TargetsWanted,
-    Woken,
+    TimerFired,
 )
 from dandelionyoke_core._role_plan import WorkRow, utilisation
 from tests.core.policy_fakes import (
@@ -124,7 +124,7 @@
     unserved_s = 0.0
     for _ in range(seconds):
         fleet.now_s += 1
-        outputs = part.handle(Woken(), fleet.now_s)
+        outputs = part.handle(TimerFired(), fleet.now_s)
         fleet.apply_role_changes(outputs, fleet.now_s)
         wanted += outputs
         unserved_s += fleet.unserved_s()
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -105,7 +105,7 @@
         now_s, index = min(due)
         for entry in self.entries:
             entry.now_s = max(entry.now_s, now_s)
-        self.tell(self.entries[index], core.Woken())
+        self.tell(self.entries[index], core.TimerFired())
         return True
 
     def outcomes(self, entry: Entry) -> list[Any]:
--- a/tests/core/test_lifecycle.py
+++ b/tests/core/test_lifecycle.py
@@ -8,7 +8,7 @@
     ShutdownForced,
     ShutdownRequested,
     StopProcess,
-    Woken,
+    TimerFired,
 )
 
 
@@ -26,7 +26,7 @@
     def run_until_stopped(self, last_s: int) -> tuple[int, bool] | None:
         """Wake the part each second; return when and how it stops."""
         for second in range(last_s + 1):
-            for output in self.part.handle(Woken(), second):
+            for output in self.part.handle(TimerFired(), second):
                 if isinstance(output, StopProcess):
                     return second, output.clean
         return None
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -25,8 +25,8 @@
     SharedRecord,
     ShareRecord,
     Started,
+    TimerFired,
     TopologySettings,
-    Woken,
     choose_links,
     message_to_mapping,
 )
@@ -355,7 +355,7 @@
             entry = RecordEntry(message_to_mapping(record), True, remaining_s)
             batch = RecordBatch((entry,))
             part.handle(PeerMessageArrived(InstanceId('p'), batch), 1)
-            part.handle(Woken(), 5)
+            part.handle(TimerFired(), 5)
             summary = RecordSummary(instances(2)[1], {'member/d0-0': 2 << 20})
             outputs = part.handle(
                 PeerMessageArrived(InstanceId('d0-1'), summary), 5
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -28,7 +28,7 @@
     TargetsListed,
     TargetsShared,
     TargetUnreachable,
-    Woken,
+    TimerFired,
     WorkSize,
     message_from_mapping,
     message_to_mapping,
@@ -317,7 +317,7 @@
         part.handle(TargetUnreachable(TargetId('t0'), 'refused'), 0)
         chosen = {part.choose(make_need(), 1).target_id for _ in range(20)}
         self.assertEqual({'t1'}, chosen)
-        polls = part.handle(Woken(), 1)
+        polls = part.handle(TimerFired(), 1)
         self.assertIn(PollLoad(TargetId('t0'), '10.0.0.0:80'), polls)
         part.handle(LoadReported(TargetId('t0'), report(TargetId('t0'))), 1)
         chosen = {part.choose(make_need(), 1).target_id for _ in range(20)}
@@ -333,13 +333,13 @@
         polls: Counter[TargetId] = Counter()
         records = []
         for part in parts:
-            for output in part.handle(Woken(), 1):
+            for output in part.handle(TimerFired(), 1):
                 if isinstance(output, PollLoad):
                     polls[output.target_id] += 1
                     busy = report(output.target_id, running=7)
                     event = LoadReported(output.target_id, busy)
                     part.handle(event, 6)
-            shares = part.handle(Woken(), 6.5)
+            shares = part.handle(TimerFired(), 6.5)
             records += [out for out in shares if isinstance(out, ShareRecord)]
         report_counts = Counter(
             target_id
@@ -391,15 +391,15 @@
         }
         listers = []
         for name, part in parts.items():
-            part.handle(Woken(), 0)
-            if ListTargets() in part.handle(Woken(), 3):
+            part.handle(TimerFired(), 0)
+            if ListTargets() in part.handle(TimerFired(), 3):
                 listers.append(name)
         self.assertEqual(2, len(listers))
         lister = parts[listers[0]]
         lister.handle(TargetsListed((reclaimed, *targets[2:], fresh)), 3)
         (news,) = [
             out.record
-            for out in lister.handle(Woken(), 9)
+            for out in lister.handle(TimerFired(), 9)
             if isinstance(out, ShareRecord)
             and isinstance(out.record, TargetsShared)
         ]
