--- a/packages/core/dandelionyoke_core/_assembly.py
+++ b/packages/core/dandelionyoke_core/_assembly.py
@@ -178,5 +178,5 @@
         return self._parts.handle(event, now_s)
 
     def next_wakeup_s(self) -> float | None:
-        """Return the time at which the next `Woken` is due, or None."""
+        """Return the time at which the next `TimerFired` is due, or None."""
         return self._parts.next_wakeup_s()
--- a/packages/core/dandelionyoke_core/_node.py
+++ b/packages/core/dandelionyoke_core/_node.py
@@ -43,7 +43,7 @@
         raise NoticeLoopError(f'{event!r} triggers an endless loop of notices')
 
     def next_wakeup_s(self) -> float | None:
-        """Return the time at which the next `Woken` is due, or None."""
+        """Return the time at which the next `TimerFired` is due, or None."""
         return self._wakeup_s
 
     def _earliest_wakeup_s(self) -> float | None:
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -29,7 +29,7 @@
     """State machine inside a node.
 
     `handles` lists the event types that it accepts; a node passes it no
-    others. A node sends it `Woken` at `next_wakeup_s`, unless that is None.
+    others. A node sends it `TimerFired` at `next_wakeup_s`, unless that is None.
     """
 
     handles: ClassVar[tuple[type[Event], ...]]
--- a/packages/standins/dandelionyoke_standins/_node_measure.py
+++ b/packages/standins/dandelionyoke_standins/_node_measure.py
@@ -122,7 +122,7 @@
         return actions
 
     def next_wakeup_s(self) -> float | None:
-        """Return when the next `Woken` event is due, or None."""
+        """Return when the next `TimerFired` event is due, or None."""
         return self._node.next_wakeup_s()
 
 
--- a/packages/standins/dandelionyoke_standins/_node_simulation.py
+++ b/packages/standins/dandelionyoke_standins/_node_simulation.py
@@ -68,7 +68,7 @@
         """Handle one event; return the resulting actions."""
 
     def next_wakeup_s(self) -> float | None:
-        """Return when the next `Woken` event is due, or None."""
+        """Return when the next `TimerFired` event is due, or None."""
 
 
 @attrs.define
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -91,7 +91,7 @@
         """Handle one event and return the resulting actions."""
 
     def next_wakeup_s(self) -> float | None:
-        """Return when the next `Woken` event is due, or None."""
+        """Return when the next `TimerFired` event is due, or None."""
 
 
 class ActionSink(Protocol):
