--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -136,7 +136,7 @@
     AttemptFailed as AttemptFailed,
     AttemptRefused as AttemptRefused,
     CacheEventsReported as CacheEventsReported,
-    CallerGone as CallerGone,
+    CallerDisconnected as CallerDisconnected,
     CompletionRequested as CompletionRequested,
     EngineOrderAnswered as EngineOrderAnswered,
     Event as Event,
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -98,7 +98,7 @@
 
 
 @attrs.frozen
-class CallerGone(Event):
+class CallerDisconnected(Event):
     """The caller disconnected before its answer was complete."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -23,7 +23,7 @@
     AttemptEnded,
     AttemptFailed,
     AttemptRefused,
-    CallerGone,
+    CallerDisconnected,
     CompletionRequested,
     Event,
     ServiceAnswered,
@@ -75,7 +75,7 @@
     handles: ClassVar[tuple[type[Event], ...]] = (
         CompletionRequested,
         ServiceCallRequested,
-        CallerGone,
+        CallerDisconnected,
         *_ATTEMPT_EVENTS,
         CallAdmitted,
         CallRejected,
@@ -143,7 +143,7 @@
         return {
             CompletionRequested: self._on_called,
             ServiceCallRequested: self._on_called,
-            CallerGone: self._on_caller_gone,
+            CallerDisconnected: self._on_caller_gone,
             CallAdmitted: self._on_admitted,
             CallRejected: self._on_rejected,
             ClaimGranted: self._on_claim_granted,
@@ -189,7 +189,9 @@
         )
         return [log, *self._call_handlers.handler_for(call).start(call, now_s)]
 
-    def _on_caller_gone(self, event: CallerGone, now_s: float) -> list[Output]:
+    def _on_caller_gone(
+        self, event: CallerDisconnected, now_s: float
+    ) -> list[Output]:
         call = self._operations.calls.get(event.request_id)
         if call is None:
             return []
--- a/packages/standins/dandelionyoke_standins/_policy_caller.py
+++ b/packages/standins/dandelionyoke_standins/_policy_caller.py
@@ -13,7 +13,7 @@
     AttemptId,
     AttemptRefused,
     CallAdmitted,
-    CallerGone,
+    CallerDisconnected,
     CallRejected,
     CancelAttempt,
     Event,
@@ -76,7 +76,7 @@
         CallArrived,
         CallAdmitted,
         CallRejected,
-        CallerGone,
+        CallerDisconnected,
         TokensArrived,
         AttemptEnded,
         AttemptRefused,
@@ -117,7 +117,7 @@
         match event:
             case CallAdmitted():
                 return self._dispatch(state, now_s)
-            case CallerGone():
+            case CallerDisconnected():
                 return self._abandon(state, now_s)
         if getattr(event, 'attempt_id', None) != state.attempt_id:
             return []
--- a/packages/standins/dandelionyoke_standins/_policy_world.py
+++ b/packages/standins/dandelionyoke_standins/_policy_world.py
@@ -6,7 +6,7 @@
 from dandelionyoke_core import (
     CONTROL_DUTY,
     Action,
-    CallerGone,
+    CallerDisconnected,
     CancelAttempt,
     DutyGained,
     Event,
@@ -65,7 +65,7 @@
         self.ledger.add_call(call)
         node = self.nodes[call.entry]
         self.deliver(node, CallArrived(call))
-        caller_gone = CallerGone(call.request_id)
+        caller_gone = CallerDisconnected(call.request_id)
         self.clock.call_at(
             call.deadline_s, partial(self.handle, node, caller_gone)
         )
--- a/packages/wire/dandelionyoke_wire/_caller_output.py
+++ b/packages/wire/dandelionyoke_wire/_caller_output.py
@@ -13,7 +13,7 @@
     AnswerModels,
     AnswerService,
     AnswerStatus,
-    CallerGone,
+    CallerDisconnected,
     Event,
     FinishCall,
     Refusal,
@@ -113,13 +113,13 @@
         return True
 
     def close(self, *, completed: bool) -> None:
-        """Close the queue; emit CallerGone if the response is incomplete."""
+        """Close the queue; emit CallerDisconnected if the response is incomplete."""
         if not self._is_open:
             return
         self._is_open = False
         self._response_queues.close(self.request_id)
         if not completed:
-            self._emit(CallerGone(self.request_id))
+            self._emit(CallerDisconnected(self.request_id))
 
 
 def collect_response(
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -274,7 +274,7 @@
         """
         call = self.send(self.first, 'r1')
         assert call is not None
-        self.end(self.first, core.CallerGone('r1'))
+        self.end(self.first, core.CallerDisconnected('r1'))
         answer = core.ServiceAnswered('r1', call.attempt_id, 200, 't', b'done')
         self.end(self.first, answer)
         self.assertEqual([], self.first.all(core.AnswerService))
--- a/tests/core/test_request.py
+++ b/tests/core/test_request.py
@@ -408,7 +408,7 @@
         """
         entry = entry_with_call(Entry())
         entry.tell(output('r1.1', 0, 3))
-        entry.tell(core.CallerGone('r1'))
+        entry.tell(core.CallerDisconnected('r1'))
         self.assertEqual('r1.1', entry.last(core.CancelAttempt).attempt_id)
         self.assertEqual([], entry.all(core.RefuseCall))
         self.assertEqual(
