--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -156,7 +156,7 @@
     ShutdownRequested as ShutdownRequested,
     Started as Started,
     StatusRequested as StatusRequested,
-    StoreAnswered as StoreAnswered,
+    StoreResponded as StoreResponded,
     TargetOrderAnswered as TargetOrderAnswered,
     TargetsListed as TargetsListed,
     TargetUnreachable as TargetUnreachable,
--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -36,7 +36,7 @@
     PeerDisconnected,
     PeerMessageArrived,
     Started,
-    StoreAnswered,
+    StoreResponded,
     TimerFired,
 )
 from dandelionyoke_core._knowledge import Knowledge, KnowledgeSettings
@@ -67,7 +67,7 @@
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
         TimerFired,
-        StoreAnswered,
+        StoreResponded,
         PeerConnected,
         PeerDisconnected,
         PeerMessageArrived,
@@ -137,7 +137,7 @@
             case Started():
                 self._reader.schedule_read(now_s)
                 self._queries.start(now_s)
-            case StoreAnswered():
+            case StoreResponded():
                 return self._handle_store_answer(event, now_s)
             case PeerConnected(peer_id=peer_id):
                 self._queries.add_link(peer_id)
@@ -178,7 +178,7 @@
         return self._instance_id in self._watchers
 
     def _handle_store_answer(
-        self, event: StoreAnswered, now_s: float
+        self, event: StoreResponded, now_s: float
     ) -> list[Output]:
         actions, reading = self._reader.handle_answer(
             event, self._is_watcher(), now_s
--- a/packages/core/dandelionyoke_core/_configuration_reader.py
+++ b/packages/core/dandelionyoke_core/_configuration_reader.py
@@ -7,7 +7,7 @@
 from dandelionyoke_core._actions import Action, StoreWatch
 from dandelionyoke_core._entities import Change, Snapshot
 from dandelionyoke_core._errors import DandelionyokeError
-from dandelionyoke_core._events import StoreAnswered
+from dandelionyoke_core._events import StoreResponded
 from dandelionyoke_core._records import (
     StoreFailed,
     StoreItem,
@@ -112,7 +112,7 @@
         return self._begin(known_revision, is_watcher, now_s)
 
     def handle_answer(
-        self, event: StoreAnswered, is_watcher: bool, now_s: float
+        self, event: StoreResponded, is_watcher: bool, now_s: float
     ) -> tuple[list[Action], ConfirmedRead | None]:
         """Handle the answer to a store call of the pending read.
 
--- a/packages/core/dandelionyoke_core/_duty_lease.py
+++ b/packages/core/dandelionyoke_core/_duty_lease.py
@@ -23,7 +23,7 @@
 from dandelionyoke_core._codec import record_from_json, record_to_json
 from dandelionyoke_core._duty_lease_settings import DutyLeaseSettings
 from dandelionyoke_core._errors import CodecError
-from dandelionyoke_core._events import Event, StoreAnswered, TimerFired
+from dandelionyoke_core._events import Event, StoreResponded, TimerFired
 from dandelionyoke_core._names import InstanceId, LeaseId
 from dandelionyoke_core._notices import (
     DutyExtended,
@@ -77,7 +77,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         PeersKnown,
-        StoreAnswered,
+        StoreResponded,
         TimerFired,
         Leaving,
     )
@@ -109,7 +109,7 @@
         if self._state is DutyState.LEFT:
             return []
         match event:
-            case StoreAnswered():
+            case StoreResponded():
                 ended = self._slot.answered(event)
                 if ended is not None:
                     return self._handle_result(ended, now_s)
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -246,7 +246,7 @@
 
 
 @attrs.frozen
-class StoreAnswered(Event):
+class StoreResponded(Event):
     """A store operation ended."""
 
     operation_id: OperationId
--- a/packages/core/dandelionyoke_core/_idempotency.py
+++ b/packages/core/dandelionyoke_core/_idempotency.py
@@ -27,7 +27,7 @@
     Event,
     ServiceCallRequested,
     Started,
-    StoreAnswered,
+    StoreResponded,
     TimerFired,
 )
 from dandelionyoke_core._names import InstanceId, OrganisationId, RequestId
@@ -41,7 +41,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
-        StoreAnswered,
+        StoreResponded,
         TimerFired,
     )
 
@@ -68,7 +68,7 @@
         match event:
             case Started():
                 self._clock.start(event.wall_s, now_s)
-            case StoreAnswered():
+            case StoreResponded():
                 return self._handle_store_answer(event, now_s)
             case TimerFired():
                 return self._handle_wakeup(now_s)
@@ -150,7 +150,7 @@
         return self._state_machine.close(request_id, mark_in_doubt, now_s)
 
     def _handle_store_answer(
-        self, event: StoreAnswered, now_s: float
+        self, event: StoreResponded, now_s: float
     ) -> list[Output]:
         claim = self._table.match_answer(event.operation_id)
         if claim is not None:
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -24,7 +24,7 @@
     EngineOrderAnswered,
     Event,
     LoadReported,
-    StoreAnswered,
+    StoreResponded,
     TargetOrderAnswered,
     TargetsListed,
     TimerFired,
@@ -88,7 +88,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         TimerFired,
-        StoreAnswered,
+        StoreResponded,
         DutyGained,
         DutyExtended,
         DutyLost,
@@ -122,7 +122,7 @@
                 if event.duty == CONTROL_DUTY:
                     return self._handle_duty(event, now_s)
                 return []
-            case StoreAnswered():
+            case StoreResponded():
                 ended = self._journal.slot.answered(event)
                 return (
                     []
--- a/packages/core/dandelionyoke_core/_store_slot.py
+++ b/packages/core/dandelionyoke_core/_store_slot.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from dandelionyoke_core._events import StoreAnswered
+from dandelionyoke_core._events import StoreResponded
 from dandelionyoke_core._names import OperationId
 from dandelionyoke_core._records import StoreFailed, StoreResult
 
@@ -62,7 +62,7 @@
         """Drop the pending call; its answer will be ignored."""
         self._pending = None
 
-    def answered(self, event: StoreAnswered) -> EndedCall | None:
+    def answered(self, event: StoreResponded) -> EndedCall | None:
         """Return the result of the pending call; None for any other answer."""
         pending = self._pending
         if pending is None or event.operation_id != pending.operation_id:
--- a/packages/core/dandelionyoke_core/_store_task.py
+++ b/packages/core/dandelionyoke_core/_store_task.py
@@ -15,7 +15,7 @@
     StorePut,
     StoreWatch,
 )
-from dandelionyoke_core._events import StoreAnswered
+from dandelionyoke_core._events import StoreResponded
 from dandelionyoke_core._names import OperationId
 from dandelionyoke_core._records import StoreResult
 
@@ -37,7 +37,7 @@
         """Start the generator and return its first call."""
         return self._resume(None)
 
-    def handle(self, event: StoreAnswered, now_s: float) -> list[Action]:
+    def handle(self, event: StoreResponded, now_s: float) -> list[Action]:
         """Pass on the result of a call and return the next call, if any.
 
         An answer to any call but the pending one is ignored.
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -15,7 +15,7 @@
     PeerDisconnected,
     PeerMessageArrived,
     Started,
-    StoreAnswered,
+    StoreResponded,
     TimerFired,
     UsageAnswered,
 )
@@ -42,7 +42,7 @@
         Started,
         TimerFired,
         UsageDelivered,
-        StoreAnswered,
+        StoreResponded,
         UsageAnswered,
         PeerConnected,
         PeerDisconnected,
@@ -81,7 +81,7 @@
         match event:
             case UsageDelivered():
                 return self._counter.count(event, now_s)
-            case StoreAnswered():
+            case StoreResponded():
                 return self._handle_store_answer(event, now_s)
             case TimerFired():
                 return self._handle_wakeup(now_s)
@@ -121,7 +121,7 @@
         return []
 
     def _handle_store_answer(
-        self, event: StoreAnswered, now_s: float
+        self, event: StoreResponded, now_s: float
     ) -> list[Output]:
         for component in (self._counter, self._copies, self._reporter):
             ended = component.slot.answered(event)
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -20,7 +20,7 @@
     InstanceId,
     Leaving,
     PeersKnown,
-    StoreAnswered,
+    StoreResponded,
     TimerFired,
     WriteLog,
 )
@@ -149,4 +149,4 @@
     def _perform(self, action: Action) -> None:
         answer = self._store.perform(action)
         operation_id = getattr(action, 'operation_id')  # noqa: B009
-        self._inbox.put(StoreAnswered(operation_id, answer))
+        self._inbox.put(StoreResponded(operation_id, answer))
--- a/packages/operator/dandelionyoke_operator/_repository.py
+++ b/packages/operator/dandelionyoke_operator/_repository.py
@@ -16,13 +16,13 @@
     Operation,
     Proposal,
     Rejected,
-    StoreAnswered,
     StoreDelete,
     StoreFailed,
     StoreGet,
     StoreLayoutSettings,
     StoreList,
     StorePut,
+    StoreResponded,
     Unsettled,
 )
 from dandelionyoke_operator._environment import Environment
@@ -50,7 +50,7 @@
     def begin(self) -> list[Action]:
         """Return the first actions."""
 
-    def handle(self, event: StoreAnswered, now_s: float) -> list[Action]:
+    def handle(self, event: StoreResponded, now_s: float) -> list[Action]:
         """Process an answer and return the next actions."""
 
     @property
@@ -144,7 +144,7 @@
                 # A store that is down refuses immediately. Without a delay
                 # all attempts would be used up before it could recover.
                 self._environment.sleep(RETRY_DELAY_S)
-            answered = StoreAnswered(action.operation_id, result)
+            answered = StoreResponded(action.operation_id, result)
             pending.extend(
                 machine.handle(answered, self._environment.monotonic_s())
             )
--- a/packages/standins/dandelionyoke_standins/_spread.py
+++ b/packages/standins/dandelionyoke_standins/_spread.py
@@ -30,7 +30,7 @@
     ServiceName,
     SharedRecord,
     ShareRecord,
-    StoreAnswered,
+    StoreResponded,
     hash_key,
 )
 from dandelionyoke_standins._spread_node import PropagationSettings, VirtualNode
@@ -99,7 +99,7 @@
         call = calls[0]
         if not hasattr(call, 'operation_id'):
             break
-        answer = StoreAnswered(call.operation_id, store.call(call))
+        answer = StoreResponded(call.operation_id, store.call(call))
         calls = committer.handle(answer, 0)
     outcome: CommitOutcome | None = committer.outcome
     if not isinstance(outcome, Committed):
--- a/packages/standins/dandelionyoke_standins/_spread_store.py
+++ b/packages/standins/dandelionyoke_standins/_spread_store.py
@@ -5,7 +5,6 @@
 
 from dandelionyoke_core import (
     Action,
-    StoreAnswered,
     StoreConflict,
     StoreDelete,
     StoreFailed,
@@ -13,12 +12,13 @@
     StoreItem,
     StoreListing,
     StorePut,
+    StoreResponded,
     StoreResult,
     StoreWatch,
     StoreWritten,
 )
 
-AnswerCallback = Callable[[StoreAnswered], None]
+AnswerCallback = Callable[[StoreResponded], None]
 
 
 class VirtualStore:
@@ -54,7 +54,7 @@
         self.calls[type(action).__name__] += 1
         if self.is_out:
             failed = StoreFailed('unavailable', may_have_happened=False)
-            answer(StoreAnswered(action.operation_id, failed))
+            answer(StoreResponded(action.operation_id, failed))
             return
         self._watches.append((action, answer))
         self._answer_watches()
@@ -65,7 +65,7 @@
             if watch[0] is action:
                 self._watches.remove(watch)
                 watch[1](
-                    StoreAnswered(action.operation_id, self._empty_result())
+                    StoreResponded(action.operation_id, self._empty_result())
                 )
 
     def _empty_result(self) -> StoreResult:
@@ -117,4 +117,4 @@
             if changed:
                 self._watches.remove((action, answer))
                 listing = StoreListing(self.revision, changed)
-                answer(StoreAnswered(action.operation_id, listing))
+                answer(StoreResponded(action.operation_id, listing))
--- a/packages/standins/dandelionyoke_standins/_spread_world.py
+++ b/packages/standins/dandelionyoke_standins/_spread_world.py
@@ -28,11 +28,11 @@
     PeerMessageArrived,
     SendPeer,
     Started,
-    StoreAnswered,
     StoreDelete,
     StoreFailed,
     StoreGet,
     StorePut,
+    StoreResponded,
     StoreWatch,
     TimerFired,
     WriteLog,
@@ -263,7 +263,7 @@
             self._perform_store_call(node, action)
             return
         failed = StoreFailed('timeout', may_have_happened=True)
-        answer = StoreAnswered(action.operation_id, failed)
+        answer = StoreResponded(action.operation_id, failed)
         self.call_later(CALL_TIMEOUT_S, lambda: self.give(node, answer))
 
     def _perform_store_call(self, node: VirtualNode, action: StoreCall) -> None:
@@ -273,10 +273,10 @@
             )
             self.call_later(action.wait_s, lambda: self.store.end_watch(action))
             return
-        ended = StoreAnswered(action.operation_id, self.store.call(action))
+        ended = StoreResponded(action.operation_id, self.store.call(action))
         self._deliver_answer(node, ended)
 
-    def _deliver_answer(self, node: VirtualNode, event: StoreAnswered) -> None:
+    def _deliver_answer(self, node: VirtualNode, event: StoreResponded) -> None:
         if self._can_reach(node, PLATFORM):
             self.call_later(PLATFORM_DELAY_S, lambda: self.give(node, event))
 
--- a/packages/standins/dandelionyoke_standins/_world_platform.py
+++ b/packages/standins/dandelionyoke_standins/_world_platform.py
@@ -17,8 +17,8 @@
     OperationId,
     OrderState,
     SendTargetOrder,
-    StoreAnswered,
     StoreFailed,
+    StoreResponded,
     StoreResult,
     StoreWatch,
     SubmitUsage,
@@ -186,7 +186,7 @@
     def _deliver_store_result(
         self, instance_id: InstanceId, action: Action, result: StoreResult
     ) -> None:
-        event = StoreAnswered(_operation_id(action), result)
+        event = StoreResponded(_operation_id(action), result)
         delay_s = self._simulation.settings.store_delay_s
         delay_s += self._model.faults.delay_s
         self._simulation.send_later(instance_id, delay_s, event)
@@ -220,7 +220,7 @@
         if not self._simulation.reaches(watch.instance_id, PLATFORM):
             self._fail_store_call(watch.instance_id, watch.action)
             return
-        event = StoreAnswered(
+        event = StoreResponded(
             watch.action.operation_id,
             listing_from_changes(self._changes(watch)),
         )
--- a/packages/standins/dandelionyoke_standins/_world_setup.py
+++ b/packages/standins/dandelionyoke_standins/_world_setup.py
@@ -17,7 +17,7 @@
     Operation,
     Proposal,
     Started,
-    StoreAnswered,
+    StoreResponded,
 )
 from dandelionyoke_standins._engine import EngineModel, EngineSettings
 from dandelionyoke_standins._node_simulation import NodeHandler, NodeSimulation
@@ -123,7 +123,7 @@
         action = pending.pop(0)
         result = perform_store(simulation.platform, action, simulation.now_s)
         operation_id = action.operation_id  # type: ignore[attr-defined]
-        event = StoreAnswered(operation_id, result)
+        event = StoreResponded(operation_id, result)
         pending.extend(committer.handle(event, simulation.now_s))
     simulation.answer_watches()
     outcome = committer.outcome
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -35,11 +35,11 @@
     SendTargetOrder,
     SendTokens,
     StartAttempt,
-    StoreAnswered,
     StoreDelete,
     StoreGet,
     StoreList,
     StorePut,
+    StoreResponded,
     StoreWatch,
     SubmitUsage,
     TimerFired,
@@ -228,7 +228,7 @@
 
     def _call_store(self, action: StoreAction) -> None:
         result = self._store.perform(action)
-        self._event_queue.put(StoreAnswered(action.operation_id, result))
+        self._event_queue.put(StoreResponded(action.operation_id, result))
 
     def _start_attempt(self, action: AttemptAction) -> None:
         task = self._green_threads.spawn(self._run_attempt, action)
--- a/tests/core/agreement.py
+++ b/tests/core/agreement.py
@@ -18,8 +18,8 @@
     Put,
     Remove,
     Section,
-    StoreAnswered,
     StoreLayoutSettings,
+    StoreResponded,
     hash_key,
 )
 from dandelionyoke_standins._spread_node import PropagationSettings
@@ -60,7 +60,7 @@
     actions: list[Action],
 ) -> list[Action]:
     (action,) = actions
-    answer = StoreAnswered(action.operation_id, store.call(action))
+    answer = StoreResponded(action.operation_id, store.call(action))
     return state_machine.handle(answer, 0)
 
 
--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -32,8 +32,8 @@
     Put,
     RequestId,
     Service,
-    StoreAnswered,
     StoreFailed,
+    StoreResponded,
     TimerFired,
     hash_key,
     record_from_json,
@@ -138,7 +138,7 @@
             assert self.perform is not None
             return self.perform(self, name, action)
         stored = perform_store(self.platform, action, self.now_s)
-        return StoreAnswered(operation_id, stored)
+        return StoreResponded(operation_id, stored)
 
     def answer(self, name: str) -> bool:
         """Perform the oldest call and deliver its answer."""
@@ -147,8 +147,8 @@
     def lose(self, name: str) -> bool:
         """Perform the oldest call and lose its answer."""
         event = self.effect(name)
-        if isinstance(event, StoreAnswered):
-            event = StoreAnswered(event.operation_id, LOST)
+        if isinstance(event, StoreResponded):
+            event = StoreResponded(event.operation_id, LOST)
         return self._deliver(name, event)
 
     def withhold(self, name: str) -> bool:
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -312,7 +312,7 @@
         if isinstance(action, core.StoreGet | core.StorePut | core.StoreDelete):
             result = store.perform(action)
             waiting += entry.tell(
-                core.StoreAnswered(action.operation_id, result)
+                core.StoreResponded(action.operation_id, result)
             )
     return done
 
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -44,9 +44,9 @@
     ServiceName,
     Snapshot,
     Started,
-    StoreAnswered,
     StoreGet,
     StoreItem,
+    StoreResponded,
     StoreWatch,
     TimerFired,
     Unsettled,
@@ -388,7 +388,7 @@
         elif key.startswith('config/snapshot/'):
             text = record_to_json(self.snapshots[int(key.split('/')[-1])])
         item = StoreItem(key, last + 1, text)
-        return [StoreAnswered(calls[-1].operation_id, item)]
+        return [StoreResponded(calls[-1].operation_id, item)]
 
     def _check(self, part, outputs) -> None:
         in_force = [
--- a/tests/core/test_duty_lease.py
+++ b/tests/core/test_duty_lease.py
@@ -22,11 +22,11 @@
     Leaving,
     Part,
     PeersKnown,
-    StoreAnswered,
     StoreFailed,
     StoreGet,
     StoreItem,
     StorePut,
+    StoreResponded,
     StoreResult,
     StoreWritten,
     TimerFired,
@@ -259,7 +259,7 @@
                 if isinstance(action, action_type):
                     self.outputs = []
                     self.handle_event(
-                        StoreAnswered(action.operation_id, result)
+                        StoreResponded(action.operation_id, result)
                     )
                     return action
             self.now_s = self.part.next_wakeup_s() or self.now_s
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -77,7 +77,7 @@
             performed = self.store.perform(action)
             result = performed if mode == OK else result
         self.tell(
-            pending_call.entry, core.StoreAnswered(action.operation_id, result)
+            pending_call.entry, core.StoreResponded(action.operation_id, result)
         )
 
     def serve(self, entry: Entry, call: core.CallService, mode: int) -> None:
@@ -393,7 +393,7 @@
             self.second.wait(settings.sweep_interval_s * 2)
             listing = self.second.last(core.StoreList)
             answer = core.StoreListing(1, (item,))
-            self.second.tell(core.StoreAnswered(listing.operation_id, answer))
+            self.second.tell(core.StoreResponded(listing.operation_id, answer))
             self.assertEqual(deletes, len(self.second.all(core.StoreDelete)))
 
 
@@ -413,7 +413,7 @@
                 if failed is not None and answered < len(puts):
                     answered += 1
                     operation_id = puts[-1].operation_id
-                    entry.tell(core.StoreAnswered(operation_id, failed))
+                    entry.tell(core.StoreResponded(operation_id, failed))
                 entry.wait(0.05)
             expected = (core.RefusalKind.STORE_DOWN, core.RunState.NO)
             self.assertEqual(expected, refusal_of(entry, 'r1'))
@@ -432,7 +432,7 @@
         for _ in range(100):
             put = entry.last(core.StorePut)
             failed = core.StoreFailed('503', may_have_happened=False)
-            entry.tell(core.StoreAnswered(put.operation_id, failed))
+            entry.tell(core.StoreResponded(put.operation_id, failed))
             entry.wait(6)
         serve(entry, store, [entry.last(core.StorePut)])
         self.assertEqual(0, entry.idempotency.in_progress)
@@ -451,7 +451,7 @@
         assert isinstance(put, core.StorePut)
         store.perform(put)
         failed = core.StoreFailed('cut', may_have_happened=True)
-        entry.tell(core.StoreAnswered(put.operation_id, failed))
+        entry.tell(core.StoreResponded(put.operation_id, failed))
         (read,) = entry.wait(1)
         self.assertIsInstance(read, core.StoreGet)
         serve(entry, store, [read])
