--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -138,7 +138,7 @@
     CacheEventsReported as CacheEventsReported,
     CallerDisconnected as CallerDisconnected,
     CompletionRequested as CompletionRequested,
-    EngineOrderAnswered as EngineOrderAnswered,
+    EngineOrderResponded as EngineOrderResponded,
     Event as Event,
     InstancesListed as InstancesListed,
     ListingFailed as ListingFailed,
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -198,7 +198,7 @@
 
 
 @attrs.frozen
-class EngineOrderAnswered(Event):
+class EngineOrderResponded(Event):
     """An engine answered an order; the state is UNKNOWN without an answer."""
 
     target_id: TargetId
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -21,7 +21,7 @@
 from dandelionyoke_core._back_off import BackOff
 from dandelionyoke_core._errors import CodecError
 from dandelionyoke_core._events import (
-    EngineOrderAnswered,
+    EngineOrderResponded,
     Event,
     LoadReported,
     StoreResponded,
@@ -94,7 +94,7 @@
         DutyLost,
         RoleWanted,
         TargetsWanted,
-        EngineOrderAnswered,
+        EngineOrderResponded,
         TargetOrderAnswered,
         LoadReported,
         TargetsListed,
@@ -194,7 +194,7 @@
         match event:
             case RoleWanted() | TargetsWanted():
                 self._add_plans(event, duty.order_ids, now_s)
-            case EngineOrderAnswered() | TargetOrderAnswered():
+            case EngineOrderResponded() | TargetOrderAnswered():
                 self._handle_order_answer(event, duty.order_ids, now_s)
             case LoadReported():
                 self._handle_load_report(event, duty.order_ids, now_s)
@@ -252,7 +252,7 @@
 
     def _handle_order_answer(
         self,
-        event: EngineOrderAnswered | TargetOrderAnswered,
+        event: EngineOrderResponded | TargetOrderAnswered,
         order_ids: OrderIdGenerator,
         now_s: float,
     ) -> None:
@@ -283,7 +283,7 @@
         self._advance_plan(plan, after_refusal(plan, order_ids), now_s)
 
     def _plan_of(
-        self, event: EngineOrderAnswered | TargetOrderAnswered
+        self, event: EngineOrderResponded | TargetOrderAnswered
     ) -> Plan | None:
         for plan in self._journal.plans.values():
             if plan.order_id == event.order_id:
--- a/packages/standins/dandelionyoke_standins/_world_targets.py
+++ b/packages/standins/dandelionyoke_standins/_world_targets.py
@@ -18,7 +18,7 @@
     CacheEventsReported,
     CallService,
     CancelAttempt,
-    EngineOrderAnswered,
+    EngineOrderResponded,
     Event,
     LoadReport,
     LoadReported,
@@ -191,7 +191,7 @@
             ),
             now_s,
         )
-        return EngineOrderAnswered(
+        return EngineOrderResponded(
             action.target_id,
             order.order_id,
             OrderState(answer.state),
@@ -206,7 +206,7 @@
             answer = self.model.order_state(action.order_id, now_s)
         except MissingError:
             return _unknown_order_event(action.target_id, action.order_id)
-        return EngineOrderAnswered(
+        return EngineOrderResponded(
             action.target_id,
             action.order_id,
             OrderState(answer.state),
@@ -342,6 +342,6 @@
 
 
 def _unknown_order_event(target_id: Any, order_id: Any) -> Event:
-    return EngineOrderAnswered(
+    return EngineOrderResponded(
         target_id, order_id, OrderState.UNKNOWN, 'no answer'
     )
--- a/packages/wire/dandelionyoke_wire/_engine.py
+++ b/packages/wire/dandelionyoke_wire/_engine.py
@@ -17,7 +17,7 @@
     CacheEvent,
     CacheEventsReported,
     CancelAttempt,
-    EngineOrderAnswered,
+    EngineOrderResponded,
     Event,
     LoadReport,
     LoadReported,
@@ -191,7 +191,7 @@
             return
         cause = str(response.body.get('cause', ''))
         self._emit(
-            EngineOrderAnswered(action.target_id, order_id, state, cause)
+            EngineOrderResponded(action.target_id, order_id, state, cause)
         )
 
     def _emit_order_unknown(
@@ -201,7 +201,7 @@
         cause: str,
     ) -> None:
         self._emit(
-            EngineOrderAnswered(
+            EngineOrderResponded(
                 action.target_id, order_id, OrderState.UNKNOWN, cause
             )
         )
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -13,7 +13,7 @@
     DutyGained,
     DutyLeasePart,
     DutyLeaseSettings,
-    EngineOrderAnswered,
+    EngineOrderResponded,
     Event,
     Instance,
     Journal,
@@ -132,7 +132,7 @@
         if now_s * bench.entries[name].rate >= action.not_after_s:
             if isinstance(action, SendTargetOrder):
                 return TargetOrderAnswered(order.order_id, OrderState.UNKNOWN)
-            return EngineOrderAnswered(
+            return EngineOrderResponded(
                 TARGET_ID, order.order_id, OrderState.UNKNOWN
             )
         holder = bench.platform.store.read(f'duty/{DOMAIN}/{CONTROL_DUTY}')
@@ -274,7 +274,7 @@
                 order_id = waiting[0].order.order_id
                 if bench.now_s < 12:
                     bench.effect(FIRST)
-                    unknown = EngineOrderAnswered(
+                    unknown = EngineOrderResponded(
                         TARGET_ID, order_id, OrderState.UNKNOWN
                     )
                     bench.entries[FIRST].take(unknown, bench.now_s)
