--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -157,7 +157,7 @@
     Started as Started,
     StatusRequested as StatusRequested,
     StoreResponded as StoreResponded,
-    TargetOrderAnswered as TargetOrderAnswered,
+    TargetOrderResponded as TargetOrderResponded,
     TargetsListed as TargetsListed,
     TargetUnreachable as TargetUnreachable,
     TimerFired as TimerFired,
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -208,7 +208,7 @@
 
 
 @attrs.frozen
-class TargetOrderAnswered(Event):
+class TargetOrderResponded(Event):
     """The platform answered an order; UNKNOWN without an answer."""
 
     order_id: OrderId
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -25,7 +25,7 @@
     Event,
     LoadReported,
     StoreResponded,
-    TargetOrderAnswered,
+    TargetOrderResponded,
     TargetsListed,
     TimerFired,
 )
@@ -95,7 +95,7 @@
         RoleWanted,
         TargetsWanted,
         EngineOrderResponded,
-        TargetOrderAnswered,
+        TargetOrderResponded,
         LoadReported,
         TargetsListed,
     )
@@ -194,7 +194,7 @@
         match event:
             case RoleWanted() | TargetsWanted():
                 self._add_plans(event, duty.order_ids, now_s)
-            case EngineOrderResponded() | TargetOrderAnswered():
+            case EngineOrderResponded() | TargetOrderResponded():
                 self._handle_order_answer(event, duty.order_ids, now_s)
             case LoadReported():
                 self._handle_load_report(event, duty.order_ids, now_s)
@@ -252,14 +252,14 @@
 
     def _handle_order_answer(
         self,
-        event: EngineOrderResponded | TargetOrderAnswered,
+        event: EngineOrderResponded | TargetOrderResponded,
         order_ids: OrderIdGenerator,
         now_s: float,
     ) -> None:
         plan = self._plan_of(event)
         if plan is None:
             return
-        is_platform = isinstance(event, TargetOrderAnswered)
+        is_platform = isinstance(event, TargetOrderResponded)
         match event.state:
             case OrderState.DONE:
                 self._advance_plan(plan, after_success(plan, order_ids), now_s)
@@ -283,7 +283,7 @@
         self._advance_plan(plan, after_refusal(plan, order_ids), now_s)
 
     def _plan_of(
-        self, event: EngineOrderResponded | TargetOrderAnswered
+        self, event: EngineOrderResponded | TargetOrderResponded
     ) -> Plan | None:
         for plan in self._journal.plans.values():
             if plan.order_id == event.order_id:
--- a/packages/standins/dandelionyoke_standins/_world_platform.py
+++ b/packages/standins/dandelionyoke_standins/_world_platform.py
@@ -23,7 +23,7 @@
     StoreWatch,
     SubmitUsage,
     Target,
-    TargetOrderAnswered,
+    TargetOrderResponded,
     TargetsListed,
     UsageAnswered,
 )
@@ -127,10 +127,10 @@
     ) -> Event:
         order = action.order
         if not is_available or self._simulation.now_s >= action.not_after_s:
-            return TargetOrderAnswered(order.order_id, OrderState.UNKNOWN)
+            return TargetOrderResponded(order.order_id, OrderState.UNKNOWN)
         model_order = cattrs.structure(cattrs.unstructure(order), TargetOrder)
         answer = self._model.order_targets(model_order, self._simulation.now_s)
-        return TargetOrderAnswered(
+        return TargetOrderResponded(
             order.order_id, OrderState(answer.state), answer.cause
         )
 
--- a/packages/wire/dandelionyoke_wire/_platform.py
+++ b/packages/wire/dandelionyoke_wire/_platform.py
@@ -16,7 +16,7 @@
     SubmitUsage,
     Target,
     TargetOrder,
-    TargetOrderAnswered,
+    TargetOrderResponded,
     TargetsListed,
     UsageAnswered,
     UsageWindow,
@@ -66,7 +66,7 @@
             state = OrderState(response.body['state'])
         except _CALL_ERRORS as error:
             cause = str(error)
-        self._emit(TargetOrderAnswered(action.order.order_id, state, cause))
+        self._emit(TargetOrderResponded(action.order.order_id, state, cause))
 
     def submit_usage(self, action: SubmitUsage, may_send: MaySend) -> None:
         """Report a usage window; `may_send` is checked before each write."""
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -33,7 +33,7 @@
     ServiceName,
     Target,
     TargetId,
-    TargetOrderAnswered,
+    TargetOrderResponded,
     TargetsListed,
     TargetsWanted,
     record_from_json,
@@ -131,7 +131,7 @@
         order = action.order
         if now_s * bench.entries[name].rate >= action.not_after_s:
             if isinstance(action, SendTargetOrder):
-                return TargetOrderAnswered(order.order_id, OrderState.UNKNOWN)
+                return TargetOrderResponded(order.order_id, OrderState.UNKNOWN)
             return EngineOrderResponded(
                 TARGET_ID, order.order_id, OrderState.UNKNOWN
             )
@@ -142,7 +142,7 @@
     if isinstance(action, SendTargetOrder):
         raw = cattrs.structure(cattrs.unstructure(action.order), TargetOrder)
         answer = bench.platform.order_targets(raw, now_s)
-        return TargetOrderAnswered(
+        return TargetOrderResponded(
             action.order.order_id, OrderState(answer.state)
         )
     return bench.engine.take(name, action, now_s)[0].event
