--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -162,7 +162,7 @@
     TargetUnreachable as TargetUnreachable,
     TimerFired as TimerFired,
     TokensArrived as TokensArrived,
-    UsageAnswered as UsageAnswered,
+    UsageReportResponded as UsageReportResponded,
 )
 from dandelionyoke_core._fleet import (
     CONTROL_DUTY as CONTROL_DUTY,
--- a/packages/core/dandelionyoke_core/_events.py
+++ b/packages/core/dandelionyoke_core/_events.py
@@ -238,7 +238,7 @@
 
 
 @attrs.frozen
-class UsageAnswered(Event):
+class UsageReportResponded(Event):
     """The platform accepted a usage window or not; None if unknown."""
 
     window_id: WindowId
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -17,7 +17,7 @@
     Started,
     StoreResponded,
     TimerFired,
-    UsageAnswered,
+    UsageReportResponded,
 )
 from dandelionyoke_core._notices import (
     DutyExtended,
@@ -43,7 +43,7 @@
         TimerFired,
         UsageDelivered,
         StoreResponded,
-        UsageAnswered,
+        UsageReportResponded,
         PeerConnected,
         PeerDisconnected,
         PeerMessageArrived,
@@ -89,7 +89,7 @@
                 deadline_s = now_s + self._settings.final_flush_timeout_s
                 self._final_flush_deadline_s = deadline_s
                 return self._counter.flush(now_s)
-            case Started() | UsageAnswered():
+            case Started() | UsageReportResponded():
                 return self._reporter.handle(event, now_s)
             case DutyGained() | DutyExtended() | DutyLost():
                 if event.duty == REPORT_DUTY:
--- a/packages/core/dandelionyoke_core/_usage_windows.py
+++ b/packages/core/dandelionyoke_core/_usage_windows.py
@@ -22,7 +22,7 @@
 from dandelionyoke_core._back_off import BackOff
 from dandelionyoke_core._codec import record_from_json, record_to_json
 from dandelionyoke_core._errors import CodecError
-from dandelionyoke_core._events import Event, Started, UsageAnswered
+from dandelionyoke_core._events import Event, Started, UsageReportResponded
 from dandelionyoke_core._names import WindowId
 from dandelionyoke_core._notices import DutyExtended, DutyGained, DutyLost
 from dandelionyoke_core._ports import Output
@@ -108,7 +108,7 @@
                 self._duty = ReportDuty(event.fence, event.until_s)
             case DutyLost():
                 self._stop()
-            case UsageAnswered():
+            case UsageReportResponded():
                 return self._handle_submission_answer(event, now_s)
         return []
 
@@ -283,7 +283,7 @@
         return SubmitUsage(window, min(duty.until_s, limit_s))
 
     def _handle_submission_answer(
-        self, event: UsageAnswered, now_s: float
+        self, event: UsageReportResponded, now_s: float
     ) -> list[Output]:
         if self._step is not ReporterStep.REPORTING:
             return []
--- a/packages/standins/dandelionyoke_standins/_world_platform.py
+++ b/packages/standins/dandelionyoke_standins/_world_platform.py
@@ -25,7 +25,7 @@
     Target,
     TargetOrderResponded,
     TargetsListed,
-    UsageAnswered,
+    UsageReportResponded,
 )
 from dandelionyoke_standins import _platform as platform_models
 from dandelionyoke_standins._errors import StandinError
@@ -139,15 +139,15 @@
     ) -> Event:
         window = action.window
         if not is_available or self._simulation.now_s >= action.not_after_s:
-            return UsageAnswered(window.window_id, None)
+            return UsageReportResponded(window.window_id, None)
         model_window = cattrs.structure(
             cattrs.unstructure(window), platform_models.UsageWindow
         )
         try:
             self._model.report_usage(model_window, self._simulation.now_s)
         except StandinError:
-            return UsageAnswered(window.window_id, None)
-        return UsageAnswered(window.window_id, accepted=True)
+            return UsageReportResponded(window.window_id, None)
+        return UsageReportResponded(window.window_id, accepted=True)
 
     def submit_store_call(
         self, instance_id: InstanceId, action: Action
--- a/packages/wire/dandelionyoke_wire/_platform.py
+++ b/packages/wire/dandelionyoke_wire/_platform.py
@@ -18,7 +18,7 @@
     TargetOrder,
     TargetOrderResponded,
     TargetsListed,
-    UsageAnswered,
+    UsageReportResponded,
     UsageWindow,
 )
 from dandelionyoke_wire._guarded import MaySend, call_guarded
@@ -78,7 +78,7 @@
             accepted = None
         else:
             accepted = response.status == HTTPStatus.OK
-        self._emit(UsageAnswered(window.window_id, accepted))
+        self._emit(UsageReportResponded(window.window_id, accepted))
 
     def _call_guarded(
         self,
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -22,9 +22,9 @@
     Started,
     StorePut,
     SubmitUsage,
-    UsageAnswered,
     UsageDelivered,
     UsagePart,
+    UsageReportResponded,
     UsageSettings,
 )
 from dandelionyoke_standins import NodeSimulation, PlatformModel
@@ -65,12 +65,12 @@
     assert isinstance(action, SubmitUsage)
     window = action.window
     if bench.now_s * bench.entries[name].rate >= action.not_after_s:
-        return UsageAnswered(window.window_id, None)
+        return UsageReportResponded(window.window_id, None)
     holder = bench.platform.store.read(f'duty/{DOMAIN}/{REPORT_DUTY}')
     assert window.fence == holder.revision, 'reported by one who lost the duty'
     raw = cattrs.structure(cattrs.unstructure(window), UsageWindow)
     bench.platform.report_usage(raw, bench.now_s)
-    return UsageAnswered(window.window_id, accepted=True)
+    return UsageReportResponded(window.window_id, accepted=True)
 
 
 def make_delivery(tokens: int, requests: int = 0) -> UsageDelivered:
