--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -3,7 +3,6 @@
 from dandelionyoke_core._actions import (
     Action as Action,
     AnswerModels as AnswerModels,
-    AnswerService as AnswerService,
     AnswerStatus as AnswerStatus,
     CallService as CallService,
     CancelAttempt as CancelAttempt,
@@ -23,6 +22,7 @@
     PollLoad as PollLoad,
     ReadEngineOrder as ReadEngineOrder,
     RefuseCall as RefuseCall,
+    RespondService as RespondService,
     ResumeAttempt as ResumeAttempt,
     SendEngineOrder as SendEngineOrder,
     SendPeer as SendPeer,
--- a/packages/core/dandelionyoke_core/_actions.py
+++ b/packages/core/dandelionyoke_core/_actions.py
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class AnswerService(Action):
+class RespondService(Action):
     """Forward a plain service's answer to the caller."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -1,9 +1,9 @@
 """Calls of plain services, run at most once if they are unrepeatable."""
 
 from dandelionyoke_core._actions import (
-    AnswerService,
     CallService,
     DropAttempt,
+    RespondService,
     WriteLog,
 )
 from dandelionyoke_core._call import Call, Phase
@@ -66,7 +66,7 @@
             return outputs
         return [
             *outputs,
-            AnswerService(
+            RespondService(
                 call.request_id, event.status, event.content_type, event.body
             ),
             WriteLog(
@@ -108,7 +108,7 @@
         outputs: list[Output] = []
         if not call.caller_gone:
             outputs.append(
-                AnswerService(
+                RespondService(
                     call.request_id,
                     event.status,
                     event.content_type,
--- a/packages/standins/dandelionyoke_standins/_node_simulation.py
+++ b/packages/standins/dandelionyoke_standins/_node_simulation.py
@@ -17,7 +17,6 @@
 
 from dandelionyoke_core import (
     Action,
-    AnswerService,
     CallService,
     CancelAttempt,
     ConnectPeer,
@@ -37,6 +36,7 @@
     ReadEngineOrder,
     RefuseCall,
     RequestId,
+    RespondService,
     ResumeAttempt,
     SendEngineOrder,
     SendPeer,
@@ -78,7 +78,7 @@
     tokens: list[str] = attrs.field(factory=list)
     token_times_s: list[float] = attrs.field(factory=list)
     finished: FinishCall | None = None
-    answered: AnswerService | None = None
+    answered: RespondService | None = None
     refused: RefuseCall | None = None
     ended_s: float | None = None
 
@@ -269,7 +269,7 @@
         return {
             SendTokens: self._record_tokens,
             FinishCall: self._record_end,
-            AnswerService: self._record_end,
+            RespondService: self._record_end,
             RefuseCall: self._record_end,
             StartAttempt: self._send_to_target,
             ResumeAttempt: self._send_to_target,
@@ -308,14 +308,14 @@
     def _record_end(
         self,
         instance_id: InstanceId,
-        action: FinishCall | AnswerService | RefuseCall,
+        action: FinishCall | RespondService | RefuseCall,
     ) -> None:
         call = self.calls[action.request_id]
         call.ended_s = self.now_s
         match action:
             case FinishCall():
                 call.finished = action
-            case AnswerService():
+            case RespondService():
                 call.answered = action
             case RefuseCall():
                 call.refused = action
--- a/packages/wire/dandelionyoke_wire/_caller_output.py
+++ b/packages/wire/dandelionyoke_wire/_caller_output.py
@@ -11,7 +11,6 @@
 from dandelionyoke_core import (
     Action,
     AnswerModels,
-    AnswerService,
     AnswerStatus,
     CallerDisconnected,
     Event,
@@ -19,6 +18,7 @@
     Refusal,
     RefuseCall,
     RequestId,
+    RespondService,
     SendTokens,
 )
 from dandelionyoke_wire import _openai as openai
@@ -197,7 +197,7 @@
     match action:
         case RefuseCall():
             return refusal_response(request_id, action.refusal)
-        case AnswerService():
+        case RespondService():
             headers = [
                 ('Content-Type', action.content_type or JSON_TYPE),
                 ('X-Request-Id', request_id),
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -10,7 +10,6 @@
 from dandelionyoke_core import (
     Action,
     AnswerModels,
-    AnswerService,
     AnswerStatus,
     AttemptId,
     CallService,
@@ -29,6 +28,7 @@
     PollLoad,
     ReadEngineOrder,
     RefuseCall,
+    RespondService,
     ResumeAttempt,
     SendEngineOrder,
     SendPeer,
@@ -62,7 +62,7 @@
 CallerAction = (
     SendTokens
     | FinishCall
-    | AnswerService
+    | RespondService
     | AnswerModels
     | AnswerStatus
     | RefuseCall
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -112,7 +112,7 @@
         return [
             action
             for action in entry.said
-            if isinstance(action, core.AnswerService | core.RefuseCall)
+            if isinstance(action, core.RespondService | core.RefuseCall)
         ]
 
     def check(self) -> None:
@@ -124,7 +124,7 @@
             request_ids = [end.request_id for end in self.outcomes(entry)]
             assert len(request_ids) == len(set(request_ids)) == 1, request_ids
             for end in self.outcomes(entry):
-                answered = isinstance(end, core.AnswerService)
+                answered = isinstance(end, core.RespondService)
                 assert not answered or self.runs.total() == 1
                 if (
                     isinstance(end, core.RefuseCall)
@@ -221,8 +221,8 @@
         self.assertEqual([2, 0], list(map(len, store_calls)))
         self.assertIsNone(self.send(self.second, 'r3'))
         self.assertEqual(
-            [core.AnswerService('r3', 201, 't', b'done')],
-            self.second.all(core.AnswerService),
+            [core.RespondService('r3', 201, 't', b'done')],
+            self.second.all(core.RespondService),
         )
 
     def test_a_repeat_before_the_end_is_stored_waits_for_it(self) -> None:
@@ -237,7 +237,7 @@
         serve(self.second, self.store, self.second.tell(confirm('r2')))
         serve(self.first, self.store, on_its_way)
         serve(self.second, self.store, self.second.wait(0.3))
-        self.assertEqual('r2', self.second.last(core.AnswerService).request_id)
+        self.assertEqual('r2', self.second.last(core.RespondService).request_id)
 
     def test_the_claim_of_a_killed_owner_is_in_doubt(self) -> None:
         """An entry is killed while the service works on its call.
@@ -277,9 +277,9 @@
         self.end(self.first, core.CallerDisconnected('r1'))
         answer = core.ServiceAnswered('r1', call.attempt_id, 200, 't', b'done')
         self.end(self.first, answer)
-        self.assertEqual([], self.first.all(core.AnswerService))
+        self.assertEqual([], self.first.all(core.RespondService))
         self.send(self.second, 'r2')
-        self.assertEqual(b'done', self.second.last(core.AnswerService).body)
+        self.assertEqual(b'done', self.second.last(core.RespondService).body)
         self.assertEqual(1, self.first.usage.requests)
 
     def test_a_retry_depends_on_how_the_attempt_ended(self) -> None:
@@ -357,7 +357,7 @@
             self.first,
             core.ServiceAnswered('r1', call.attempt_id, 200, 't', body),
         )
-        self.assertEqual(body, self.first.last(core.AnswerService).body)
+        self.assertEqual(body, self.first.last(core.RespondService).body)
         self.assertIsNone(self.send(self.second, 'r2'))
         refusal = self.second.refusal('r2')
         assert refusal is not None
@@ -428,7 +428,7 @@
         entry, store = Entry(), Store()
         serve(entry, store, entry.tell(confirm()))
         entry.tell(core.ServiceAnswered('r1', 'r1.1', 200, 't', b'done'))
-        self.assertEqual(b'done', entry.last(core.AnswerService).body)
+        self.assertEqual(b'done', entry.last(core.RespondService).body)
         for _ in range(100):
             put = entry.last(core.StorePut)
             failed = core.StoreFailed('503', may_have_happened=False)
@@ -437,7 +437,7 @@
         serve(entry, store, [entry.last(core.StorePut)])
         self.assertEqual(0, entry.idempotency.in_progress)
         serve(entry, store, entry.tell(confirm('r2')))
-        self.assertEqual('r2', entry.last(core.AnswerService).request_id)
+        self.assertEqual('r2', entry.last(core.RespondService).request_id)
         self.assertLess(len(entry.all(core.StorePut)), 110)
 
     def test_a_claim_whose_answer_was_lost_is_read_back(self) -> None:
@@ -538,7 +538,7 @@
                 self.assertGreater(lost, 2)
                 continue
             self.assertEqual(name, end.request_id)
-            answered = isinstance(end, core.AnswerService)
+            answered = isinstance(end, core.RespondService)
             self.assertEqual(
                 reference.call(key, body, outcome),
                 end.body if answered else end.refusal.kind,
--- a/tests/core/test_request.py
+++ b/tests/core/test_request.py
@@ -526,4 +526,4 @@
         other = Entry('entry-2')
         serve(other, store, other.tell(confirm('r2')))
         other.tell(core.ServiceAnswered('r2', 'r2.1', 200, 't', b'done'))
-        self.assertEqual(b'done', other.last(core.AnswerService).body)
+        self.assertEqual(b'done', other.last(core.RespondService).body)
