--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -2,7 +2,6 @@
 
 from dandelionyoke_core._actions import (
     Action as Action,
-    AnswerModels as AnswerModels,
     AnswerStatus as AnswerStatus,
     CallService as CallService,
     CancelAttempt as CancelAttempt,
@@ -22,6 +21,7 @@
     PollLoad as PollLoad,
     ReadEngineOrder as ReadEngineOrder,
     RefuseCall as RefuseCall,
+    RespondModels as RespondModels,
     RespondService as RespondService,
     ResumeAttempt as ResumeAttempt,
     SendEngineOrder as SendEngineOrder,
--- a/packages/core/dandelionyoke_core/_actions.py
+++ b/packages/core/dandelionyoke_core/_actions.py
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class AnswerModels(Action):
+class RespondModels(Action):
     """Send the list of models to the caller."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_node_queries.py
+++ b/packages/core/dandelionyoke_core/_node_queries.py
@@ -4,10 +4,10 @@
 from typing import ClassVar
 
 from dandelionyoke_core._actions import (
-    AnswerModels,
     AnswerStatus,
     NodeStatus,
     RefuseCall,
+    RespondModels,
 )
 from dandelionyoke_core._capacity import CapacityView
 from dandelionyoke_core._events import (
@@ -81,7 +81,7 @@
         if isinstance(identity, Refusal):
             return RefuseCall(event.request_id, identity)
         models = self._configuration_view.snapshot.models
-        return AnswerModels(
+        return RespondModels(
             event.request_id, tuple(models[name] for name in sorted(models))
         )
 
--- a/packages/wire/dandelionyoke_wire/_caller_output.py
+++ b/packages/wire/dandelionyoke_wire/_caller_output.py
@@ -10,7 +10,6 @@
 
 from dandelionyoke_core import (
     Action,
-    AnswerModels,
     AnswerStatus,
     CallerDisconnected,
     Event,
@@ -18,6 +17,7 @@
     Refusal,
     RefuseCall,
     RequestId,
+    RespondModels,
     RespondService,
     SendTokens,
 )
@@ -203,7 +203,7 @@
                 ('X-Request-Id', request_id),
             ]
             return Response(action.status, headers, action.body)
-        case AnswerModels():
+        case RespondModels():
             return json_response(request_id, openai.model_list(action.models))
         case AnswerStatus():
             body = json.dumps(attrs.asdict(action.status)).encode()
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -9,7 +9,6 @@
 
 from dandelionyoke_core import (
     Action,
-    AnswerModels,
     AnswerStatus,
     AttemptId,
     CallService,
@@ -28,6 +27,7 @@
     PollLoad,
     ReadEngineOrder,
     RefuseCall,
+    RespondModels,
     RespondService,
     ResumeAttempt,
     SendEngineOrder,
@@ -63,7 +63,7 @@
     SendTokens
     | FinishCall
     | RespondService
-    | AnswerModels
+    | RespondModels
     | AnswerStatus
     | RefuseCall
 )
