--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -2,7 +2,6 @@
 
 from dandelionyoke_core._actions import (
     Action as Action,
-    AnswerStatus as AnswerStatus,
     CallService as CallService,
     CancelAttempt as CancelAttempt,
     ConnectPeer as ConnectPeer,
@@ -23,6 +22,7 @@
     RefuseCall as RefuseCall,
     RespondModels as RespondModels,
     RespondService as RespondService,
+    RespondStatus as RespondStatus,
     ResumeAttempt as ResumeAttempt,
     SendEngineOrder as SendEngineOrder,
     SendPeer as SendPeer,
--- a/packages/core/dandelionyoke_core/_actions.py
+++ b/packages/core/dandelionyoke_core/_actions.py
@@ -87,7 +87,7 @@
 
 
 @attrs.frozen
-class AnswerStatus(Action):
+class RespondStatus(Action):
     """Send this node's state to the operator."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_node_queries.py
+++ b/packages/core/dandelionyoke_core/_node_queries.py
@@ -4,10 +4,10 @@
 from typing import ClassVar
 
 from dandelionyoke_core._actions import (
-    AnswerStatus,
     NodeStatus,
     RefuseCall,
     RespondModels,
+    RespondStatus,
 )
 from dandelionyoke_core._capacity import CapacityView
 from dandelionyoke_core._events import (
@@ -65,7 +65,7 @@
                 outputs.append(self._models(event, now_s))
             case StatusRequested():
                 status = self._status(now_s)
-                outputs.append(AnswerStatus(event.request_id, status))
+                outputs.append(RespondStatus(event.request_id, status))
             case DutyGained():
                 self._duties.add(event.duty)
             case DutyLost():
--- a/packages/wire/dandelionyoke_wire/_caller_output.py
+++ b/packages/wire/dandelionyoke_wire/_caller_output.py
@@ -10,7 +10,6 @@
 
 from dandelionyoke_core import (
     Action,
-    AnswerStatus,
     CallerDisconnected,
     Event,
     FinishCall,
@@ -19,6 +18,7 @@
     RequestId,
     RespondModels,
     RespondService,
+    RespondStatus,
     SendTokens,
 )
 from dandelionyoke_wire import _openai as openai
@@ -205,7 +205,7 @@
             return Response(action.status, headers, action.body)
         case RespondModels():
             return json_response(request_id, openai.model_list(action.models))
-        case AnswerStatus():
+        case RespondStatus():
             body = json.dumps(attrs.asdict(action.status)).encode()
             return json_response(request_id, body)
     # The caller disconnected, so this response is never read.
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -9,7 +9,6 @@
 
 from dandelionyoke_core import (
     Action,
-    AnswerStatus,
     AttemptId,
     CallService,
     CancelAttempt,
@@ -29,6 +28,7 @@
     RefuseCall,
     RespondModels,
     RespondService,
+    RespondStatus,
     ResumeAttempt,
     SendEngineOrder,
     SendPeer,
@@ -64,7 +64,7 @@
     | FinishCall
     | RespondService
     | RespondModels
-    | AnswerStatus
+    | RespondStatus
     | RefuseCall
 )
 StoreAction = (
