--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -1,13 +1,13 @@
 """The decision logic of dandelionyoke, without input or output."""
 
 from dandelionyoke_core._actions import (
+    AbandonAttempt as AbandonAttempt,
     Action as Action,
     CallService as CallService,
     CancelAttempt as CancelAttempt,
     ConnectPeer as ConnectPeer,
     CountMetric as CountMetric,
     DisconnectPeer as DisconnectPeer,
-    DropAttempt as DropAttempt,
     FinishCall as FinishCall,
     LeaseGrant as LeaseGrant,
     LeaseRelease as LeaseRelease,
--- a/packages/core/dandelionyoke_core/_actions.py
+++ b/packages/core/dandelionyoke_core/_actions.py
@@ -147,7 +147,7 @@
 
 
 @attrs.frozen
-class DropAttempt(Action):
+class AbandonAttempt(Action):
     """Close this node's connection of an attempt and discard its state."""
 
     request_id: RequestId
--- a/packages/core/dandelionyoke_core/_call_operations.py
+++ b/packages/core/dandelionyoke_core/_call_operations.py
@@ -3,9 +3,9 @@
 import attrs
 
 from dandelionyoke_core._actions import (
+    AbandonAttempt,
     CancelAttempt,
     CountMetric,
-    DropAttempt,
     ObserveLatency,
     RefuseCall,
     WriteLog,
@@ -95,7 +95,7 @@
         target = attempt.target
         outputs = self.untrack_attempt(call, now_s)
         if attempt.is_resumption:
-            outputs.append(DropAttempt(call.request_id, attempt.attempt_id))
+            outputs.append(AbandonAttempt(call.request_id, attempt.attempt_id))
         outputs.append(
             CancelAttempt(
                 call.request_id,
--- a/packages/core/dandelionyoke_core/_model_calls.py
+++ b/packages/core/dandelionyoke_core/_model_calls.py
@@ -1,8 +1,8 @@
 """Model calls: streaming, resumption and failover to other engines."""
 
 from dandelionyoke_core._actions import (
+    AbandonAttempt,
     CountMetric,
-    DropAttempt,
     FinishCall,
     ObserveLatency,
     ResumeAttempt,
@@ -233,7 +233,7 @@
         target = attempt.target
         return [
             CountMetric('request.resumed'),
-            DropAttempt(call.request_id, attempt.attempt_id),
+            AbandonAttempt(call.request_id, attempt.attempt_id),
             ResumeAttempt(
                 call.request_id,
                 stream.attempt_id,
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -1,8 +1,8 @@
 """Calls of plain services, run at most once if they are unrepeatable."""
 
 from dandelionyoke_core._actions import (
+    AbandonAttempt,
     CallService,
-    DropAttempt,
     RespondService,
     WriteLog,
 )
@@ -264,7 +264,7 @@
             return []
         return [
             *self._operations.untrack_attempt(call, now_s, failed=True),
-            DropAttempt(call.request_id, attempt.attempt_id),
+            AbandonAttempt(call.request_id, attempt.attempt_id),
         ]
 
     def _reopen_claim(self, call: Call, now_s: float) -> list[Output]:
--- a/packages/standins/dandelionyoke_standins/_node_simulation.py
+++ b/packages/standins/dandelionyoke_standins/_node_simulation.py
@@ -16,12 +16,12 @@
 import cattrs
 
 from dandelionyoke_core import (
+    AbandonAttempt,
     Action,
     CallService,
     CancelAttempt,
     ConnectPeer,
     DisconnectPeer,
-    DropAttempt,
     Event,
     FinishCall,
     Instance,
@@ -275,7 +275,7 @@
             ResumeAttempt: self._send_to_target,
             CallService: self._send_to_target,
             CancelAttempt: self._send_to_target,
-            DropAttempt: self._stop_reading,
+            AbandonAttempt: self._stop_reading,
             PollLoad: self._send_to_target,
             PollCacheEvents: self._send_to_target,
             SendEngineOrder: self._send_to_target,
@@ -354,7 +354,7 @@
             self.send_later(instance_id, delay_s, event)
 
     def _stop_reading(
-        self, instance_id: InstanceId, action: DropAttempt
+        self, instance_id: InstanceId, action: AbandonAttempt
     ) -> None:
         for engine in self.engines.values():
             engine.stop_reading(instance_id, action.attempt_id)
--- a/packages/wire/dandelionyoke_wire/_runtime.py
+++ b/packages/wire/dandelionyoke_wire/_runtime.py
@@ -8,13 +8,13 @@
 from eventlet import GreenPool, greenthread, queue, sleep
 
 from dandelionyoke_core import (
+    AbandonAttempt,
     Action,
     AttemptId,
     CallService,
     CancelAttempt,
     ConnectPeer,
     DisconnectPeer,
-    DropAttempt,
     Event,
     FinishCall,
     LeaseGrant,
@@ -202,7 +202,7 @@
             **dict.fromkeys(_CALLER_ACTIONS, self._deliver),
             **dict.fromkeys(_STORE_ACTIONS, partial(spawn, self._call_store)),
             **dict.fromkeys(_ATTEMPT_ACTIONS, self._start_attempt),
-            DropAttempt: self._drop_attempt,
+            AbandonAttempt: self._drop_attempt,
             CancelAttempt: self._cancel_attempt,
             SendPeer: self._send_peer,
             ConnectPeer: partial(spawn, self._connect_peer),
@@ -248,7 +248,7 @@
         self._drop_attempt(action)
         self._green_threads.spawn_n(self._engines.cancel_attempt, action)
 
-    def _drop_attempt(self, action: CancelAttempt | DropAttempt) -> None:
+    def _drop_attempt(self, action: CancelAttempt | AbandonAttempt) -> None:
         task = self._attempts.pop(action.attempt_id, None)
         if task is not None:
             task.kill()
--- a/tests/core/test_request.py
+++ b/tests/core/test_request.py
@@ -100,9 +100,9 @@
         entry.tell(output('r1.1', 0, 3))
         entry.wait(core.RequestSettings().silence_timeout_s)
         self.assertEqual(
-            (core.DropAttempt('r1', 'r1.1'), 3, 'r1.1'),
+            (core.AbandonAttempt('r1', 'r1.1'), 3, 'r1.1'),
             (
-                entry.last(core.DropAttempt),
+                entry.last(core.AbandonAttempt),
                 entry.last(core.ResumeAttempt).offset,
                 entry.last(core.ResumeAttempt).resumed_attempt_id,
             ),
