--- a/packages/core/dandelionyoke_core/_actions.py
+++ b/packages/core/dandelionyoke_core/_actions.py
@@ -255,12 +255,12 @@
 class StoreList(Action):
     """Read all keys below a prefix. Answered by StoreListing or StoreFailed.
 
-    `may_be_old` allows a stale read from a replica that is seconds behind.
+    `allow_stale` allows a stale read from a replica that is seconds behind.
     """
 
     operation_id: OperationId
     prefix: str
-    may_be_old: bool = False
+    allow_stale: bool = False
 
 
 @attrs.frozen
--- a/packages/gateway/dandelionyoke_gateway/_member_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_member_task.py
@@ -63,7 +63,7 @@
         # The list may be seconds old; a stale read costs a tenth of a
         # consistent one.
         answer = self._store.perform(
-            StoreList(OperationId('members'), MEMBERS_PREFIX, may_be_old=True)
+            StoreList(OperationId('members'), MEMBERS_PREFIX, allow_stale=True)
         )
         if not isinstance(answer, StoreListing):
             return
--- a/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_usage_tasks.py
@@ -240,7 +240,7 @@
     def _remove_old_reports(self, oldest: int) -> None:
         """Remove the totals of windows that are no longer reported."""
         listing = self._store.perform(
-            StoreList(OperationId('reports'), REPORTS_PREFIX, may_be_old=True)
+            StoreList(OperationId('reports'), REPORTS_PREFIX, allow_stale=True)
         )
         if not isinstance(listing, StoreListing):
             return
