--- a/packages/core/dandelionyoke_core/_actions.py
+++ b/packages/core/dandelionyoke_core/_actions.py
@@ -306,7 +306,7 @@
 
 @attrs.frozen
 class LeaseRenew(Action):
-    """Renew a lease. Answered by LeaseGranted, LeaseLapsed or StoreFailed."""
+    """Renew a lease. Answered by LeaseGranted, LeaseExpired or StoreFailed."""
 
     operation_id: OperationId
     lease_id: LeaseId
--- a/packages/core/dandelionyoke_core/_duty_lease.py
+++ b/packages/core/dandelionyoke_core/_duty_lease.py
@@ -35,8 +35,8 @@
 from dandelionyoke_core._ports import Output
 from dandelionyoke_core._records import (
     Instance,
+    LeaseExpired,
     LeaseGranted,
-    LeaseLapsed,
     StoreConflict,
     StoreFailed,
     StoreItem,
@@ -181,7 +181,7 @@
         match ended.result:
             case LeaseGranted():
                 return self._handle_lease(ended.result, ended.sent_s, now_s)
-            case LeaseLapsed():
+            case LeaseExpired():
                 return self._lose_duty('the lease lapsed', now_s)
             case StoreWritten(revision=revision):
                 return self._become_holder(revision, now_s)
--- a/packages/core/dandelionyoke_core/_records.py
+++ b/packages/core/dandelionyoke_core/_records.py
@@ -223,7 +223,7 @@
 
 
 @attrs.frozen
-class LeaseLapsed:
+class LeaseExpired:
     """Result: the lease does not exist any more, nor do its keys."""
 
     lease_id: LeaseId
@@ -246,6 +246,6 @@
     | StoreConflict
     | StoreListing
     | LeaseGranted
-    | LeaseLapsed
+    | LeaseExpired
     | StoreFailed
 )
--- a/packages/standins/dandelionyoke_standins/_world_store.py
+++ b/packages/standins/dandelionyoke_standins/_world_store.py
@@ -5,10 +5,10 @@
 
 from dandelionyoke_core import (
     Action,
+    LeaseExpired,
     LeaseGrant,
     LeaseGranted,
     LeaseId,
-    LeaseLapsed,
     LeaseRelease,
     LeaseRenew,
     StoreConflict,
@@ -71,7 +71,7 @@
     if isinstance(error, MissingError) and isinstance(
         action, LeaseRenew | LeaseRelease
     ):
-        return LeaseLapsed(action.lease_id)
+        return LeaseExpired(action.lease_id)
     return StoreFailed(repr(error), may_have_happened=False)
 
 
@@ -111,7 +111,7 @@
     store: StoreModel, action: LeaseRelease, now_s: float
 ) -> StoreResult:
     store.revoke_lease(action.lease_id, now_s)
-    return LeaseLapsed(action.lease_id)
+    return LeaseExpired(action.lease_id)
 
 
 def _item_from_entry(entry: StoreEntry) -> StoreItem:
--- a/packages/wire/dandelionyoke_wire/_store.py
+++ b/packages/wire/dandelionyoke_wire/_store.py
@@ -10,10 +10,10 @@
 
 from dandelionyoke_core import (
     Action,
+    LeaseExpired,
     LeaseGrant,
     LeaseGranted,
     LeaseId,
-    LeaseLapsed,
     LeaseRelease,
     LeaseRenew,
     StoreConflict,
@@ -135,10 +135,10 @@
         path = f'/store/leases/{quote(action.lease_id, safe="")}'
         if isinstance(action, LeaseRelease):
             response = self._call('DELETE', path)
-            return _failure(response) or LeaseLapsed(action.lease_id)
+            return _failure(response) or LeaseExpired(action.lease_id)
         response = self._call('POST', f'{path}/renew', _EMPTY_BODY)
         if response.status == HTTPStatus.NOT_FOUND:
-            return LeaseLapsed(action.lease_id)
+            return LeaseExpired(action.lease_id)
         return _failure(response) or LeaseGranted(
             action.lease_id, float(response.body['ttl_s'])
         )
--- a/tests/core/test_duty_lease.py
+++ b/tests/core/test_duty_lease.py
@@ -13,10 +13,10 @@
     DutyLeaseSettings,
     Event,
     Instance,
+    LeaseExpired,
     LeaseGrant,
     LeaseGranted,
     LeaseId,
-    LeaseLapsed,
     LeaseRelease,
     LeaseRenew,
     Leaving,
@@ -284,7 +284,7 @@
         self.assertEqual([7], self.fences())
 
     def test_a_lease_that_expired_is_not_recovered(self) -> None:
-        self.answer(LeaseRenew, LeaseLapsed(LeaseId('l-1')))
+        self.answer(LeaseRenew, LeaseExpired(LeaseId('l-1')))
         self.assertEqual([], self.fences())
         self.answer(StoreGet, StoreItem(KEY, 9, 'another'))
         self.assertEqual([], self.fences())
