--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -251,7 +251,7 @@
     DutyExtended as DutyExtended,
     DutyGained as DutyGained,
     DutyLost as DutyLost,
-    KeyWithdrawn as KeyWithdrawn,
+    KeyRevoked as KeyRevoked,
     Leaving as Leaving,
     PeersKnown as PeersKnown,
     RecordLearned as RecordLearned,
--- a/packages/core/dandelionyoke_core/_knowledge.py
+++ b/packages/core/dandelionyoke_core/_knowledge.py
@@ -9,7 +9,7 @@
 from dandelionyoke_core._changes import apply_change, revoked_keys
 from dandelionyoke_core._codec import record_to_json
 from dandelionyoke_core._entities import Change, Snapshot
-from dandelionyoke_core._notices import ConfigurationInForce, KeyWithdrawn
+from dandelionyoke_core._notices import ConfigurationInForce, KeyRevoked
 from dandelionyoke_core._ports import Output
 
 LOG_KIND = 'configuration.in_force'
@@ -106,7 +106,7 @@
         self._recent.extend(changes)
         outputs: list[Output] = [ConfigurationInForce(snapshot, tuple(changes))]
         outputs.extend(
-            KeyWithdrawn(key_hash)
+            KeyRevoked(key_hash)
             for key_hash in revoked_keys(previous, snapshot)
         )
         outputs.extend(_logs(snapshot, changes))
--- a/packages/core/dandelionyoke_core/_notices.py
+++ b/packages/core/dandelionyoke_core/_notices.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class KeyWithdrawn(Notice):
+class KeyRevoked(Notice):
     """An API key was revoked; its calls in progress end."""
 
     key_hash: str
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -39,7 +39,7 @@
     ClaimAnswered,
     ClaimGranted,
     ClaimRefused,
-    KeyWithdrawn,
+    KeyRevoked,
     TargetCrashed,
     TargetLeaving,
 )
@@ -82,7 +82,7 @@
         ClaimGranted,
         ClaimAnswered,
         ClaimRefused,
-        KeyWithdrawn,
+        KeyRevoked,
         TargetCrashed,
         TargetLeaving,
         ShutdownForced,
@@ -149,7 +149,7 @@
             ClaimGranted: self._on_claim_granted,
             ClaimAnswered: self._on_claim_ended,
             ClaimRefused: self._on_claim_ended,
-            KeyWithdrawn: self._on_key_withdrawn,
+            KeyRevoked: self._on_key_withdrawn,
             TargetCrashed: self._on_target_crashed,
             TargetLeaving: self._on_target_leaving,
             ShutdownForced: self._on_shutdown_forced,
@@ -270,7 +270,7 @@
     # Events that end or move several calls at once.
 
     def _on_key_withdrawn(
-        self, event: KeyWithdrawn, now_s: float
+        self, event: KeyRevoked, now_s: float
     ) -> list[Output]:
         outputs: list[Output] = []
         for call in tuple(self._operations.calls.values()):
--- a/packages/standins/dandelionyoke_standins/_spread_node.py
+++ b/packages/standins/dandelionyoke_standins/_spread_node.py
@@ -17,7 +17,7 @@
     ConfigurationSettings,
     Event,
     Instance,
-    KeyWithdrawn,
+    KeyRevoked,
     MembershipPart,
     MembershipSettings,
     Output,
@@ -38,7 +38,7 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         ConfigurationInForce,
-        KeyWithdrawn,
+        KeyRevoked,
         PeersKnown,
         RecordLearned,
     )
@@ -54,7 +54,7 @@
         match event:
             case ConfigurationInForce(snapshot=snapshot):
                 self.in_force.append((now_s, snapshot.revision))
-            case KeyWithdrawn(key_hash=key_hash):
+            case KeyRevoked(key_hash=key_hash):
                 self.withdrawn[key_hash] = now_s
             case PeersKnown():
                 self.peers.append((now_s, event))
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -24,8 +24,8 @@
     Domain,
     Head,
     InstanceId,
+    KeyRevoked,
     KeysPart,
-    KeyWithdrawn,
     Model,
     ModelName,
     Organisation,
@@ -408,7 +408,7 @@
             sorted(
                 notice.key_hash
                 for notice in outputs
-                if isinstance(notice, KeyWithdrawn)
+                if isinstance(notice, KeyRevoked)
             ),
         )
 
--- a/tests/core/test_request.py
+++ b/tests/core/test_request.py
@@ -10,7 +10,7 @@
 
 ANSWER = tuple(f'crate{index} ' for index in range(8))
 NO, UNKNOWN = core.RunState.NO, core.RunState.UNKNOWN
-WITHDRAWN = core.KeyWithdrawn('hash of key-1')
+WITHDRAWN = core.KeyRevoked('hash of key-1')
 
 
 def output(attempt: str, start: int, end: int, name: str = 'r1') -> core.Event:
