--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -253,7 +253,7 @@
     DutyLost as DutyLost,
     KeyRevoked as KeyRevoked,
     Leaving as Leaving,
-    PeersKnown as PeersKnown,
+    LivePeersChanged as LivePeersChanged,
     RecordLearned as RecordLearned,
     ShareRecord as ShareRecord,
     TargetCrashed as TargetCrashed,
--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -17,7 +17,7 @@
 from dandelionyoke_core._notices import (
     CallAdmitted,
     CallRejected,
-    PeersKnown,
+    LivePeersChanged,
     RecordLearned,
 )
 from dandelionyoke_core._ports import (
@@ -41,7 +41,7 @@
         Started,
         TimerFired,
         RecordLearned,
-        PeersKnown,
+        LivePeersChanged,
     )
 
     def __init__(
@@ -70,7 +70,7 @@
                 self._limits.update_entry_count(len(self._peers.live), now_s)
             case TimerFired():
                 return [*self._demand.share(now_s), *self._start_queued(now_s)]
-            case PeersKnown(live=live):
+            case LivePeersChanged(live=live):
                 self._limits.update_entry_count(len(live), now_s)
             case RecordLearned(record=DemandShared() as record):
                 self._demand.learn(record, now_s)
--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -41,7 +41,11 @@
 )
 from dandelionyoke_core._knowledge import Knowledge, KnowledgeSettings
 from dandelionyoke_core._names import Domain, InstanceId
-from dandelionyoke_core._notices import PeersKnown, RecordLearned, ShareRecord
+from dandelionyoke_core._notices import (
+    LivePeersChanged,
+    RecordLearned,
+    ShareRecord,
+)
 from dandelionyoke_core._ports import Output, Peers
 from dandelionyoke_core._rendezvous import rendezvous
 
@@ -71,7 +75,7 @@
         PeerConnected,
         PeerDisconnected,
         PeerMessageArrived,
-        PeersKnown,
+        LivePeersChanged,
         RecordLearned,
     )
 
@@ -144,7 +148,7 @@
                 return self._ask_new_peer(peer_id, now_s)
             case PeerDisconnected(peer_id=peer_id):
                 self._queries.remove_link(peer_id)
-            case PeersKnown() if self._is_watcher():
+            case LivePeersChanged() if self._is_watcher():
                 self._reader.schedule_read(now_s)
             case PeerMessageArrived():
                 return self._handle_peer_message(event, now_s)
--- a/packages/core/dandelionyoke_core/_duty_lease.py
+++ b/packages/core/dandelionyoke_core/_duty_lease.py
@@ -30,7 +30,7 @@
     DutyGained,
     DutyLost,
     Leaving,
-    PeersKnown,
+    LivePeersChanged,
 )
 from dandelionyoke_core._ports import Output
 from dandelionyoke_core._records import (
@@ -76,7 +76,7 @@
     """Acquires, renews and releases one duty of this entry's domain."""
 
     handles: ClassVar[tuple[type[Event], ...]] = (
-        PeersKnown,
+        LivePeersChanged,
         StoreResponded,
         TimerFired,
         Leaving,
@@ -113,7 +113,7 @@
                 ended = self._slot.answered(event)
                 if ended is not None:
                     return self._handle_result(ended, now_s)
-            case PeersKnown():
+            case LivePeersChanged():
                 self._update_candidacy(event, now_s)
             case Leaving():
                 return self._start_handover(now_s)
@@ -130,7 +130,7 @@
 
     # Candidates and timers.
 
-    def _update_candidacy(self, event: PeersKnown, now_s: float) -> None:
+    def _update_candidacy(self, event: LivePeersChanged, now_s: float) -> None:
         # Only some entries compete, or the calls to the store would grow with
         # the fleet. There are several, as one may be unable to reach the store.
         candidate_ids = rendezvous(
--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -37,7 +37,7 @@
 from dandelionyoke_core._names import InstanceId
 from dandelionyoke_core._notices import (
     Leaving,
-    PeersKnown,
+    LivePeersChanged,
     RecordLearned,
     ShareRecord,
 )
@@ -169,7 +169,7 @@
         self._tick_due_s = now_s
         self._list_due_s = now_s
         self._apply_list(self._settings.seeds, now_s)
-        return [PeersKnown(self.live, self.live_in_domain)]
+        return [LivePeersChanged(self.live, self.live_in_domain)]
 
     def _tick(self, now_s: float) -> list[Output]:
         self._tick_due_s = now_s + self._jitter(
@@ -247,7 +247,7 @@
         if self._is_refresh_needed or is_suspicion_due:
             self._is_refresh_needed = False
             if self._members.refresh(now_s):
-                outputs.append(PeersKnown(self.live, self.live_in_domain))
+                outputs.append(LivePeersChanged(self.live, self.live_in_domain))
                 self._relink_due_s = now_s + self._settings.relink_delay_s
             self._next_suspicion_expiry_s = (
                 self._members.next_suspicion_expiry_s(now_s)
--- a/packages/core/dandelionyoke_core/_notices.py
+++ b/packages/core/dandelionyoke_core/_notices.py
@@ -146,7 +146,7 @@
 
 
 @attrs.frozen
-class PeersKnown(Notice):
+class LivePeersChanged(Notice):
     """The entries that this node considers live, including itself."""
 
     live: tuple[InstanceId, ...]
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -19,7 +19,7 @@
     Instance,
     InstanceId,
     Leaving,
-    PeersKnown,
+    LivePeersChanged,
     StoreResponded,
     TimerFired,
     WriteLog,
@@ -109,14 +109,14 @@
 
     def run(self) -> None:
         """Compete for the duty until the process exits."""
-        self._handle_event(PeersKnown((self._own_id,), (self._own_id,)))
+        self._handle_event(LivePeersChanged((self._own_id,), (self._own_id,)))
         while True:
             self._handle_event(self._next_event())
 
     def take_members(self, members: tuple[str, ...]) -> None:
         """Update the list of nodes; a few of them compete for the duty."""
         member_ids = tuple(InstanceId(member) for member in members)
-        self._inbox.put(PeersKnown(member_ids, member_ids))
+        self._inbox.put(LivePeersChanged(member_ids, member_ids))
 
     def leave(self) -> None:
         """Release the duty so that another node can take it."""
--- a/packages/standins/dandelionyoke_standins/_policy_peers.py
+++ b/packages/standins/dandelionyoke_standins/_policy_peers.py
@@ -8,8 +8,8 @@
     Action,
     Event,
     InstanceId,
+    LivePeersChanged,
     Output,
-    PeersKnown,
     SharedRecord,
     ShareRecord,
 )
@@ -31,9 +31,9 @@
         self.live = tuple(sorted(live))
         self.live_in_domain = tuple(sorted(live_in_domain))
 
-    def to_event(self) -> PeersKnown:
+    def to_event(self) -> LivePeersChanged:
         """Return the live instances as an event for the node's parts."""
-        return PeersKnown(self.live, self.live_in_domain)
+        return LivePeersChanged(self.live, self.live_in_domain)
 
 
 @attrs.frozen
--- a/packages/standins/dandelionyoke_standins/_spread_node.py
+++ b/packages/standins/dandelionyoke_standins/_spread_node.py
@@ -18,11 +18,11 @@
     Event,
     Instance,
     KeyRevoked,
+    LivePeersChanged,
     MembershipPart,
     MembershipSettings,
     Output,
     PeerMessage,
-    PeersKnown,
     RecordLearned,
     WriteLog,
     message_from_mapping,
@@ -39,14 +39,14 @@
     handles: ClassVar[tuple[type[Event], ...]] = (
         ConfigurationInForce,
         KeyRevoked,
-        PeersKnown,
+        LivePeersChanged,
         RecordLearned,
     )
 
     def __init__(self) -> None:
         self.in_force: list[tuple[float, int]] = []
         self.withdrawn: dict[str, float] = {}
-        self.peers: list[tuple[float, PeersKnown]] = []
+        self.peers: list[tuple[float, LivePeersChanged]] = []
         self.learned: list[RecordLearned] = []
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
@@ -56,7 +56,7 @@
                 self.in_force.append((now_s, snapshot.revision))
             case KeyRevoked(key_hash=key_hash):
                 self.withdrawn[key_hash] = now_s
-            case PeersKnown():
+            case LivePeersChanged():
                 self.peers.append((now_s, event))
             case RecordLearned():
                 self.learned.append(event)
--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -24,11 +24,11 @@
     Event,
     Instance,
     InstanceId,
+    LivePeersChanged,
     Model,
     Notice,
     Organisation,
     Part,
-    PeersKnown,
     Put,
     RequestId,
     Service,
@@ -126,7 +126,7 @@
     def meet(self) -> None:
         """Announce all entries as live to every entry."""
         for entry in self.entries.values():
-            entry.take(PeersKnown(self.names, self.names), self.now_s)
+            entry.take(LivePeersChanged(self.names, self.names), self.now_s)
 
     def effect(self, name: str) -> Event | None:
         """Perform the oldest call of an entry and return the answer."""
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -14,7 +14,7 @@
     CallAdmitted,
     CallRejected,
     DemandShared,
-    PeersKnown,
+    LivePeersChanged,
     Queued,
     RecordLearned,
     Refusal,
@@ -174,7 +174,7 @@
         fleet = Fleet(ENTRIES, joined=False)
         part = fleet.parts[0]
         alone = (entry(0),)
-        part.handle(PeersKnown(alone, alone), 5)
+        part.handle(LivePeersChanged(alone, alone), 5)
         admitted = sum(
             fleet.run_second(second, [60] + [0] * (ENTRIES - 1))
             for second in range(6, 26)
--- a/tests/core/test_duty_lease.py
+++ b/tests/core/test_duty_lease.py
@@ -20,8 +20,8 @@
     LeaseRelease,
     LeaseRenew,
     Leaving,
+    LivePeersChanged,
     Part,
-    PeersKnown,
     StoreFailed,
     StoreGet,
     StoreItem,
@@ -242,7 +242,7 @@
         )
         self.now_s = 0.0
         self.outputs: list[object] = []
-        self.handle_event(PeersKnown((FIRST,), (FIRST,)))
+        self.handle_event(LivePeersChanged((FIRST,), (FIRST,)))
         self.answer(StoreGet, StoreItem(KEY, 0, None))
         self.answer(LeaseGrant, LeaseGranted(LeaseId('l-1'), 10))
         self.record = self.answer(StorePut, StoreWritten(KEY, 7)).value
