--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -254,7 +254,7 @@
     KeyRevoked as KeyRevoked,
     Leaving as Leaving,
     LivePeersChanged as LivePeersChanged,
-    RecordLearned as RecordLearned,
+    RecordReceived as RecordReceived,
     ShareRecord as ShareRecord,
     TargetCrashed as TargetCrashed,
     TargetLeaving as TargetLeaving,
--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -18,7 +18,7 @@
     CallAdmitted,
     CallRejected,
     LivePeersChanged,
-    RecordLearned,
+    RecordReceived,
 )
 from dandelionyoke_core._ports import (
     Admitted,
@@ -40,7 +40,7 @@
     handles: ClassVar[tuple[type[Event], ...]] = (
         Started,
         TimerFired,
-        RecordLearned,
+        RecordReceived,
         LivePeersChanged,
     )
 
@@ -72,7 +72,7 @@
                 return [*self._demand.share(now_s), *self._start_queued(now_s)]
             case LivePeersChanged(live=live):
                 self._limits.update_entry_count(len(live), now_s)
-            case RecordLearned(record=DemandShared() as record):
+            case RecordReceived(record=DemandShared() as record):
                 self._demand.learn(record, now_s)
         return []
 
--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -43,7 +43,7 @@
 from dandelionyoke_core._names import Domain, InstanceId
 from dandelionyoke_core._notices import (
     LivePeersChanged,
-    RecordLearned,
+    RecordReceived,
     ShareRecord,
 )
 from dandelionyoke_core._ports import Output, Peers
@@ -76,7 +76,7 @@
         PeerDisconnected,
         PeerMessageArrived,
         LivePeersChanged,
-        RecordLearned,
+        RecordReceived,
     )
 
     def __init__(
@@ -152,7 +152,7 @@
                 self._reader.schedule_read(now_s)
             case PeerMessageArrived():
                 return self._handle_peer_message(event, now_s)
-            case RecordLearned(
+            case RecordReceived(
                 record=ConfigurationNews() as announcement, from_peer=peer_id
             ):
                 outputs = self._apply_changes(announcement.changes)
--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -38,7 +38,7 @@
 from dandelionyoke_core._notices import (
     Leaving,
     LivePeersChanged,
-    RecordLearned,
+    RecordReceived,
     ShareRecord,
 )
 from dandelionyoke_core._ports import Output
@@ -355,7 +355,7 @@
             return []
         outputs: list[Output] = []
         for record in self._propagation.take(peer_id, message, now_s):
-            outputs.append(RecordLearned(record, peer_id))
+            outputs.append(RecordReceived(record, peer_id))
             if isinstance(record, MemberRecord):
                 outputs.extend(self._apply_member(record, now_s))
         return outputs
--- a/packages/core/dandelionyoke_core/_notices.py
+++ b/packages/core/dandelionyoke_core/_notices.py
@@ -112,7 +112,7 @@
 
 
 @attrs.frozen
-class RecordLearned(Notice):
+class RecordReceived(Notice):
     """A peer sent a record that is newer than the one this node has."""
 
     record: SharedRecord
--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -15,7 +15,7 @@
 from dandelionyoke_core._incidents import Incident, Incidents
 from dandelionyoke_core._names import AttemptId, TargetId
 from dandelionyoke_core._notices import (
-    RecordLearned,
+    RecordReceived,
     ShareRecord,
     TargetCrashed,
 )
@@ -37,7 +37,7 @@
     Other requests that were in progress on the same engine are retried.
     """
 
-    handles: ClassVar[tuple[type[Event], ...]] = (TargetCrashed, RecordLearned)
+    handles: ClassVar[tuple[type[Event], ...]] = (TargetCrashed, RecordReceived)
 
     def __init__(self, settings: QuarantineSettings) -> None:
         self._settings = settings
@@ -51,9 +51,9 @@
         match event:
             case TargetCrashed():
                 return self._on_target_crashed(event, now_s)
-            case RecordLearned(record=SuspicionShared() as suspicion):
+            case RecordReceived(record=SuspicionShared() as suspicion):
                 return self._apply_suspicion(suspicion, now_s)
-            case RecordLearned(record=TrialShared() as trial):
+            case RecordReceived(record=TrialShared() as trial):
                 self._apply_trial(trial, now_s)
         return []
 
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -23,7 +23,7 @@
     ServiceName,
     TargetId,
 )
-from dandelionyoke_core._notices import RecordLearned, TargetLeaving
+from dandelionyoke_core._notices import RecordReceived, TargetLeaving
 from dandelionyoke_core._output_estimate import OutputEstimate
 from dandelionyoke_core._poll_schedule import PollSchedule
 from dandelionyoke_core._ports import (
@@ -55,7 +55,7 @@
         TargetUnreachable,
         CacheEventsReported,
         TargetLeaving,
-        RecordLearned,
+        RecordReceived,
     )
 
     def __init__(
--- a/packages/core/dandelionyoke_core/_target_table.py
+++ b/packages/core/dandelionyoke_core/_target_table.py
@@ -11,7 +11,7 @@
 )
 from dandelionyoke_core._names import AttemptId, ServiceName, TargetId
 from dandelionyoke_core._notices import (
-    RecordLearned,
+    RecordReceived,
     TargetCrashed,
     TargetLeaving,
 )
@@ -55,9 +55,9 @@
                 self._on_cache_events(event)
             case TargetLeaving(target_id=target_id):
                 self._on_leaving(target_id)
-            case RecordLearned(record=LoadsShared() as loads):
+            case RecordReceived(record=LoadsShared() as loads):
                 return self._on_loads_shared(loads, now_s)
-            case RecordLearned(record=TargetsShared() as shared):
+            case RecordReceived(record=TargetsShared() as shared):
                 return self._on_targets_shared(shared, now_s)
         return []
 
--- a/packages/standins/dandelionyoke_standins/_policy_nodes.py
+++ b/packages/standins/dandelionyoke_standins/_policy_nodes.py
@@ -9,7 +9,7 @@
     Domain,
     Event,
     InstanceId,
-    RecordLearned,
+    RecordReceived,
     SharedRecord,
 )
 from dandelionyoke_standins._policy_clock import VirtualClock
@@ -85,7 +85,7 @@
     ) -> None:
         if other.record_versions.get(record.record_key, 0) < record.version:
             other.record_versions[record.record_key] = record.version
-            self.deliver(other, RecordLearned(record, node.instance_id))
+            self.deliver(other, RecordReceived(record, node.instance_id))
 
     def _update_peers(self) -> None:
         for node in self.nodes:
--- a/packages/standins/dandelionyoke_standins/_spread_node.py
+++ b/packages/standins/dandelionyoke_standins/_spread_node.py
@@ -23,7 +23,7 @@
     MembershipSettings,
     Output,
     PeerMessage,
-    RecordLearned,
+    RecordReceived,
     WriteLog,
     message_from_mapping,
     message_to_mapping,
@@ -40,14 +40,14 @@
         ConfigurationInForce,
         KeyRevoked,
         LivePeersChanged,
-        RecordLearned,
+        RecordReceived,
     )
 
     def __init__(self) -> None:
         self.in_force: list[tuple[float, int]] = []
         self.withdrawn: dict[str, float] = {}
         self.peers: list[tuple[float, LivePeersChanged]] = []
-        self.learned: list[RecordLearned] = []
+        self.learned: list[RecordReceived] = []
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Record an event."""
@@ -58,7 +58,7 @@
                 self.withdrawn[key_hash] = now_s
             case LivePeersChanged():
                 self.peers.append((now_s, event))
-            case RecordLearned():
+            case RecordReceived():
                 self.learned.append(event)
         return []
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -16,7 +16,7 @@
     DemandShared,
     LivePeersChanged,
     Queued,
-    RecordLearned,
+    RecordReceived,
     Refusal,
     RefusalKind,
     RequestId,
@@ -93,7 +93,7 @@
         record = message_from_mapping(mapping)
         for other in self.parts:
             if other is not part:
-                learned = RecordLearned(record, share.record.instance_id)
+                learned = RecordReceived(record, share.record.instance_id)
                 other.handle(learned, now_s)
 
 
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -34,7 +34,7 @@
     PeerConnected,
     PeerMessageArrived,
     Put,
-    RecordLearned,
+    RecordReceived,
     RefusalKind,
     Rejected,
     Remove,
@@ -355,7 +355,7 @@
         peer = InstanceId('you')
         if kind == 'news':
             news = ConfigurationNews('config/news', last, 9, changes)
-            return [RecordLearned(news, peer)]
+            return [RecordReceived(news, peer)]
         if kind == 'offer':
             asked = [
                 output.message.question_number
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -19,7 +19,7 @@
     PeerMessageArrived,
     RecordBatch,
     RecordEntry,
-    RecordLearned,
+    RecordReceived,
     RecordSummary,
     SendPeer,
     SharedRecord,
@@ -333,7 +333,7 @@
             outputs = part.handle(
                 PeerMessageArrived(InstanceId('p'), RecordBatch((entry,))), 1
             )
-            learned = [o for o in outputs if isinstance(o, RecordLearned)]
+            learned = [o for o in outputs if isinstance(o, RecordReceived)]
             is_newer = version > highest_versions.get(name, -1)
             self.assertEqual(is_newer, bool(learned))
             highest_versions[name] = max(
--- a/tests/core/test_quarantine.py
+++ b/tests/core/test_quarantine.py
@@ -80,7 +80,7 @@
             if other is entry:
                 continue
             for record in shared:
-                learned = core.RecordLearned(
+                learned = core.RecordReceived(
                     record, core.InstanceId(entry.name)
                 )
                 self.apply_actions(other, other.tell(learned))
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -17,7 +17,7 @@
     NoRoute,
     PollLoad,
     Presence,
-    RecordLearned,
+    RecordReceived,
     RoutingPart,
     ShareRecord,
     Target,
@@ -355,7 +355,7 @@
             mapping = message_to_mapping(share.record)
             record = message_from_mapping(mapping)
             self.assertIsInstance(record, LoadsShared)
-            parts[0].handle(RecordLearned(record, HERE), 9)
+            parts[0].handle(RecordReceived(record, HERE), 9)
         self.assertEqual({7}, set(calls_at(parts[0]).values()))
 
     def test_a_target_that_stays_after_all_gets_work_again(self) -> None:
@@ -406,7 +406,7 @@
         record = message_from_mapping(message_to_mapping(news))
         other = next(parts[name] for name in entries if name not in listers)
         for _ in range(2):
-            outputs = other.handle(RecordLearned(record, listers[0]), 9)
+            outputs = other.handle(RecordReceived(record, listers[0]), 9)
         self.assertEqual([], outputs)
         self.assertEqual(reclaimed, other.find(targets[0].target_id))
         self.assertIsNone(other.find(targets[1].target_id))
