--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -255,7 +255,7 @@
     Leaving as Leaving,
     LivePeersChanged as LivePeersChanged,
     RecordReceived as RecordReceived,
-    ShareRecord as ShareRecord,
+    ReplicateRecord as ReplicateRecord,
     TargetCrashed as TargetCrashed,
     TargetLeaving as TargetLeaving,
     UsageDelivered as UsageDelivered,
--- a/packages/core/dandelionyoke_core/_configuration.py
+++ b/packages/core/dandelionyoke_core/_configuration.py
@@ -44,7 +44,7 @@
 from dandelionyoke_core._notices import (
     LivePeersChanged,
     RecordReceived,
-    ShareRecord,
+    ReplicateRecord,
 )
 from dandelionyoke_core._ports import Output, Peers
 from dandelionyoke_core._rendezvous import rendezvous
@@ -231,7 +231,7 @@
         announcement = make_news(
             self.snapshot.revision, self._knowledge.last_changes()
         )
-        return [*outputs, ShareRecord(announcement, everywhere=True)]
+        return [*outputs, ReplicateRecord(announcement, everywhere=True)]
 
     def _confirm(self, confirmed_s: float) -> None:
         if self._confirmed_s is None or confirmed_s > self._confirmed_s:
--- a/packages/core/dandelionyoke_core/_demand.py
+++ b/packages/core/dandelionyoke_core/_demand.py
@@ -19,7 +19,7 @@
     OrganisationId,
     ServiceName,
 )
-from dandelionyoke_core._notices import ShareRecord
+from dandelionyoke_core._notices import ReplicateRecord
 from dandelionyoke_core._ports import Output, Peers, Ticket
 from dandelionyoke_core._rate import DecayingRate
 from dandelionyoke_core._rendezvous import rendezvous
@@ -196,13 +196,13 @@
         has_content = bool(self._last_shared or self._has_shared_demand or mix)
         if has_content or (is_small and self._needs_refresh(now_s)):
             self._last_shared_s = now_s
-            outputs.append(ShareRecord(record, is_small))
+            outputs.append(ReplicateRecord(record, is_small))
         # One empty record replaces the demand that was shared before.
         self._has_shared_demand = bool(self._last_shared)
         if not is_small and self._shares_domain_sum():
             total = self._make_record(self._domain_demand(now_s), is_sum=True)
             if total.organisations:
-                outputs.append(ShareRecord(total, everywhere=True))
+                outputs.append(ReplicateRecord(total, everywhere=True))
         return outputs
 
     def _make_record(
--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -39,7 +39,7 @@
     Leaving,
     LivePeersChanged,
     RecordReceived,
-    ShareRecord,
+    ReplicateRecord,
 )
 from dandelionyoke_core._ports import Output
 from dandelionyoke_core._record_propagation import RecordPropagation
@@ -64,7 +64,7 @@
         PeerConnected,
         PeerDisconnected,
         PeerMessageArrived,
-        ShareRecord,
+        ReplicateRecord,
         Leaving,
     )
 
@@ -148,7 +148,7 @@
             case PeerMessageArrived(peer_id=peer_id, message=message):
                 self._links.record_activity(peer_id, now_s)
                 return self._handle_message(peer_id, message, now_s)
-            case ShareRecord(record=record, everywhere=everywhere):
+            case ReplicateRecord(record=record, everywhere=everywhere):
                 self._propagation.share(record, everywhere, now_s)
             case Leaving():
                 self._state = MemberState.LEAVING
--- a/packages/core/dandelionyoke_core/_notices.py
+++ b/packages/core/dandelionyoke_core/_notices.py
@@ -104,7 +104,7 @@
 
 
 @attrs.frozen
-class ShareRecord(Notice):
+class ReplicateRecord(Notice):
     """Replicate a record; `everywhere` is False for this domain only."""
 
     record: SharedRecord
--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -5,7 +5,7 @@
 
 from dandelionyoke_core._actions import ListTargets, PollCacheEvents, PollLoad
 from dandelionyoke_core._names import Domain, InstanceId, ServiceName
-from dandelionyoke_core._notices import ShareRecord
+from dandelionyoke_core._notices import ReplicateRecord
 from dandelionyoke_core._observation import (
     make_loads_record,
     polls_all_targets,
@@ -191,7 +191,7 @@
             [(state.target.target_id, state.report) for state in recent],
             tuple(state.target.target_id for state in unreachable),
         )
-        return [ShareRecord(record), *self._share_changes(now_s)]
+        return [ReplicateRecord(record), *self._share_changes(now_s)]
 
     def _should_share_load(self, state: TargetState, now_s: float) -> bool:
         """Return whether this entry is the one that shares a target's load.
@@ -218,7 +218,7 @@
             changed=changed,
             gone=gone,
         )
-        return [ShareRecord(record)]
+        return [ReplicateRecord(record)]
 
     def _should_read_list(self) -> bool:
         live_entries = self._peers.live_in_domain
--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -16,7 +16,7 @@
 from dandelionyoke_core._names import AttemptId, TargetId
 from dandelionyoke_core._notices import (
     RecordReceived,
-    ShareRecord,
+    ReplicateRecord,
     TargetCrashed,
 )
 from dandelionyoke_core._ports import Output
@@ -269,7 +269,7 @@
             fingerprint,
             suspicion,
         )
-        return ShareRecord(record, everywhere=True)
+        return ReplicateRecord(record, everywhere=True)
 
     def _share_trial(self, run: Run, *, over: bool = False) -> Output:
         self._version += 1
@@ -282,7 +282,7 @@
             run.target_id,
             over,
         )
-        return ShareRecord(record, everywhere=True)
+        return ReplicateRecord(record, everywhere=True)
 
     def _retry_later(self) -> Refusal:
         return Refusal(
--- a/packages/standins/dandelionyoke_standins/_policy_peers.py
+++ b/packages/standins/dandelionyoke_standins/_policy_peers.py
@@ -10,8 +10,8 @@
     InstanceId,
     LivePeersChanged,
     Output,
+    ReplicateRecord,
     SharedRecord,
-    ShareRecord,
 )
 
 
@@ -47,13 +47,13 @@
 class BroadcastPart:
     """Node part that requests broadcasts of the records that parts share."""
 
-    handles: ClassVar[tuple[type[Event], ...]] = (ShareRecord,)
+    handles: ClassVar[tuple[type[Event], ...]] = (ReplicateRecord,)
 
     _wakeup_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Return the action that broadcasts a record."""
-        if isinstance(event, ShareRecord):
+        if isinstance(event, ReplicateRecord):
             return [BroadcastRecord(event.record, event.everywhere)]
         return []
 
--- a/packages/standins/dandelionyoke_standins/_spread.py
+++ b/packages/standins/dandelionyoke_standins/_spread.py
@@ -26,10 +26,10 @@
     OrganisationId,
     Proposal,
     Put,
+    ReplicateRecord,
     Service,
     ServiceName,
     SharedRecord,
-    ShareRecord,
     StoreResponded,
     hash_key,
 )
@@ -300,7 +300,7 @@
         _reset_counters(simulation)
         record = SharedRecord(f'probe/{everywhere}', 1, lifetime_s=60)
         sender = simulation.live_nodes()[0]
-        simulation.give(sender, ShareRecord(record, everywhere))
+        simulation.give(sender, ReplicateRecord(record, everywhere))
         simulation.run(0.5)
         domain = sender.instance.domain
         reached = [
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -170,13 +170,13 @@
 class Gossip:
     """Replace membership and keep the records that an entry shares."""
 
-    handles = (core.ShareRecord,)
+    handles = (core.ReplicateRecord,)
 
     def __init__(self) -> None:
         self.shared: list[core.SharedRecord] = []
 
     def handle(self, event: core.Event, now_s: float) -> list[Any]:
-        assert isinstance(event, core.ShareRecord)
+        assert isinstance(event, core.ReplicateRecord)
         self.shared.append(event.record)
         return []
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -19,9 +19,9 @@
     RecordReceived,
     Refusal,
     RefusalKind,
+    ReplicateRecord,
     RequestId,
     RunState,
-    ShareRecord,
     TimerFired,
     message_from_mapping,
     message_to_mapping,
@@ -83,11 +83,11 @@
     def _share(self, now_s: float) -> None:
         for part in self.parts:
             for output in drain(part, now_s):
-                if isinstance(output, ShareRecord) and self.joined:
+                if isinstance(output, ReplicateRecord) and self.joined:
                     self._spread(part, output, now_s)
 
     def _spread(
-        self, part: AdmissionPart, share: ShareRecord, now_s: float
+        self, part: AdmissionPart, share: ReplicateRecord, now_s: float
     ) -> None:
         mapping = message_to_mapping(share.record)
         record = message_from_mapping(mapping)
@@ -320,7 +320,7 @@
             now_s
             for now_s in range(60)
             for output in part.handle(TimerFired(), now_s)
-            if isinstance(output, ShareRecord)
+            if isinstance(output, ReplicateRecord)
         ]
         gaps_s = [late - early for early, late in pairwise(shared_s)]
         lifetime_s = AdmissionSettings().demand_lifetime_s
@@ -342,7 +342,7 @@
                 shared += [
                     out
                     for out in drain(part, 1)
-                    if isinstance(out, ShareRecord)
+                    if isinstance(out, ReplicateRecord)
                 ]
             sums = [out for out in shared if out.record.is_sum]
             self.assertEqual(everywhere, {out.everywhere for out in shared})
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -21,9 +21,9 @@
     RecordEntry,
     RecordReceived,
     RecordSummary,
+    ReplicateRecord,
     SendPeer,
     SharedRecord,
-    ShareRecord,
     Started,
     TimerFired,
     TopologySettings,
@@ -271,7 +271,7 @@
                 node.sent.clear()
                 node.recorder.learned.clear()
             simulation.give(
-                simulation.live_nodes()[0], ShareRecord(record, everywhere)
+                simulation.live_nodes()[0], ReplicateRecord(record, everywhere)
             )
             simulation.run(0.1)
             deliveries = [
@@ -296,7 +296,8 @@
         for name, lifetime_s in (('long', 500), ('short', 10)):
             record = SharedRecord(name, version=1, lifetime_s=lifetime_s)
             simulation.give(
-                simulation.nodes[InstanceId('b-0')], ShareRecord(record, True)
+                simulation.nodes[InstanceId('b-0')],
+                ReplicateRecord(record, True),
             )
         simulation.run(20)
         simulation.heal()
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -18,8 +18,8 @@
     PollLoad,
     Presence,
     RecordReceived,
+    ReplicateRecord,
     RoutingPart,
-    ShareRecord,
     Target,
     TargetCrashed,
     TargetId,
@@ -340,7 +340,9 @@
                     event = LoadReported(output.target_id, busy)
                     part.handle(event, 6)
             shares = part.handle(TimerFired(), 6.5)
-            records += [out for out in shares if isinstance(out, ShareRecord)]
+            records += [
+                out for out in shares if isinstance(out, ReplicateRecord)
+            ]
         report_counts = Counter(
             target_id
             for share in records
@@ -400,7 +402,7 @@
         (news,) = [
             out.record
             for out in lister.handle(TimerFired(), 9)
-            if isinstance(out, ShareRecord)
+            if isinstance(out, ReplicateRecord)
             and isinstance(out.record, TargetsShared)
         ]
         record = message_from_mapping(message_to_mapping(news))
