--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -151,7 +151,7 @@
         if service.has_queued_calls:
             self._schedule_check(now_s)
 
-    def come_back_s(self, service: ServiceName, now_s: float) -> float:
+    def retry_after_s(self, service: ServiceName, now_s: float) -> float:
         """Estimate after how many seconds a refused call could be admitted."""
         service_queue = self._service(service)
         return clamp_retry_after_s(
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -117,7 +117,7 @@
     ) -> None:
         """Release the slot of a call and account for the tokens served."""
 
-    def come_back_s(self, service: ServiceName, now_s: float) -> float:
+    def retry_after_s(self, service: ServiceName, now_s: float) -> float:
         """Estimate the seconds after which a refused call should retry."""
 
 
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -280,7 +280,7 @@
         return [*outputs, *self._operations.refuse(call, refusal, now_s)]
 
     def _retry_after_s(self, call: Call, now_s: float) -> float:
-        return self._operations.admitter.come_back_s(call.need.service, now_s)
+        return self._operations.admitter.retry_after_s(call.need.service, now_s)
 
 
 def _is_repeatable(call: Call) -> bool:
--- a/packages/standins/dandelionyoke_standins/_policy_naive.py
+++ b/packages/standins/dandelionyoke_standins/_policy_naive.py
@@ -207,7 +207,7 @@
                 queue.extend(left)
         self._wakeup_s = now_s
 
-    def come_back_s(self, service: ServiceName, now_s: float) -> float:
+    def retry_after_s(self, service: ServiceName, now_s: float) -> float:
         """Return a fixed estimate of one second."""
         return 1
 
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -98,7 +98,7 @@
         self.held.remove(request_id)
         self.served[request_id] += output_tokens
 
-    def come_back_s(self, service: str, now_s: float) -> float:
+    def retry_after_s(self, service: str, now_s: float) -> float:
         return 3
 
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -287,7 +287,7 @@
                 now_s = number * interval_s + 100 * interval_s
                 part.finish(RequestId(running), 100, 5, now_s)
                 (running,) = admitted_by(drain(part, now_s)) or (running,)
-            waits.append(part.come_back_s(make_ticket('x').service, now_s))
+            waits.append(part.retry_after_s(make_ticket('x').service, now_s))
         self.assertGreater(waits[1], 3 * waits[0])
 
     def test_a_queued_call_that_would_miss_its_deadline_is_rejected(
