--- a/packages/core/dandelionyoke_core/_call_operations.py
+++ b/packages/core/dandelionyoke_core/_call_operations.py
@@ -44,7 +44,7 @@
         """Choose a target other than those that failed this call."""
         avoid = frozenset(call.avoid)
         if call.fingerprint:
-            avoid |= self.quarantine.crowded(call.fingerprint, now_s)
+            avoid |= self.quarantine.excluded_targets(call.fingerprint, now_s)
         need = attrs.evolve(call.need, avoid=avoid)
         return self.router.choose(need, now_s)
 
--- a/packages/core/dandelionyoke_core/_model_placement.py
+++ b/packages/core/dandelionyoke_core/_model_placement.py
@@ -49,7 +49,9 @@
             return self._wait_or_refuse(call, refusal, now_s)
         route = self._operations.choose_target(call, now_s)
         if isinstance(route, NoRoute):
-            if self._operations.quarantine.crowded(call.fingerprint, now_s):
+            if self._operations.quarantine.excluded_targets(
+                call.fingerprint, now_s
+            ):
                 return self._wait_for_suspects(call, now_s)
             return self._wait_or_refuse(call, no_target(route), now_s)
         if call.needs_retry_budget and not self._operations.budget.try_charge(
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -224,7 +224,9 @@
     ) -> list[Output]:
         """Record that an attempt is in progress at a target."""
 
-    def crowded(self, fingerprint: str, now_s: float) -> frozenset[TargetId]:
+    def excluded_targets(
+        self, fingerprint: str, now_s: float
+    ) -> frozenset[TargetId]:
         """Return the targets that a suspect call must avoid.
 
         If two suspects of the same crash ran on one target and it crashed
--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -75,7 +75,9 @@
             return self._retry_later()
         return _quarantine_refusal(self._settings.quarantine_s)
 
-    def crowded(self, fingerprint: str, now_s: float) -> frozenset[TargetId]:
+    def excluded_targets(
+        self, fingerprint: str, now_s: float
+    ) -> frozenset[TargetId]:
         """Return the engines on which other suspects are in progress."""
         if self._suspects.find(fingerprint, now_s) is None:
             return frozenset()
