--- a/packages/core/dandelionyoke_core/_model_calls.py
+++ b/packages/core/dandelionyoke_core/_model_calls.py
@@ -255,7 +255,9 @@
         attempt = call.attempt
         if attempt is None:
             return []
-        outputs = self._operations.quarantine.broke(attempt.work_id, now_s)
+        outputs = self._operations.quarantine.attempt_failed(
+            attempt.work_id, now_s
+        )
         return [*outputs, *self._placement.place_elsewhere(call, cause, now_s)]
 
 
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -242,7 +242,9 @@
     def lost(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
         """Record an attempt abandoned at a silent, possibly crashed target."""
 
-    def broke(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
+    def attempt_failed(
+        self, attempt_id: AttemptId, now_s: float
+    ) -> list[Output]:
         """Record that an attempt broke off; it may have crashed its target."""
 
 
--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -132,7 +132,9 @@
         self._suspects.suspect(run.fingerprint, now_s)
         return [self._share_suspicion(run.fingerprint, Suspicion.SUSPECT)]
 
-    def broke(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
+    def attempt_failed(
+        self, attempt_id: AttemptId, now_s: float
+    ) -> list[Output]:
         """Count a crash against the request of an attempt that failed."""
         run = self._runs.find(attempt_id)
         if run is None:
@@ -148,7 +150,7 @@
         outputs = [
             output
             for attempt_id in event.attempt_ids
-            for output in self.broke(attempt_id, now_s)
+            for output in self.attempt_failed(attempt_id, now_s)
         ]
         for run in self._runs.lost(now_s):
             if run.target_id == event.target_id:
