--- a/packages/core/dandelionyoke_core/_model_calls.py
+++ b/packages/core/dandelionyoke_core/_model_calls.py
@@ -140,7 +140,9 @@
         if attempt is None:
             return []
         if attempt.is_resumption and not attempt.has_output:
-            outputs = self._operations.quarantine.lost(attempt.work_id, now_s)
+            outputs = self._operations.quarantine.attempt_abandoned(
+                attempt.work_id, now_s
+            )
             cause = 'silent after a resume'
             return [
                 *outputs,
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -239,7 +239,9 @@
         `whole` is True if it ran to completion, which clears its fingerprint.
         """
 
-    def lost(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
+    def attempt_abandoned(
+        self, attempt_id: AttemptId, now_s: float
+    ) -> list[Output]:
         """Record an attempt abandoned at a silent, possibly crashed target."""
 
     def attempt_failed(
--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -114,7 +114,9 @@
             )
         return outputs
 
-    def lost(self, attempt_id: AttemptId, now_s: float) -> list[Output]:
+    def attempt_abandoned(
+        self, attempt_id: AttemptId, now_s: float
+    ) -> list[Output]:
         """Suspect a request whose attempt was abandoned on a silent engine.
 
         It is not yet known whether the engine crashed, so a second such
