--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -288,8 +288,8 @@
     Peers as Peers,
     Quarantine as Quarantine,
     Queued as Queued,
-    RouteNeed as RouteNeed,
     Router as Router,
+    RouteRequirements as RouteRequirements,
     Ticket as Ticket,
 )
 from dandelionyoke_core._quarantine import (
--- a/packages/core/dandelionyoke_core/_call.py
+++ b/packages/core/dandelionyoke_core/_call.py
@@ -6,7 +6,7 @@
 
 from dandelionyoke_core._events import CompletionRequested, ServiceCallRequested
 from dandelionyoke_core._names import AttemptId, RequestId, TargetId
-from dandelionyoke_core._ports import Identity, RouteNeed
+from dandelionyoke_core._ports import Identity, RouteRequirements
 from dandelionyoke_core._records import Target
 from dandelionyoke_core._refusals import Refusal, RunState
 
@@ -58,7 +58,7 @@
 
     event: CompletionRequested | ServiceCallRequested
     identity: Identity
-    need: RouteNeed
+    requirements: RouteRequirements
     arrived_s: float
     deadline_s: float
     fingerprint: str = ''
--- a/packages/core/dandelionyoke_core/_call_operations.py
+++ b/packages/core/dandelionyoke_core/_call_operations.py
@@ -45,15 +45,17 @@
         avoid = frozenset(call.avoid)
         if call.fingerprint:
             avoid |= self.quarantine.excluded_targets(call.fingerprint, now_s)
-        need = attrs.evolve(call.need, avoid=avoid)
-        return self.router.choose(need, now_s)
+        requirements = attrs.evolve(call.requirements, avoid=avoid)
+        return self.router.choose(requirements, now_s)
 
     def track_attempt(
         self, call: Call, attempt: Attempt, now_s: float
     ) -> list[Output]:
         """Register a new attempt with the router and the quarantine."""
         target_id = attempt.target.target_id
-        self.router.dispatched(attempt.work_id, target_id, call.need, now_s)
+        self.router.dispatched(
+            attempt.work_id, target_id, call.requirements, now_s
+        )
         outputs: list[Output] = [
             WriteLog(
                 'request.routed',
@@ -126,12 +128,17 @@
         output_tokens = len(call.tokens)
         if call.possibly_run or output_tokens:
             self.admitter.finish(
-                call.request_id, call.need.prompt_tokens, output_tokens, now_s
+                call.request_id,
+                call.requirements.prompt_tokens,
+                output_tokens,
+                now_s,
             )
         else:
             self.admitter.withdraw(call.request_id, now_s)
         if output_tokens:
-            outputs.append(delivery_notice(call, call.need.prompt_tokens))
+            outputs.append(
+                delivery_notice(call, call.requirements.prompt_tokens)
+            )
         return outputs
 
     def finish(
@@ -147,7 +154,7 @@
         return [
             *outputs,
             delivery_notice(call, prompt_tokens),
-            CountMetric('request.finished', label=call.need.service),
+            CountMetric('request.finished', label=call.requirements.service),
             ObserveLatency('request.total', now_s - call.arrived_s),
             WriteLog(
                 'request.finished',
@@ -185,7 +192,7 @@
     return UsageDelivered(
         call.request_id,
         call.identity.organisation.organisation_id,
-        call.need.service,
+        call.requirements.service,
         requests=1,
         prompt_tokens=prompt_tokens,
     )
--- a/packages/core/dandelionyoke_core/_intake.py
+++ b/packages/core/dandelionyoke_core/_intake.py
@@ -19,7 +19,7 @@
     ConfigurationView,
     Identity,
     Quarantine,
-    RouteNeed,
+    RouteRequirements,
     Ticket,
 )
 from dandelionyoke_core._refusals import Refusal
@@ -75,7 +75,7 @@
         if len(tokens) + event.max_output_tokens > model.context_tokens:
             return context_exceeded(len(tokens), event.max_output_tokens, model)
         deadline_s = self._deadline_s(event, now_s)
-        need = RouteNeed(
+        requirements = RouteRequirements(
             organisation_id,
             model.service_name,
             model.model_name,
@@ -86,7 +86,12 @@
             deadline_s=deadline_s,
         )
         call = Call(
-            event, identity, need, now_s, deadline_s, request_fingerprint
+            event,
+            identity,
+            requirements,
+            now_s,
+            deadline_s,
+            request_fingerprint,
         )
         return call, _ticket(call)
 
@@ -102,7 +107,7 @@
         if unrepeatable and not event.idempotency_key:
             return idempotency_key_required(event)
         deadline_s = self._deadline_s(event, now_s)
-        need = RouteNeed(
+        requirements = RouteRequirements(
             identity.organisation.organisation_id,
             service.service_name,
             prompt_tokens=self._settings.service_call_tokens,
@@ -112,7 +117,7 @@
         call = Call(
             event,
             identity,
-            need,
+            requirements,
             now_s,
             deadline_s,
             unrepeatable=unrepeatable,
@@ -142,9 +147,9 @@
     return Ticket(
         call.request_id,
         call.identity.organisation,
-        call.need.service,
-        call.need.prompt_tokens,
-        call.need.max_output_tokens,
+        call.requirements.service,
+        call.requirements.prompt_tokens,
+        call.requirements.max_output_tokens,
         call.arrived_s,
         call.deadline_s,
     )
--- a/packages/core/dandelionyoke_core/_model_calls.py
+++ b/packages/core/dandelionyoke_core/_model_calls.py
@@ -174,7 +174,7 @@
             UsageDelivered(
                 call.request_id,
                 call.identity.organisation.organisation_id,
-                call.need.service,
+                call.requirements.service,
                 output_tokens=len(new_tokens),
             ),
         ]
--- a/packages/core/dandelionyoke_core/_model_placement.py
+++ b/packages/core/dandelionyoke_core/_model_placement.py
@@ -113,7 +113,9 @@
         return self._operations.stall(call, pause_s, refusal.detail, now_s)
 
     def _retry_after_s(self, call: Call, now_s: float) -> float:
-        return self._operations.admitter.retry_after_s(call.need.service, now_s)
+        return self._operations.admitter.retry_after_s(
+            call.requirements.service, now_s
+        )
 
     def _attempts_exhausted(self, call: Call, now_s: float) -> Refusal:
         return attempts_exhausted(
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -122,7 +122,7 @@
 
 
 @attrs.frozen
-class RouteNeed:
+class RouteRequirements:
     """Requirements of a call on its target.
 
     `avoid` lists targets that already failed this call; `preferred_target` is the
@@ -153,7 +153,9 @@
 class Router(Protocol):
     """Target selection, and tracking of the attempts in progress."""
 
-    def choose(self, need: RouteNeed, now_s: float) -> Target | NoRoute:
+    def choose(
+        self, requirements: RouteRequirements, now_s: float
+    ) -> Target | NoRoute:
         """Select a target for an attempt."""
 
     def find(self, target_id: TargetId) -> Target | None:
@@ -163,7 +165,7 @@
         self,
         attempt_id: AttemptId,
         target_id: TargetId,
-        need: RouteNeed,
+        requirements: RouteRequirements,
         now_s: float,
     ) -> None:
         """Record that an attempt is in progress at a target."""
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -183,8 +183,8 @@
         log = WriteLog(
             'request.admitted',
             call.request_id,
-            f'{organisation.organisation_id} to {call.need.service}, '
-            f'{call.need.prompt_tokens} prompt tokens, '
+            f'{organisation.organisation_id} to {call.requirements.service}, '
+            f'{call.requirements.prompt_tokens} prompt tokens, '
             f'waited {now_s - call.arrived_s:.3f} s',
         )
         return [log, *self._call_handlers.handler_for(call).start(call, now_s)]
--- a/packages/core/dandelionyoke_core/_reuse_estimate.py
+++ b/packages/core/dandelionyoke_core/_reuse_estimate.py
@@ -5,7 +5,7 @@
 import attrs
 
 from dandelionyoke_core._names import ServiceName
-from dandelionyoke_core._ports import RouteNeed
+from dandelionyoke_core._ports import RouteRequirements
 
 MAX_REMEMBERED_BLOCKS = 8192
 INITIAL_SHARE = 0.25
@@ -30,14 +30,14 @@
         """Return the share of prompts at this entry with a known prefix."""
         return self._shares.get(service, INITIAL_SHARE)
 
-    def learn(self, need: RouteNeed) -> None:
+    def learn(self, requirements: RouteRequirements) -> None:
         """Update the estimate with a call that was sent."""
-        if not need.blocks:
+        if not requirements.blocks:
             return
-        middle_block = need.blocks[len(need.blocks) // 2]
+        middle_block = requirements.blocks[len(requirements.blocks) // 2]
         was_seen = int(middle_block in self._seen_blocks)
-        previous_share = self.share(need.service)
-        self._shares[need.service] = previous_share + LEARNING_RATE * (
+        previous_share = self.share(requirements.service)
+        self._shares[requirements.service] = previous_share + LEARNING_RATE * (
             was_seen - previous_share
         )
         self._seen_blocks[middle_block] = None
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -31,7 +31,7 @@
     NoRoute,
     Output,
     Peers,
-    RouteNeed,
+    RouteRequirements,
 )
 from dandelionyoke_core._reclaimable_budget import ReclaimableBudget
 from dandelionyoke_core._records import Role, Target
@@ -95,20 +95,22 @@
 
     # Router protocol.
 
-    def choose(self, need: RouteNeed, now_s: float) -> Target | NoRoute:
+    def choose(
+        self, requirements: RouteRequirements, now_s: float
+    ) -> Target | NoRoute:
         """Choose a target for an attempt."""
-        self._poll_schedule.need(need.service, now_s)
-        usable = self._usable(need.service, now_s)
+        self._poll_schedule.need(requirements.service, now_s)
+        usable = self._usable(requirements.service, now_s)
         eligible = {
             target_id: state
             for target_id, state in usable.items()
-            if _is_eligible(state, need)
+            if _is_eligible(state, requirements)
         }
-        allowed = self._apply_reclaimable_budget(need, eligible, now_s)
+        allowed = self._apply_reclaimable_budget(requirements, eligible, now_s)
         if not allowed:
             return NoRoute('no usable target', self._settings.retry_after_s)
-        size = self._work_size(need)
-        return self._chooser.best(need, size, allowed, now_s).target
+        size = self._work_size(requirements)
+        return self._chooser.best(requirements, size, allowed, now_s).target
 
     def find(self, target_id: TargetId) -> Target | None:
         """Return a target, or None if it no longer exists."""
@@ -119,20 +121,22 @@
         self,
         attempt_id: AttemptId,
         target_id: TargetId,
-        need: RouteNeed,
+        requirements: RouteRequirements,
         now_s: float,
     ) -> None:
         """Record an attempt as in flight at a target."""
         state = self._table.find(target_id)
         if state is None:
             return
-        cached_blocks = state.prefixes.overlap(need.blocks)
-        size = self._work_size(need)
-        sent = SentAttempt(need, now_s, cached_blocks, size.reserved_tokens)
+        cached_blocks = state.prefixes.overlap(requirements.blocks)
+        size = self._work_size(requirements)
+        sent = SentAttempt(
+            requirements, now_s, cached_blocks, size.reserved_tokens
+        )
         self._table.dispatched(attempt_id, target_id, sent)
         self._uncached_shares.learn(sent, state.report.block_tokens)
-        self._reuse_estimate.learn(need)
-        self._reclaimable_budget(need.service).add(
+        self._reuse_estimate.learn(requirements)
+        self._reclaimable_budget(requirements.service).add(
             self._engine_s(size), now_s, reclaimable=state.target.reclaimable
         )
 
@@ -148,8 +152,8 @@
         """Record the end of an attempt."""
         sent = self._table.ended(attempt_id, now_s)
         if sent is not None and not failed:
-            self._output_estimate(sent.need.service).learn(
-                sent.output_tokens, sent.need.max_output_tokens
+            self._output_estimate(sent.requirements.service).learn(
+                sent.output_tokens, sent.requirements.max_output_tokens
             )
 
     # CapacityView protocol.
@@ -219,7 +223,7 @@
 
     def _apply_reclaimable_budget(
         self,
-        need: RouteNeed,
+        requirements: RouteRequirements,
         usable: dict[TargetId, TargetState],
         now_s: float,
     ) -> dict[TargetId, TargetState]:
@@ -228,12 +232,14 @@
             for target_id, state in usable.items()
             if not state.target.reclaimable
         }
-        if need.steady:
+        if requirements.steady:
             return on_demand
-        service = self._configuration_view.snapshot.services.get(need.service)
+        service = self._configuration_view.snapshot.services.get(
+            requirements.service
+        )
         share = 0 if service is None else service.reclaimable_share
-        engine_s = self._engine_s(self._work_size(need))
-        if self._reclaimable_budget(need.service).allows(
+        engine_s = self._engine_s(self._work_size(requirements))
+        if self._reclaimable_budget(requirements.service).allows(
             engine_s, share, now_s
         ):
             return usable
@@ -241,12 +247,12 @@
         # better for the caller than a refusal.
         return on_demand or usable
 
-    def _work_size(self, need: RouteNeed) -> WorkSize:
-        output = self._output_estimate(need.service)
+    def _work_size(self, requirements: RouteRequirements) -> WorkSize:
+        output = self._output_estimate(requirements.service)
         return WorkSize(
-            need.prompt_tokens,
-            output.mean_tokens(need.max_output_tokens),
-            output.upper_tokens(need.max_output_tokens),
+            requirements.prompt_tokens,
+            output.mean_tokens(requirements.max_output_tokens),
+            output.upper_tokens(requirements.max_output_tokens),
         )
 
     def _engine_s(self, size: WorkSize) -> float:
@@ -268,8 +274,8 @@
         return self._settings.plain_slots
 
 
-def _is_eligible(state: TargetState, need: RouteNeed) -> bool:
-    if state.target.target_id in need.avoid:
+def _is_eligible(state: TargetState, requirements: RouteRequirements) -> bool:
+    if state.target.target_id in requirements.avoid:
         return False
     models = state.report.models
-    return not need.model or not models or need.model in models
+    return not requirements.model or not models or requirements.model in models
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -124,7 +124,9 @@
                 event.body,
                 now_s,
             )
-        outputs += self._operations.finish(call, call.need.prompt_tokens, now_s)
+        outputs += self._operations.finish(
+            call, call.requirements.prompt_tokens, now_s
+        )
         return outputs
 
     def on_refused(
@@ -280,7 +282,9 @@
         return [*outputs, *self._operations.refuse(call, refusal, now_s)]
 
     def _retry_after_s(self, call: Call, now_s: float) -> float:
-        return self._operations.admitter.retry_after_s(call.need.service, now_s)
+        return self._operations.admitter.retry_after_s(
+            call.requirements.service, now_s
+        )
 
 
 def _is_repeatable(call: Call) -> bool:
--- a/packages/core/dandelionyoke_core/_target_choice.py
+++ b/packages/core/dandelionyoke_core/_target_choice.py
@@ -5,7 +5,7 @@
 
 from dandelionyoke_core._load_estimate import Estimate, WorkSize, estimate
 from dandelionyoke_core._names import Domain, TargetId
-from dandelionyoke_core._ports import RouteNeed
+from dandelionyoke_core._ports import RouteRequirements
 from dandelionyoke_core._records import Role
 from dandelionyoke_core._rendezvous import rendezvous
 from dandelionyoke_core._reuse_estimate import ReuseEstimate
@@ -39,24 +39,29 @@
 
     def best(
         self,
-        need: RouteNeed,
+        requirements: RouteRequirements,
         size: WorkSize,
         usable: TargetStates,
         now_s: float,
     ) -> TargetState:
         """Choose a target for a call from at least one usable target."""
         local, remote = self._split_by_domain(usable, now_s)
-        affinity_ids = self._affinity_targets(need, usable, local, remote)
+        affinity_ids = self._affinity_targets(
+            requirements, usable, local, remote
+        )
         ids = [*self._sample(local, remote), *affinity_ids]
         if (
-            need.preferred_target is not None
-            and need.preferred_target in usable
+            requirements.preferred_target is not None
+            and requirements.preferred_target in usable
         ):
-            ids.append(need.preferred_target)
+            ids.append(requirements.preferred_target)
         states = [usable[target_id] for target_id in dict.fromkeys(ids)]
         affinity_id = affinity_ids[0] if affinity_ids else None
         return min(
-            states, key=lambda state: self._cost(need, size, state, affinity_id)
+            states,
+            key=lambda state: self._cost(
+                requirements, size, state, affinity_id
+            ),
         )
 
     def forecast(
@@ -106,7 +111,7 @@
 
     def _affinity_targets(
         self,
-        need: RouteNeed,
+        requirements: RouteRequirements,
         usable: TargetStates,
         local: Sequence[TargetId],
         remote: Sequence[TargetId],
@@ -119,16 +124,16 @@
         targets. Their caches then hold each prefix once, and domains are only
         a fraction of a millisecond apart.
         """
-        if not need.blocks:
+        if not requirements.blocks:
             return []
         all_known = len(local) + len(remote) == len(usable)
         ids = [*local, *remote] if all_known else local or remote
-        prefix_block = need.blocks[: self._settings.affinity_blocks][-1]
+        prefix_block = requirements.blocks[: self._settings.affinity_blocks][-1]
         return list(rendezvous(ids, prefix_block, MAX_AFFINITY_TARGETS))
 
     def _cost(
         self,
-        need: RouteNeed,
+        requirements: RouteRequirements,
         size: WorkSize,
         state: TargetState,
         affinity_id: TargetId | None,
@@ -138,19 +143,21 @@
         distance_s = settings.remote_penalty_s if is_remote else 0
         if not state.is_engine:
             return state.load().calls + distance_s
-        cached_blocks = state.prefixes.overlap(need.blocks)
-        if need.preferred_target == state.target.target_id:
-            cached_blocks = len(need.blocks)
+        cached_blocks = state.prefixes.overlap(requirements.blocks)
+        if requirements.preferred_target == state.target.target_id:
+            cached_blocks = len(requirements.blocks)
         forecast = self._estimate(size, state, cached_blocks)
         cost = (
             forecast.total_s + settings.engine_time_weight * forecast.engine_s
         )
         cost += forecast.missing_blocks * settings.missing_block_penalty_s
         if state.target.target_id == affinity_id:
-            cost -= self._expected_saving_s(need, state)
+            cost -= self._expected_saving_s(requirements, state)
         return cost + distance_s
 
-    def _expected_saving_s(self, need: RouteNeed, state: TargetState) -> float:
+    def _expected_saving_s(
+        self, requirements: RouteRequirements, state: TargetState
+    ) -> float:
         """Time that later calls may save if this one uses its affinity target.
 
         This entry sees only a part of the calls, so the observed reuse is
@@ -158,10 +165,10 @@
         a prefix would go to whichever target is idle, and each of these
         targets would compute and cache the prefix again.
         """
-        tokens = len(need.blocks) * state.report.block_tokens
+        tokens = len(requirements.blocks) * state.report.block_tokens
         prefill_s = self._settings.speed.engine_s(tokens, 0, Role.MIXED)
         weight = self._settings.engine_time_weight
-        observed_share = self._reuse.share(need.service)
+        observed_share = self._reuse.share(requirements.service)
         reuse_share = self._settings.reuse_factor * observed_share
         return (
             weight
--- a/packages/core/dandelionyoke_core/_target_state.py
+++ b/packages/core/dandelionyoke_core/_target_state.py
@@ -6,7 +6,7 @@
 
 from dandelionyoke_core._load_estimate import Load, blocks_needed
 from dandelionyoke_core._names import AttemptId
-from dandelionyoke_core._ports import RouteNeed
+from dandelionyoke_core._ports import RouteRequirements
 from dandelionyoke_core._prefix_index import PrefixIndex
 from dandelionyoke_core._records import (
     LoadReport,
@@ -27,7 +27,7 @@
 class SentAttempt:
     """An attempt of this entry at a target."""
 
-    need: RouteNeed
+    requirements: RouteRequirements
     sent_s: float
     cached_blocks: int
     expected_output_tokens: float
@@ -37,7 +37,7 @@
     def uncached_tokens(self, block_tokens: int) -> int:
         """Prompt tokens that are not cached at the target."""
         cached_tokens = self.cached_blocks * block_tokens
-        return max(0, self.need.prompt_tokens - cached_tokens)
+        return max(0, self.requirements.prompt_tokens - cached_tokens)
 
     def remaining_output_tokens(self) -> float:
         """Expected output tokens that are still to be generated."""
@@ -45,7 +45,7 @@
 
     def held_tokens(self) -> int:
         """Tokens that the attempt occupies in the KV cache now."""
-        return self.need.prompt_tokens + self.output_tokens
+        return self.requirements.prompt_tokens + self.output_tokens
 
 
 @attrs.define
@@ -134,7 +134,7 @@
     def add_attempt(self, attempt_id: AttemptId, sent: SentAttempt) -> None:
         """Record an attempt as in flight."""
         self.sent[attempt_id] = sent
-        self.prefixes.add(sent.need.blocks)
+        self.prefixes.add(sent.requirements.blocks)
 
     def record_output(
         self, attempt_id: AttemptId, output_tokens: int, now_s: float
--- a/packages/core/dandelionyoke_core/_uncached_shares.py
+++ b/packages/core/dandelionyoke_core/_uncached_shares.py
@@ -19,10 +19,10 @@
 
     def learn(self, sent: SentAttempt, block_tokens: int) -> None:
         """Update the share with a call; long prompts have more weight."""
-        prompt_tokens = sent.need.prompt_tokens
+        prompt_tokens = sent.requirements.prompt_tokens
         if not prompt_tokens:
             return
-        service = sent.need.service
+        service = sent.requirements.service
         call_share = sent.uncached_tokens(block_tokens) / prompt_tokens
         previous_share = self.share(service)
         learning_rate = min(1, prompt_tokens / AVERAGING_TOKENS)
--- a/packages/standins/dandelionyoke_standins/_policy_caller.py
+++ b/packages/standins/dandelionyoke_standins/_policy_caller.py
@@ -21,8 +21,8 @@
     Output,
     Queued,
     RequestId,
-    RouteNeed,
     Router,
+    RouteRequirements,
     Target,
     TargetId,
     Ticket,
@@ -159,7 +159,7 @@
     def _dispatch(self, state: CallState, now_s: float) -> list[Output]:
         call = state.call
         self._retry_times_s.pop(call.request_id, None)
-        need = RouteNeed(
+        requirements = RouteRequirements(
             call.customer.organisation.organisation_id,
             call.call_class.service,
             blocks=call.shared_blocks,
@@ -169,7 +169,7 @@
             avoid=state.avoid,
             deadline_s=call.deadline_s,
         )
-        target = self._router.choose(need, now_s)
+        target = self._router.choose(requirements, now_s)
         if isinstance(target, NoRoute):
             state.avoid = frozenset()
             self._retry_times_s[call.request_id] = now_s + ROUTE_RETRY_DELAY_S
@@ -178,7 +178,9 @@
         attempt_id = AttemptId(f'{call.request_id}/{state.attempts}')
         state.attempt_id = attempt_id
         state.target = target
-        self._router.dispatched(attempt_id, target.target_id, need, now_s)
+        self._router.dispatched(
+            attempt_id, target.target_id, requirements, now_s
+        )
         self._ledger.record_dispatch(call.request_id, target)
         return [
             StartEngineAttempt(attempt_id, target, call, state.generated_tokens)
--- a/packages/standins/dandelionyoke_standins/_policy_naive.py
+++ b/packages/standins/dandelionyoke_standins/_policy_naive.py
@@ -23,7 +23,7 @@
     Queued,
     Refusal,
     RequestId,
-    RouteNeed,
+    RouteRequirements,
     ServiceName,
     Started,
     Target,
@@ -77,14 +77,16 @@
         due = (self._next_list_s, self._next_poll_s)
         return min((due_s for due_s in due if due_s is not None), default=None)
 
-    def choose(self, need: RouteNeed, now_s: float) -> Target | NoRoute:
+    def choose(
+        self, requirements: RouteRequirements, now_s: float
+    ) -> Target | NoRoute:
         """Scan the whole fleet for the least loaded usable target."""
         usable = [
             target
             for target in self._targets.values()
-            if target.service == need.service
+            if target.service == requirements.service
             and target.state is Presence.LIVE
-            and self._is_usable(target, need)
+            and self._is_usable(target, requirements)
         ]
         if not usable:
             return NoRoute('no usable target', 1)
@@ -98,7 +100,7 @@
         self,
         attempt_id: AttemptId,
         target_id: TargetId,
-        need: RouteNeed,
+        requirements: RouteRequirements,
         now_s: float,
     ) -> None:
         """Do nothing; only reports count."""
@@ -119,11 +121,13 @@
             target.service == service for target in self._targets.values()
         )
 
-    def _is_usable(self, target: Target, need: RouteNeed) -> bool:
-        if need.steady and target.reclaimable:
+    def _is_usable(
+        self, target: Target, requirements: RouteRequirements
+    ) -> bool:
+        if requirements.steady and target.reclaimable:
             return False
         known = target.target_id in self._reports
-        return known and target.target_id not in need.avoid
+        return known and target.target_id not in requirements.avoid
 
     def _reported_calls(self, target: Target) -> int:
         report = self._reports[target.target_id]
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -108,15 +108,15 @@
     def __init__(self, targets: tuple[core.Target, ...]) -> None:
         self.targets = targets
         self.running: dict[str, core.TargetId] = {}
-        self.needs: list[core.RouteNeed] = []
+        self.requirements: list[core.RouteRequirements] = []
 
     def choose(
-        self, need: core.RouteNeed, now_s: float
+        self, requirements: core.RouteRequirements, now_s: float
     ) -> core.Target | core.NoRoute:
-        self.needs.append(need)
+        self.requirements.append(requirements)
         for target in self.targets:
-            allowed = target.target_id not in need.avoid
-            if allowed and target.service == need.service:
+            allowed = target.target_id not in requirements.avoid
+            if allowed and target.service == requirements.service:
                 return target
         return core.NoRoute('all targets are avoided', 2)
 
@@ -134,7 +134,7 @@
         self,
         attempt_id: str,
         target_id: core.TargetId,
-        need: core.RouteNeed,
+        requirements: core.RouteRequirements,
         now_s: float,
     ) -> None:
         self.running[attempt_id] = target_id
--- a/tests/core/policy_fakes.py
+++ b/tests/core/policy_fakes.py
@@ -13,7 +13,7 @@
     Organisation,
     OrganisationId,
     RequestId,
-    RouteNeed,
+    RouteRequirements,
     RoutingPart,
     RoutingSettings,
     Service,
@@ -110,9 +110,9 @@
     return part
 
 
-def make_need(**fields: object) -> RouteNeed:
+def make_requirements(**fields: object) -> RouteRequirements:
     given = {'prompt_tokens': 100, 'max_output_tokens': 100, **fields}
-    return RouteNeed(OrganisationId('duka'), SERVICE, **given)
+    return RouteRequirements(OrganisationId('duka'), SERVICE, **given)
 
 
 def make_admission(
--- a/tests/core/test_request.py
+++ b/tests/core/test_request.py
@@ -379,7 +379,7 @@
             assert refusal is not None
             self.assertEqual((kind, NO), (refusal.kind, refusal.run))
             self.assertTrue(refusal.remedy)
-            self.assertEqual([], entry.router.needs)
+            self.assertEqual([], entry.router.requirements)
             self.assertIn(
                 'request.refused',
                 [log.kind for log in entry.all(core.WriteLog)],
@@ -508,7 +508,9 @@
         entry, store = entry_with_call(Entry()), Store()
         entry.tell(ask('r2', 'a ' * 9_000))
         serve(entry, store, entry.tell(confirm('r3')))
-        steady = [need.steady for need in entry.router.needs]
+        steady = [
+            requirements.steady for requirements in entry.router.requirements
+        ]
         self.assertEqual([False, True, True], steady)
 
     def test_a_call_without_a_route_is_refused_at_once(self) -> None:
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -41,7 +41,7 @@
     HOME,
     FixedPeers,
     entry,
-    make_need,
+    make_requirements,
     make_routing,
     make_targets,
 )
@@ -57,7 +57,7 @@
 
 
 def calls_at(part: RoutingPart) -> dict[TargetId, float]:
-    statuses = part.target_statuses(make_need().service, 0)
+    statuses = part.target_statuses(make_requirements().service, 0)
     return {status.target.target_id: status.calls for status in statuses}
 
 
@@ -141,7 +141,7 @@
                     for candidate in fleet
                     if candidate.accepts(steady=steady)
                 }
-                chosen = part.choose(make_need(steady=steady), 0)
+                chosen = part.choose(make_requirements(steady=steady), 0)
                 if isinstance(chosen, NoRoute):
                     self.assertEqual(set(), allowed)
                 else:
@@ -168,9 +168,11 @@
         part = make_routing(make_targets(count, kind=kind), seed=seed)
         sent: Counter[TargetId] = Counter()
         for number in range(calls):
-            chosen = part.choose(make_need(), 0)
+            chosen = part.choose(make_requirements(), 0)
             self.assertIsInstance(chosen, Target)
-            part.dispatched(f'a{number}', chosen.target_id, make_need(), 0)
+            part.dispatched(
+                f'a{number}', chosen.target_id, make_requirements(), 0
+            )
             sent[chosen.target_id] += 1
         even_share = -(-calls // count)
         self.assertLessEqual(max(sent.values()), even_share + 2)
@@ -205,8 +207,12 @@
             now_s = step + 1.0
             live = sorted(in_flight)
             if change == 'send':
-                need = make_need(prompt_tokens=100 * (argument + 1))
-                in_flight[f'a{step:03}'] = SentAttempt(need, now_s, 0, 100)
+                requirements = make_requirements(
+                    prompt_tokens=100 * (argument + 1)
+                )
+                in_flight[f'a{step:03}'] = SentAttempt(
+                    requirements, now_s, 0, 100
+                )
                 state.add_attempt(f'a{step:03}', in_flight[f'a{step:03}'])
             elif change == 'report':
                 taken_s, late_report = reports[max(0, len(reports) - 1 - lag)]
@@ -223,7 +229,9 @@
                 for attempt in in_flight.values()
                 if attempt.first_output_s is None
             ]
-            tokens = sum(attempt.need.prompt_tokens for attempt in pending)
+            tokens = sum(
+                attempt.requirements.prompt_tokens for attempt in pending
+            )
             reports.append(
                 (
                     now_s + 0.5,
@@ -254,12 +262,14 @@
             part.handle(LoadReported(name, report(name)), 0)
         held: Counter[TargetId] = Counter()
         for number, prompt in enumerate(prompts):
-            need = make_need(prompt_tokens=prompt, max_output_tokens=1000)
+            requirements = make_requirements(
+                prompt_tokens=prompt, max_output_tokens=1000
+            )
             size = WorkSize(prompt, 1000, 1000)
-            forecast = part.forecast(need.service, size, 1)
-            target = part.choose(need, 1)
+            forecast = part.forecast(requirements.service, size, 1)
+            target = part.choose(requirements, 1)
             if forecast is not None and forecast.can_start:
-                part.dispatched(f'a{number}', target.target_id, need, 1)
+                part.dispatched(f'a{number}', target.target_id, requirements, 1)
                 part.progressed(f'a{number}', 1, 1)
                 # Output tokens for which memory is reserved.
                 held[target.target_id] += -(-(prompt + 800) // 16)
@@ -281,8 +291,10 @@
         part = make_routing(fleet, share=share, seed=seed)
         reclaimable_count = 0
         for number in range(300):
-            target = part.choose(make_need(), 0)
-            part.dispatched(f'a{number}', target.target_id, make_need(), 0)
+            target = part.choose(make_requirements(), 0)
+            part.dispatched(
+                f'a{number}', target.target_id, make_requirements(), 0
+            )
             reclaimable_count += target.reclaimable
         self.assertLessEqual(reclaimable_count, 300 * share + 10 * (share > 0))
 
@@ -296,7 +308,7 @@
             part = make_routing((target,))
             first_report = report(target.target_id)
             part.handle(LoadReported(target.target_id, first_report), 0)
-            part.dispatched('a1', target.target_id, make_need(), 1)
+            part.dispatched('a1', target.target_id, make_requirements(), 1)
             second_report = attrs.evolve(first_report, incarnation='second')
             event = LoadReported(target.target_id, second_report)
             if not restarts:
@@ -315,12 +327,16 @@
         """
         part = make_routing(make_targets(2))
         part.handle(TargetUnreachable(TargetId('t0'), 'refused'), 0)
-        chosen = {part.choose(make_need(), 1).target_id for _ in range(20)}
+        chosen = {
+            part.choose(make_requirements(), 1).target_id for _ in range(20)
+        }
         self.assertEqual({'t1'}, chosen)
         polls = part.handle(TimerFired(), 1)
         self.assertIn(PollLoad(TargetId('t0'), '10.0.0.0:80'), polls)
         part.handle(LoadReported(TargetId('t0'), report(TargetId('t0'))), 1)
-        chosen = {part.choose(make_need(), 1).target_id for _ in range(20)}
+        chosen = {
+            part.choose(make_requirements(), 1).target_id for _ in range(20)
+        }
         self.assertEqual({'t0', 't1'}, chosen)
 
     def test_in_a_large_domain_two_entries_poll_a_target_for_all(self) -> None:
@@ -374,7 +390,7 @@
             for notice in notices:
                 if isinstance(notice, TargetLeaving):
                     part.handle(notice, 1)
-            self.assertIsInstance(part.choose(make_need(), 1), expected)
+            self.assertIsInstance(part.choose(make_requirements(), 1), expected)
 
     def test_two_entries_read_the_list_and_all_learn_of_a_reclaim(self) -> None:
         """The spot targets of a zone are reclaimed with seconds of notice.
@@ -449,11 +465,13 @@
                 f'shop-{Random(seed).random()}-{n}' for n in range(99)
             )
             part = make_routing(make_targets(6), seed=seed)
-            need = make_need(prompt_tokens=1600, blocks=blocks)
+            requirements = make_requirements(prompt_tokens=1600, blocks=blocks)
             chosen: Counter[TargetId] = Counter()
             for number in range(100):
-                target = part.choose(need, number)
-                part.dispatched(f'a{number}', target.target_id, need, number)
+                target = part.choose(requirements, number)
+                part.dispatched(
+                    f'a{number}', target.target_id, requirements, number
+                )
                 chosen[target.target_id] += 1
                 part.progressed(f'a{number}', 40, number)
                 if number < 20:
