--- a/packages/core/dandelionyoke_core/_intake.py
+++ b/packages/core/dandelionyoke_core/_intake.py
@@ -82,7 +82,7 @@
             prefix_blocks(tokens),
             len(tokens),
             event.max_output_tokens,
-            steady=len(tokens) >= self._settings.steady_prompt_tokens,
+            on_demand_only=len(tokens) >= self._settings.steady_prompt_tokens,
             deadline_s=deadline_s,
         )
         call = Call(
@@ -111,7 +111,7 @@
             identity.organisation.organisation_id,
             service.service_name,
             prompt_tokens=self._settings.service_call_tokens,
-            steady=unrepeatable,
+            on_demand_only=unrepeatable,
             deadline_s=deadline_s,
         )
         call = Call(
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -126,7 +126,7 @@
     """Requirements of a call on its target.
 
     `avoid` lists targets that already failed this call; `preferred_target` is the
-    target that may still hold its state. Calls with `steady` are not sent to
+    target that may still hold its state. Calls with `on_demand_only` are not sent to
     reclaimable (spot) targets.
     """
 
@@ -136,7 +136,7 @@
     blocks: tuple[str, ...] = ()
     prompt_tokens: int = 0
     max_output_tokens: int = 0
-    steady: bool = False
+    on_demand_only: bool = False
     avoid: frozenset[TargetId] = frozenset()
     preferred_target: TargetId | None = None
     deadline_s: float | None = None
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -232,7 +232,7 @@
             for target_id, state in usable.items()
             if not state.target.reclaimable
         }
-        if requirements.steady:
+        if requirements.on_demand_only:
             return on_demand
         service = self._configuration_view.snapshot.services.get(
             requirements.service
--- a/packages/standins/dandelionyoke_standins/_policy_caller.py
+++ b/packages/standins/dandelionyoke_standins/_policy_caller.py
@@ -165,7 +165,7 @@
             blocks=call.shared_blocks,
             prompt_tokens=call.prompt_tokens + state.generated_tokens,
             max_output_tokens=call.max_output_tokens - state.generated_tokens,
-            steady=call.call_class.requires_on_demand,
+            on_demand_only=call.call_class.requires_on_demand,
             avoid=state.avoid,
             deadline_s=call.deadline_s,
         )
--- a/packages/standins/dandelionyoke_standins/_policy_naive.py
+++ b/packages/standins/dandelionyoke_standins/_policy_naive.py
@@ -124,7 +124,7 @@
     def _is_usable(
         self, target: Target, requirements: RouteRequirements
     ) -> bool:
-        if requirements.steady and target.reclaimable:
+        if requirements.on_demand_only and target.reclaimable:
             return False
         known = target.target_id in self._reports
         return known and target.target_id not in requirements.avoid
--- a/tests/core/test_request.py
+++ b/tests/core/test_request.py
@@ -509,7 +509,8 @@
         entry.tell(ask('r2', 'a ' * 9_000))
         serve(entry, store, entry.tell(confirm('r3')))
         steady = [
-            requirements.steady for requirements in entry.router.requirements
+            requirements.on_demand_only
+            for requirements in entry.router.requirements
         ]
         self.assertEqual([False, True, True], steady)
 
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -141,7 +141,9 @@
                     for candidate in fleet
                     if candidate.accepts(steady=steady)
                 }
-                chosen = part.choose(make_requirements(steady=steady), 0)
+                chosen = part.choose(
+                    make_requirements(on_demand_only=steady), 0
+                )
                 if isinstance(chosen, NoRoute):
                     self.assertEqual(set(), allowed)
                 else:
