--- a/packages/core/dandelionyoke_core/_call.py
+++ b/packages/core/dandelionyoke_core/_call.py
@@ -70,7 +70,7 @@
     placements: int = 0
     unanswered_placements: int = 0
     possibly_run: set[AttemptId] = attrs.field(factory=set)
-    avoid: set[TargetId] = attrs.field(factory=set)
+    excluded_targets: set[TargetId] = attrs.field(factory=set)
     caller_gone: bool = False
     claimed: bool = False
     stalled_since_s: float | None = None
--- a/packages/core/dandelionyoke_core/_call_operations.py
+++ b/packages/core/dandelionyoke_core/_call_operations.py
@@ -42,10 +42,14 @@
 
     def choose_target(self, call: Call, now_s: float) -> Target | NoRoute:
         """Choose a target other than those that failed this call."""
-        avoid = frozenset(call.avoid)
+        excluded_targets = frozenset(call.excluded_targets)
         if call.fingerprint:
-            avoid |= self.quarantine.excluded_targets(call.fingerprint, now_s)
-        requirements = attrs.evolve(call.requirements, avoid=avoid)
+            excluded_targets |= self.quarantine.excluded_targets(
+                call.fingerprint, now_s
+            )
+        requirements = attrs.evolve(
+            call.requirements, excluded_targets=excluded_targets
+        )
         return self.router.choose(requirements, now_s)
 
     def track_attempt(
--- a/packages/core/dandelionyoke_core/_model_calls.py
+++ b/packages/core/dandelionyoke_core/_model_calls.py
@@ -65,7 +65,7 @@
         attempt = call.attempt
         if attempt is None:
             return []
-        call.avoid.add(attempt.target.target_id)
+        call.excluded_targets.add(attempt.target.target_id)
         if not attempt.is_resumption:
             call.possibly_run.discard(attempt.work_id)
         return [
@@ -86,7 +86,7 @@
         if event.sent:
             return self._resume(call, attempt, event.cause, now_s)
         call.possibly_run.discard(attempt.work_id)
-        call.avoid.add(attempt.target.target_id)
+        call.excluded_targets.add(attempt.target.target_id)
         return [
             *self._operations.untrack_attempt(call, now_s, failed=True),
             _refused_log(call, attempt, event.cause),
@@ -105,7 +105,7 @@
         """
         if call.attempt is None:
             return []
-        call.avoid.add(call.attempt.target.target_id)
+        call.excluded_targets.add(call.attempt.target.target_id)
         return [
             *self._operations.cancel_attempt(call, now_s),
             *self._placement.place(call, now_s),
@@ -133,7 +133,7 @@
         if call.phase is Phase.STALLED:
             # A target that failed may be available again, and may be the
             # only one.
-            call.avoid.clear()
+            call.excluded_targets.clear()
             call.unanswered_placements = 0
             return self._placement.place(call, now_s)
         attempt = call.attempt
--- a/packages/core/dandelionyoke_core/_model_placement.py
+++ b/packages/core/dandelionyoke_core/_model_placement.py
@@ -27,7 +27,7 @@
         """Cancel the current attempt and place the call on another engine."""
         outputs: list[Output] = []
         if call.attempt is not None:
-            call.avoid.add(call.attempt.target.target_id)
+            call.excluded_targets.add(call.attempt.target.target_id)
             outputs += self._operations.cancel_attempt(call, now_s)
         call.needs_retry_budget = True
         log = WriteLog('request.routed', call.request_id, 'elsewhere', cause)
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -125,7 +125,7 @@
 class RouteRequirements:
     """Requirements of a call on its target.
 
-    `avoid` lists targets that already failed this call; `preferred_target` is the
+    `excluded_targets` lists targets that already failed this call; `preferred_target` is the
     target that may still hold its state. Calls with `on_demand_only` are not sent to
     reclaimable (spot) targets.
     """
@@ -137,7 +137,7 @@
     prompt_tokens: int = 0
     max_output_tokens: int = 0
     on_demand_only: bool = False
-    avoid: frozenset[TargetId] = frozenset()
+    excluded_targets: frozenset[TargetId] = frozenset()
     preferred_target: TargetId | None = None
     deadline_s: float | None = None
 
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -275,7 +275,7 @@
 
 
 def _is_eligible(state: TargetState, requirements: RouteRequirements) -> bool:
-    if state.target.target_id in requirements.avoid:
+    if state.target.target_id in requirements.excluded_targets:
         return False
     models = state.report.models
     return not requirements.model or not models or requirements.model in models
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -152,7 +152,7 @@
         attempt = call.attempt
         if attempt is None or not _is_repeatable(call):
             return []
-        call.avoid.add(attempt.target.target_id)
+        call.excluded_targets.add(attempt.target.target_id)
         return [*self._drop_attempt(call, now_s), *self._place(call, now_s)]
 
     def abandon(self, call: Call, now_s: float) -> list[Output]:
@@ -231,7 +231,7 @@
             return []
         outputs = self._operations.untrack_attempt(call, now_s)
         call.possibly_run.discard(attempt.work_id)
-        call.avoid.add(attempt.target.target_id)
+        call.excluded_targets.add(attempt.target.target_id)
         log = WriteLog(
             'request.routed',
             call.request_id,
@@ -246,7 +246,7 @@
         attempt = call.attempt
         if attempt is None:
             return []
-        call.avoid.add(attempt.target.target_id)
+        call.excluded_targets.add(attempt.target.target_id)
         outputs = self._drop_attempt(call, now_s)
         if _is_repeatable(call) and self._operations.budget.try_charge(now_s):
             return [*outputs, *self._place(call, now_s)]
--- a/packages/standins/dandelionyoke_standins/_policy_caller.py
+++ b/packages/standins/dandelionyoke_standins/_policy_caller.py
@@ -66,7 +66,7 @@
     failures: int = 0
     attempt_id: AttemptId | None = None
     target: Target | None = None
-    avoid: frozenset[TargetId] = frozenset()
+    excluded_targets: frozenset[TargetId] = frozenset()
 
 
 class CallPart:
@@ -166,12 +166,12 @@
             prompt_tokens=call.prompt_tokens + state.generated_tokens,
             max_output_tokens=call.max_output_tokens - state.generated_tokens,
             on_demand_only=call.call_class.requires_on_demand,
-            avoid=state.avoid,
+            excluded_targets=state.excluded_targets,
             deadline_s=call.deadline_s,
         )
         target = self._router.choose(requirements, now_s)
         if isinstance(target, NoRoute):
-            state.avoid = frozenset()
+            state.excluded_targets = frozenset()
             self._retry_times_s[call.request_id] = now_s + ROUTE_RETRY_DELAY_S
             return []
         state.attempts += 1
@@ -239,7 +239,7 @@
         if state.attempt_id is not None:
             self._router.ended(state.attempt_id, now_s, failed)
         if failed and state.target is not None:
-            state.avoid |= {state.target.target_id}
+            state.excluded_targets |= {state.target.target_id}
         state.attempt_id = None
         state.target = None
 
--- a/packages/standins/dandelionyoke_standins/_policy_naive.py
+++ b/packages/standins/dandelionyoke_standins/_policy_naive.py
@@ -127,7 +127,7 @@
         if requirements.on_demand_only and target.reclaimable:
             return False
         known = target.target_id in self._reports
-        return known and target.target_id not in requirements.avoid
+        return known and target.target_id not in requirements.excluded_targets
 
     def _reported_calls(self, target: Target) -> int:
         report = self._reports[target.target_id]
--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -115,7 +115,7 @@
     ) -> core.Target | core.NoRoute:
         self.requirements.append(requirements)
         for target in self.targets:
-            allowed = target.target_id not in requirements.avoid
+            allowed = target.target_id not in requirements.excluded_targets
             if allowed and target.service == requirements.service:
                 return target
         return core.NoRoute('all targets are avoided', 2)
