--- a/packages/core/dandelionyoke_core/_duty_lease.py
+++ b/packages/core/dandelionyoke_core/_duty_lease.py
@@ -145,7 +145,7 @@
     def _check_timers(self, now_s: float) -> list[Output]:
         if self._state is DutyState.HOLDING and now_s >= self._term_end_s:
             return self._expire_term(now_s)
-        overdue = self._slot.overdue(now_s)
+        overdue = self._slot.take_timeout(now_s)
         if overdue is not None:
             return self._handle_result(overdue, now_s)
         if self._next_call_s is None or now_s < self._next_call_s:
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -201,7 +201,7 @@
             case TargetsListed():
                 self._remove_plans_of_missing_targets(event)
             case TimerFired():
-                overdue = self._journal.slot.overdue(now_s)
+                overdue = self._journal.slot.take_timeout(now_s)
                 if overdue is not None:
                     return self._handle_journal_result(overdue, now_s)
         return [*self._journal.write_if_due(now_s), *self._run_due_plans(now_s)]
--- a/packages/core/dandelionyoke_core/_store_slot.py
+++ b/packages/core/dandelionyoke_core/_store_slot.py
@@ -70,7 +70,7 @@
         self._pending = None
         return EndedCall(pending.sent_s, event.result)
 
-    def overdue(self, now_s: float) -> EndedCall | None:
+    def take_timeout(self, now_s: float) -> EndedCall | None:
         """Return a failure if the pending call has timed out, else None."""
         pending = self._pending
         if pending is None or now_s < pending.deadline_s:
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -135,7 +135,7 @@
             self._has_given_up = True
         outputs: list[Output] = []
         for component in (self._counter, self._copies, self._reporter):
-            overdue = component.slot.overdue(now_s)
+            overdue = component.slot.take_timeout(now_s)
             if overdue is not None:
                 outputs.extend(component.handle_result(overdue.result, now_s))
             outputs.extend(component.run_due(now_s))
