--- a/packages/core/dandelionyoke_core/_duty_lease.py
+++ b/packages/core/dandelionyoke_core/_duty_lease.py
@@ -110,7 +110,7 @@
             return []
         match event:
             case StoreResponded():
-                ended = self._slot.answered(event)
+                ended = self._slot.take_result(event)
                 if ended is not None:
                     return self._handle_result(ended, now_s)
             case LivePeersChanged():
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -123,7 +123,7 @@
                     return self._handle_duty(event, now_s)
                 return []
             case StoreResponded():
-                ended = self._journal.slot.answered(event)
+                ended = self._journal.slot.take_result(event)
                 return (
                     []
                     if ended is None
--- a/packages/core/dandelionyoke_core/_store_slot.py
+++ b/packages/core/dandelionyoke_core/_store_slot.py
@@ -62,7 +62,7 @@
         """Drop the pending call; its answer will be ignored."""
         self._pending = None
 
-    def answered(self, event: StoreResponded) -> EndedCall | None:
+    def take_result(self, event: StoreResponded) -> EndedCall | None:
         """Return the result of the pending call; None for any other answer."""
         pending = self._pending
         if pending is None or event.operation_id != pending.operation_id:
--- a/packages/core/dandelionyoke_core/_usage.py
+++ b/packages/core/dandelionyoke_core/_usage.py
@@ -124,7 +124,7 @@
         self, event: StoreResponded, now_s: float
     ) -> list[Output]:
         for component in (self._counter, self._copies, self._reporter):
-            ended = component.slot.answered(event)
+            ended = component.slot.take_result(event)
             if ended is not None:
                 return component.handle_result(ended.result, now_s)
         return []
