--- a/packages/core/dandelionyoke_core/_duty_lease.py
+++ b/packages/core/dandelionyoke_core/_duty_lease.py
@@ -162,15 +162,15 @@
             return self._release_lease()
         has_lease = self._state in {DutyState.HOLDING, DutyState.RECOVERING}
         if has_lease and lease_id is not None:
-            return [LeaseRenew(self._slot.open(now_s), lease_id)]
+            return [LeaseRenew(self._slot.begin_call(now_s), lease_id)]
         if self._state is DutyState.VERIFYING:
-            return [StoreGet(self._slot.open(now_s), self._key)]
+            return [StoreGet(self._slot.begin_call(now_s), self._key)]
         if self._state is DutyState.WRITING_KEY:
             return self._write_key(now_s)
         if not self._is_candidate:
             return []
         self._state = DutyState.CHECKING
-        return [StoreGet(self._slot.open(now_s), self._key)]
+        return [StoreGet(self._slot.begin_call(now_s), self._key)]
 
     # Results of store calls.
 
@@ -224,7 +224,7 @@
         self._term_end_s = self._settings.term_end_s(sent_s, granted.ttl_s)
         if self._state is DutyState.RECOVERING:
             self._state = DutyState.VERIFYING
-            return [StoreGet(self._slot.open(now_s), self._key)]
+            return [StoreGet(self._slot.begin_call(now_s), self._key)]
         if self._state is not DutyState.HOLDING:
             self._lease_id = granted.lease_id
             self._state = DutyState.WRITING_KEY
@@ -241,7 +241,7 @@
         record = DutyRecord(self._own.instance_id, lease_id)
         return [
             StorePut(
-                self._slot.open(now_s),
+                self._slot.begin_call(now_s),
                 self._key,
                 record_to_json(record),
                 expected_revision=0,
@@ -252,7 +252,9 @@
     def _handle_key(self, item: StoreItem, now_s: float) -> list[Output]:
         if self._state is DutyState.CHECKING and item.value is None:
             self._state = DutyState.REQUESTING_LEASE
-            return [LeaseGrant(self._slot.open(now_s), self._settings.ttl_s)]
+            return [
+                LeaseGrant(self._slot.begin_call(now_s), self._settings.ttl_s)
+            ]
         if self._state is DutyState.VERIFYING and item.value is None:
             self._state = DutyState.WRITING_KEY
             return self._write_key(now_s)
--- a/packages/core/dandelionyoke_core/_order_journal.py
+++ b/packages/core/dandelionyoke_core/_order_journal.py
@@ -50,7 +50,7 @@
         """Begin to take the journal over from the previous holder."""
         self.reset()
         self._fence = fence
-        return [StoreGet(self.slot.open(now_s), self._key)]
+        return [StoreGet(self.slot.begin_call(now_s), self._key)]
 
     def reset(self) -> None:
         """Clear all state; a write in flight is not recalled."""
@@ -90,7 +90,7 @@
                 return []
             self._retry_at_s = None
             if self._in_flight is None:
-                return [StoreGet(self.slot.open(now_s), self._key)]
+                return [StoreGet(self.slot.begin_call(now_s), self._key)]
             return self._write(self._in_flight, now_s)
         if self.is_taken_over and self._is_dirty:
             return self._write(self._next_journal(self._saved.version), now_s)
@@ -152,7 +152,7 @@
         self._in_flight = journal
         return [
             StorePut(
-                self.slot.open(now_s),
+                self.slot.begin_call(now_s),
                 self._key,
                 record_to_json(journal),
                 self._revision,
--- a/packages/core/dandelionyoke_core/_store_slot.py
+++ b/packages/core/dandelionyoke_core/_store_slot.py
@@ -46,7 +46,7 @@
         """Return when the pending call times out, or None."""
         return None if self._pending is None else self._pending.deadline_s
 
-    def open(self, now_s: float) -> OperationId:
+    def begin_call(self, now_s: float) -> OperationId:
         """Start a call and return its id; a call still pending is dropped."""
         operation_id = self.new_operation_id()
         deadline_s = now_s + self._timeout_s
--- a/packages/core/dandelionyoke_core/_usage_copies.py
+++ b/packages/core/dandelionyoke_core/_usage_copies.py
@@ -71,7 +71,7 @@
         if not due:
             return []
         self._writing_key = due[0]
-        return [StoreGet(self.slot.open(now_s), due[0])]
+        return [StoreGet(self.slot.begin_call(now_s), due[0])]
 
     def handle_result(self, result: StoreResult, now_s: float) -> list[Output]:
         """Handle the result of a store call."""
@@ -112,7 +112,7 @@
             max(copy.sequence, saved.sequence), saved.table.figures()
         )
         put = StorePut(
-            self.slot.open(now_s),
+            self.slot.begin_call(now_s),
             key,
             record_to_json(merged),
             present.revision,
--- a/packages/core/dandelionyoke_core/_usage_counter.py
+++ b/packages/core/dandelionyoke_core/_usage_counter.py
@@ -91,7 +91,7 @@
         record = CounterRecord(self._sequence, self._table.figures())
         return [
             StorePut(
-                self.slot.open(now_s),
+                self.slot.begin_call(now_s),
                 self._key,
                 record_to_json(record),
                 self._revision,
--- a/packages/core/dandelionyoke_core/_usage_windows.py
+++ b/packages/core/dandelionyoke_core/_usage_windows.py
@@ -196,12 +196,14 @@
     def _run_step(self, duty: ReportDuty, now_s: float) -> list[Output]:
         match self._step:
             case ReporterStep.READING:
-                return [StoreGet(self.slot.open(now_s), self._reported_key)]
+                return [
+                    StoreGet(self.slot.begin_call(now_s), self._reported_key)
+                ]
             case ReporterStep.BEGINNING:
                 return [self._mark(self._window_index(now_s) - 1, now_s)]
             case ReporterStep.LISTING:
                 prefix = f'{WINDOW_PREFIX}/{self._instance.domain}/'
-                return [StoreList(self.slot.open(now_s), prefix)]
+                return [StoreList(self.slot.begin_call(now_s), prefix)]
             case ReporterStep.READY:
                 return self._report_or_close(duty, now_s)
             case ReporterStep.CLOSING:
@@ -222,7 +224,7 @@
             return []
         self._step = ReporterStep.COUNTING
         prefix = f'{COUNTER_PREFIX}/{self._instance.domain}/'
-        return [StoreList(self.slot.open(now_s), prefix)]
+        return [StoreList(self.slot.begin_call(now_s), prefix)]
 
     def _apply_reported_mark(self, item: StoreItem, now_s: float) -> None:
         if item.value is None:
@@ -264,7 +266,7 @@
             totals=self._totals.figures(),
         )
         key = window_key(self._instance.domain, index)
-        operation_id = self.slot.open(now_s)
+        operation_id = self.slot.begin_call(now_s)
         return StorePut(operation_id, key, record_to_json(record), 0)
 
     def _submit(
@@ -297,7 +299,7 @@
 
     def _mark(self, index: int, now_s: float) -> Output:
         value = record_to_json(ReportedRecord(index))
-        operation_id = self.slot.open(now_s)
+        operation_id = self.slot.begin_call(now_s)
         return StorePut(
             operation_id, self._reported_key, value, self._reported_revision
         )
