--- a/packages/core/dandelionyoke_core/_back_off.py
+++ b/packages/core/dandelionyoke_core/_back_off.py
@@ -13,7 +13,7 @@
 class BackOffSettings:
     """Delay after the first failure, and the maximum, both before jitter."""
 
-    first_s: float = 0.2
+    initial_s: float = 0.2
     longest_s: float = 5.0
 
 
@@ -23,7 +23,7 @@
     def __init__(self, settings: BackOffSettings, random: Random) -> None:
         self._settings = settings
         self._random = random
-        self._delay_s = settings.first_s
+        self._delay_s = settings.initial_s
 
     def next_s(self) -> float:
         """Return the delay after one more failure."""
@@ -33,4 +33,4 @@
 
     def reset(self) -> None:
         """Return to the first delay after a success."""
-        self._delay_s = self._settings.first_s
+        self._delay_s = self._settings.initial_s
