--- a/packages/core/dandelionyoke_core/_back_off.py
+++ b/packages/core/dandelionyoke_core/_back_off.py
@@ -14,7 +14,7 @@
     """Delay after the first failure, and the maximum, both before jitter."""
 
     initial_s: float = 0.2
-    longest_s: float = 5.0
+    max_s: float = 5.0
 
 
 class BackOff:
@@ -28,7 +28,7 @@
     def next_s(self) -> float:
         """Return the delay after one more failure."""
         delay_s = self._delay_s
-        self._delay_s = min(self._settings.longest_s, delay_s * GROWTH_FACTOR)
+        self._delay_s = min(self._settings.max_s, delay_s * GROWTH_FACTOR)
         return delay_s * self._random.uniform(MIN_JITTER, MAX_JITTER)
 
     def reset(self) -> None:
--- a/packages/gateway/dandelionyoke_gateway/_duty_task.py
+++ b/packages/gateway/dandelionyoke_gateway/_duty_task.py
@@ -86,7 +86,7 @@
                 call_timeout_s=CALL_TIMEOUT_S,
                 candidates=MAX_CANDIDATES,
                 back_off=BackOffSettings(
-                    initial_s=INITIAL_BACKOFF_S, longest_s=MAX_BACKOFF_S
+                    initial_s=INITIAL_BACKOFF_S, max_s=MAX_BACKOFF_S
                 ),
             ),
             DUTY_NAME,
--- a/packages/gateway/dandelionyoke_gateway/_news_links.py
+++ b/packages/gateway/dandelionyoke_gateway/_news_links.py
@@ -30,7 +30,7 @@
 # to the links. The first node of a new fleet generates it.
 SECRET_KEY = 'links/secret'
 SECRET_BYTES = 24
-SECRET_BACKOFF = BackOffSettings(initial_s=0.2, longest_s=2.0)
+SECRET_BACKOFF = BackOffSettings(initial_s=0.2, max_s=2.0)
 
 
 def serve_news(
--- a/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
+++ b/packages/gateway/dandelionyoke_gateway/_store_watch_tasks.py
@@ -34,7 +34,7 @@
     registry_share: float = 0.4
     registry_watch_share: float = 0.1
     back_off: BackOffSettings = attrs.field(
-        factory=lambda: BackOffSettings(initial_s=0.1, longest_s=0.5)
+        factory=lambda: BackOffSettings(initial_s=0.1, max_s=0.5)
     )
 
 
