--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -344,7 +344,7 @@
         if refusal:
             return list(refusal)
         self._resuspect_due_s.pop(peer_id, None)
-        return [self._propagation.greet(peer_id)]
+        return [self._propagation.summary_for(peer_id)]
 
     def _handle_message(
         self, peer_id: InstanceId, message: PeerMessage, now_s: float
--- a/packages/core/dandelionyoke_core/_record_propagation.py
+++ b/packages/core/dandelionyoke_core/_record_propagation.py
@@ -52,7 +52,7 @@
         if entry is not None:
             self._pending.append(_PendingEntry(entry))
 
-    def greet(self, peer_id: InstanceId) -> SendPeer:
+    def summary_for(self, peer_id: InstanceId) -> SendPeer:
         """Create the summary of known versions for a new peer."""
         summary = RecordSummary(self._own, self._table.versions())
         return SendPeer(peer_id, summary)
