--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -350,7 +350,7 @@
         self, peer_id: InstanceId, message: PeerMessage, now_s: float
     ) -> list[Output]:
         if isinstance(message, RecordSummary):
-            return list(self._propagation.answer(peer_id, message, now_s))
+            return list(self._propagation.send_missing(peer_id, message, now_s))
         if not isinstance(message, RecordBatch):
             return []
         outputs: list[Output] = []
--- a/packages/core/dandelionyoke_core/_record_propagation.py
+++ b/packages/core/dandelionyoke_core/_record_propagation.py
@@ -61,7 +61,7 @@
         """Remove the state of a closed link."""
         self._peer_domains.pop(peer_id, None)
 
-    def answer(
+    def send_missing(
         self, peer_id: InstanceId, summary: RecordSummary, now_s: float
     ) -> list[Action]:
         """Send a new peer the records that its summary lacks."""
