--- a/packages/core/dandelionyoke_core/_membership.py
+++ b/packages/core/dandelionyoke_core/_membership.py
@@ -354,7 +354,7 @@
         if not isinstance(message, RecordBatch):
             return []
         outputs: list[Output] = []
-        for record in self._propagation.take(peer_id, message, now_s):
+        for record in self._propagation.receive(peer_id, message, now_s):
             outputs.append(RecordReceived(record, peer_id))
             if isinstance(record, MemberRecord):
                 outputs.extend(self._apply_member(record, now_s))
--- a/packages/core/dandelionyoke_core/_record_propagation.py
+++ b/packages/core/dandelionyoke_core/_record_propagation.py
@@ -71,7 +71,7 @@
         )
         return [SendPeer(peer_id, batch) for batch in batches(missing)]
 
-    def take(
+    def receive(
         self, peer_id: InstanceId, batch: RecordBatch, now_s: float
     ) -> list[SharedRecord]:
         """Store the records of a peer and return those that are newer."""
