--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -259,7 +259,7 @@
         run = Run(
             record.attempt_id, record.target_id, record.fingerprint, now_s
         )
-        self._runs.tell_peer(run, now_s)
+        self._runs.add_peer_trial(run, now_s)
 
     def _share_suspicion(
         self, fingerprint: str, suspicion: Suspicion
--- a/packages/core/dandelionyoke_core/_runs.py
+++ b/packages/core/dandelionyoke_core/_runs.py
@@ -73,7 +73,7 @@
             if lost_s >= window_start_s:
                 yield run
 
-    def tell_peer(self, run: Run, now_s: float) -> None:
+    def add_peer_trial(self, run: Run, now_s: float) -> None:
         """Add a trial of a peer; it expires after `trial_lifetime_s`."""
         expires_s = now_s + self._settings.trial_lifetime_s
         self._peer_trials[run.attempt_id] = (expires_s, run)
