--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -254,7 +254,7 @@
     def _apply_trial(self, record: TrialShared, now_s: float) -> None:
         self._version = max(self._version, record.version)
         if record.over:
-            self._runs.end_peer(record.attempt_id)
+            self._runs.remove_peer_trial(record.attempt_id)
             return
         run = Run(
             record.attempt_id, record.target_id, record.fingerprint, now_s
--- a/packages/core/dandelionyoke_core/_runs.py
+++ b/packages/core/dandelionyoke_core/_runs.py
@@ -80,7 +80,7 @@
         if len(self._peer_trials) > self._settings.max_trials:
             self._peer_trials.popitem(last=False)
 
-    def end_peer(self, attempt_id: AttemptId) -> None:
+    def remove_peer_trial(self, attempt_id: AttemptId) -> None:
         """Remove a trial of a peer."""
         self._peer_trials.pop(attempt_id, None)
 
