--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -83,7 +83,7 @@
             return frozenset()
         return frozenset(
             run.target_id
-            for run in self._runs.known(now_s)
+            for run in self._runs.all_runs(now_s)
             if run.fingerprint != fingerprint and self._is_suspected(run, now_s)
         )
 
@@ -191,7 +191,7 @@
             return existing
         suspects = frozenset(
             other.fingerprint
-            for other in self._runs.known(now_s)
+            for other in self._runs.all_runs(now_s)
             if other.target_id == run.target_id
             and self._is_suspected(other, now_s)
         )
@@ -225,7 +225,7 @@
         ):
             return True
         return any(
-            run.fingerprint == fingerprint for run in self._runs.known(now_s)
+            run.fingerprint == fingerprint for run in self._runs.all_runs(now_s)
         )
 
     # Peers.
--- a/packages/core/dandelionyoke_core/_runs.py
+++ b/packages/core/dandelionyoke_core/_runs.py
@@ -84,7 +84,7 @@
         """Remove a trial of a peer."""
         self._peer_trials.pop(attempt_id, None)
 
-    def known(self, now_s: float) -> Iterator[Run]:
+    def all_runs(self, now_s: float) -> Iterator[Run]:
         """Iterate over the runs of this entry and the trials of peers."""
         yield from self._own_runs.values()
         for expires_s, run in self._peer_trials.values():
