--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -128,7 +128,7 @@
         self._find_or_open_incident(run, now_s)
         if self._incidents.is_outage(now_s):
             return self._clear_recent_suspicions(now_s)
-        self._runs.lose(run, now_s)
+        self._runs.add_lost(run, now_s)
         if self._is_suspected(run, now_s):
             return []
         self._suspects.suspect(run.fingerprint, now_s)
--- a/packages/core/dandelionyoke_core/_runs.py
+++ b/packages/core/dandelionyoke_core/_runs.py
@@ -62,7 +62,7 @@
             if run.fingerprint == fingerprint
         )
 
-    def lose(self, run: Run, now_s: float) -> None:
+    def add_lost(self, run: Run, now_s: float) -> None:
         """Record a run that was abandoned at a silent engine."""
         self._lost_runs.append((now_s, run))
 
