--- a/packages/core/dandelionyoke_core/_quarantine.py
+++ b/packages/core/dandelionyoke_core/_quarantine.py
@@ -154,7 +154,7 @@
             for attempt_id in event.attempt_ids
             for output in self.attempt_failed(attempt_id, now_s)
         ]
-        for run in self._runs.lost(now_s):
+        for run in self._runs.recent_lost(now_s):
             if run.target_id == event.target_id:
                 outputs.extend(self._record_crash(run, now_s))
         return outputs
@@ -221,7 +221,7 @@
         # a third engine before the crash of its second one is reported.
         if any(
             run.trial and run.fingerprint == fingerprint
-            for run in self._runs.lost(now_s)
+            for run in self._runs.recent_lost(now_s)
         ):
             return True
         return any(
--- a/packages/core/dandelionyoke_core/_runs.py
+++ b/packages/core/dandelionyoke_core/_runs.py
@@ -66,7 +66,7 @@
         """Record a run that was abandoned at a silent engine."""
         self._lost_runs.append((now_s, run))
 
-    def lost(self, now_s: float) -> Iterator[Run]:
+    def recent_lost(self, now_s: float) -> Iterator[Run]:
         """Iterate over the runs lost in the last `lost_window_s`."""
         window_start_s = now_s - self._settings.lost_window_s
         for lost_s, run in tuple(self._lost_runs):
