--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -169,7 +169,7 @@
     FleetPart as FleetPart,
 )
 from dandelionyoke_core._fleet_notices import (
-    RoleWanted as RoleWanted,
+    RoleChangeRequested as RoleChangeRequested,
     TargetsWanted as TargetsWanted,
 )
 from dandelionyoke_core._fleet_settings import (
--- a/packages/core/dandelionyoke_core/_fleet_notices.py
+++ b/packages/core/dandelionyoke_core/_fleet_notices.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class RoleWanted(Notice):
+class RoleChangeRequested(Notice):
     """Requests a role change of an engine: drain, change role, undrain.
 
     The request is repeated until the target reports the role; the orders
--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from dandelionyoke_core._fleet_notices import RoleWanted
+from dandelionyoke_core._fleet_notices import RoleChangeRequested
 from dandelionyoke_core._fleet_settings import FleetSettings
 from dandelionyoke_core._fleet_view import FleetPlace, TargetStatus
 from dandelionyoke_core._mix_history import MixHistory
@@ -21,7 +21,7 @@
 class RoleChange:
     """A requested role change and the time of its decision."""
 
-    request: RoleWanted
+    request: RoleChangeRequested
     decided_s: float
 
 
@@ -41,7 +41,7 @@
         rows: Sequence[WorkRow],
         statuses: Sequence[TargetStatus],
         now_s: float,
-    ) -> list[RoleWanted]:
+    ) -> list[RoleChangeRequested]:
         """Track the pending change, or request one whose gain exceeds its cost."""
         self.history.learn(rows, self.settings.speed, now_s)
         if self._change is not None:
@@ -68,7 +68,7 @@
         place: FleetPlace,
         statuses: Sequence[TargetStatus],
         now_s: float,
-    ) -> list[RoleWanted]:
+    ) -> list[RoleChangeRequested]:
         request = change.request
         is_done = any(
             status.target.target_id == request.target_id
@@ -94,7 +94,7 @@
         rows: Sequence[WorkRow],
         statuses: Sequence[TargetStatus],
         now_s: float,
-    ) -> RoleWanted | None:
+    ) -> RoleChangeRequested | None:
         usable = [status for status in statuses if status.is_usable]
         # The work of a draining engine moves to the others of the domain.
         if len(usable) < 2 or len(usable) < len(statuses):
@@ -124,7 +124,7 @@
             f'stress {before:.2f} -> {after:.2f},'
             f' gain {gain_s:.0f} engine seconds'
         )
-        return RoleWanted(
+        return RoleChangeRequested(
             chosen.target.target_id, place.service, new, place.fence, reason
         )
 
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from dandelionyoke_core._fleet import CONTROL_DUTY
-from dandelionyoke_core._fleet_notices import RoleWanted, TargetsWanted
+from dandelionyoke_core._fleet_notices import RoleChangeRequested, TargetsWanted
 from dandelionyoke_core._names import TargetId
 from dandelionyoke_core._notices import DutyExtended, DutyGained, DutyLost
 from dandelionyoke_core._order_journal import OrderJournal, unreadable_cause
@@ -92,7 +92,7 @@
         DutyGained,
         DutyExtended,
         DutyLost,
-        RoleWanted,
+        RoleChangeRequested,
         TargetsWanted,
         EngineOrderResponded,
         TargetOrderResponded,
@@ -192,7 +192,7 @@
         self, event: Event, duty: HeldDuty, now_s: float
     ) -> list[Output]:
         match event:
-            case RoleWanted() | TargetsWanted():
+            case RoleChangeRequested() | TargetsWanted():
                 self._add_plans(event, duty.order_ids, now_s)
             case EngineOrderResponded() | TargetOrderResponded():
                 self._handle_order_answer(event, duty.order_ids, now_s)
@@ -210,7 +210,7 @@
 
     def _add_plans(
         self,
-        event: RoleWanted | TargetsWanted,
+        event: RoleChangeRequested | TargetsWanted,
         order_ids: OrderIdGenerator,
         now_s: float,
     ) -> None:
@@ -222,9 +222,11 @@
                 self._put_plan(plan, now_s)
 
     def _plans_for(
-        self, event: RoleWanted | TargetsWanted, order_ids: OrderIdGenerator
+        self,
+        event: RoleChangeRequested | TargetsWanted,
+        order_ids: OrderIdGenerator,
     ) -> list[Plan]:
-        if isinstance(event, RoleWanted):
+        if isinstance(event, RoleChangeRequested):
             target = self._own_target(event.target_id)
             return [role_plan(target, event.role, order_ids)] if target else []
         if event.domain != self._instance.domain:
--- a/packages/standins/dandelionyoke_standins/_policy_orders.py
+++ b/packages/standins/dandelionyoke_standins/_policy_orders.py
@@ -16,7 +16,7 @@
     Output,
     Presence,
     Role,
-    RoleWanted,
+    RoleChangeRequested,
     TargetId,
     TargetsWanted,
 )
@@ -36,19 +36,22 @@
 class ApplyDecision(Action):
     """Request to apply a decision of the fleet part."""
 
-    decision: RoleWanted | TargetsWanted
+    decision: RoleChangeRequested | TargetsWanted
 
 
 class OrdersPart:
     """Node part that requests the simulation to apply the fleet's decisions."""
 
-    handles: ClassVar[tuple[type[Event], ...]] = (RoleWanted, TargetsWanted)
+    handles: ClassVar[tuple[type[Event], ...]] = (
+        RoleChangeRequested,
+        TargetsWanted,
+    )
 
     _wakeup_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Return the action that applies a decision."""
-        if isinstance(event, RoleWanted | TargetsWanted):
+        if isinstance(event, RoleChangeRequested | TargetsWanted):
             return [ApplyDecision(event)]
         return []
 
@@ -75,7 +78,7 @@
     def apply(self, action: ApplyDecision) -> None:
         """Apply a decision."""
         match action.decision:
-            case RoleWanted(target_id=target_id, role=role):
+            case RoleChangeRequested(target_id=target_id, role=role):
                 self._change_role(self._platform.targets[target_id], role)
             case TargetsWanted():
                 self._change_targets(action.decision)
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -18,7 +18,7 @@
     MixRow,
     Output,
     Role,
-    RoleWanted,
+    RoleChangeRequested,
     ServiceName,
     TargetId,
     TargetStatus,
@@ -88,7 +88,7 @@
     def apply_role_changes(self, outputs: list[Output], now_s: float) -> None:
         """Begin requested role changes, and complete those that are ready."""
         for output in outputs:
-            if isinstance(output, RoleWanted):
+            if isinstance(output, RoleChangeRequested):
                 ready = (now_s + CHANGE_S, output.role)
                 self.changing.setdefault(output.target_id, ready)
         for target_id, (ready_s, role) in tuple(self.changing.items()):
@@ -135,7 +135,7 @@
     roles = {
         (one.target_id, one.role)
         for one in outputs
-        if isinstance(one, RoleWanted)
+        if isinstance(one, RoleChangeRequested)
     }
     return len(roles)
 
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -27,7 +27,7 @@
     PollLoad,
     ReadEngineOrder,
     Role,
-    RoleWanted,
+    RoleChangeRequested,
     SendEngineOrder,
     SendTargetOrder,
     ServiceName,
@@ -78,7 +78,9 @@
         if isinstance(event, DutyGained):
             self.fence = event.fence
             return []
-        wanted = RoleWanted(TARGET_ID, SERVICE, self.role, self.fence, 'test')
+        wanted = RoleChangeRequested(
+            TARGET_ID, SERVICE, self.role, self.fence, 'test'
+        )
         return [wanted]
 
     def next_wakeup_s(self) -> float | None:
@@ -409,7 +411,9 @@
         simulation, names = small_fleet(7, entries=4, engines=3)
         holder = holder_of(simulation, CONTROL_DUTY)
         fence = simulation.platform.store.read(DUTY_KEY).revision
-        wanted = RoleWanted(ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test')
+        wanted = RoleChangeRequested(
+            ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test'
+        )
         call_all(simulation, names, 1)
         simulation.run(40.2)
         simulation.deliver(holder, wanted)
