--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -169,8 +169,8 @@
     FleetPart as FleetPart,
 )
 from dandelionyoke_core._fleet_notices import (
+    FleetSizeChangeRequested as FleetSizeChangeRequested,
     RoleChangeRequested as RoleChangeRequested,
-    TargetsWanted as TargetsWanted,
 )
 from dandelionyoke_core._fleet_settings import (
     FleetSettings as FleetSettings,
--- a/packages/core/dandelionyoke_core/_fleet_notices.py
+++ b/packages/core/dandelionyoke_core/_fleet_notices.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class TargetsWanted(Notice):
+class FleetSizeChangeRequested(Notice):
     """Requests more targets for a service in a domain, or fewer.
 
     `add_steady` counts on-demand targets, `add_reclaimable` spot targets.
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -6,7 +6,7 @@
 import attrs
 
 from dandelionyoke_core._entities import Service
-from dandelionyoke_core._fleet_notices import TargetsWanted
+from dandelionyoke_core._fleet_notices import FleetSizeChangeRequested
 from dandelionyoke_core._fleet_settings import FleetSettings
 from dandelionyoke_core._fleet_view import FleetPlace, TargetStatus
 from dandelionyoke_core._names import Domain
@@ -36,7 +36,7 @@
         rows: Sequence[WorkRow],
         statuses: Sequence[TargetStatus],
         now_s: float,
-    ) -> list[TargetsWanted]:
+    ) -> list[FleetSizeChangeRequested]:
         """Request one more target, one fewer, or no change."""
         usable = [status for status in statuses if status.is_usable]
         local = [
@@ -111,8 +111,8 @@
         )
 
     def _start_cooldown(
-        self, request: TargetsWanted, now_s: float
-    ) -> list[TargetsWanted]:
+        self, request: FleetSizeChangeRequested, now_s: float
+    ) -> list[FleetSizeChangeRequested]:
         self._overloaded_since_s = None
         self._underused_since_s = None
         self._cooldown_until_s = now_s + self.settings.size_settle_s
@@ -121,12 +121,12 @@
 
 def _scale_up(
     place: FleetPlace, service: Service, statuses: Sequence[TargetStatus]
-) -> TargetsWanted:
+) -> FleetSizeChangeRequested:
     """Add a spot target while the allowed share permits it, else on-demand."""
     reclaimable = sum(status.target.reclaimable for status in statuses)
     allowed = service.reclaimable_share * (len(statuses) + 1)
     is_spot_allowed = reclaimable + 1 <= allowed
-    return TargetsWanted(
+    return FleetSizeChangeRequested(
         service=place.service,
         domain=place.domain,
         fence=place.fence,
@@ -138,8 +138,8 @@
 
 def _scale_down(
     place: FleetPlace, usable: Sequence[TargetStatus]
-) -> TargetsWanted:
-    return TargetsWanted(
+) -> FleetSizeChangeRequested:
+    return FleetSizeChangeRequested(
         service=place.service,
         domain=place.domain,
         fence=place.fence,
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -30,7 +30,10 @@
     TimerFired,
 )
 from dandelionyoke_core._fleet import CONTROL_DUTY
-from dandelionyoke_core._fleet_notices import RoleChangeRequested, TargetsWanted
+from dandelionyoke_core._fleet_notices import (
+    FleetSizeChangeRequested,
+    RoleChangeRequested,
+)
 from dandelionyoke_core._names import TargetId
 from dandelionyoke_core._notices import DutyExtended, DutyGained, DutyLost
 from dandelionyoke_core._order_journal import OrderJournal, unreadable_cause
@@ -93,7 +96,7 @@
         DutyExtended,
         DutyLost,
         RoleChangeRequested,
-        TargetsWanted,
+        FleetSizeChangeRequested,
         EngineOrderResponded,
         TargetOrderResponded,
         LoadReported,
@@ -192,7 +195,7 @@
         self, event: Event, duty: HeldDuty, now_s: float
     ) -> list[Output]:
         match event:
-            case RoleChangeRequested() | TargetsWanted():
+            case RoleChangeRequested() | FleetSizeChangeRequested():
                 self._add_plans(event, duty.order_ids, now_s)
             case EngineOrderResponded() | TargetOrderResponded():
                 self._handle_order_answer(event, duty.order_ids, now_s)
@@ -210,7 +213,7 @@
 
     def _add_plans(
         self,
-        event: RoleChangeRequested | TargetsWanted,
+        event: RoleChangeRequested | FleetSizeChangeRequested,
         order_ids: OrderIdGenerator,
         now_s: float,
     ) -> None:
@@ -223,7 +226,7 @@
 
     def _plans_for(
         self,
-        event: RoleChangeRequested | TargetsWanted,
+        event: RoleChangeRequested | FleetSizeChangeRequested,
         order_ids: OrderIdGenerator,
     ) -> list[Plan]:
         if isinstance(event, RoleChangeRequested):
--- a/packages/standins/dandelionyoke_standins/_policy_orders.py
+++ b/packages/standins/dandelionyoke_standins/_policy_orders.py
@@ -13,12 +13,12 @@
 from dandelionyoke_core import (
     Action,
     Event,
+    FleetSizeChangeRequested,
     Output,
     Presence,
     Role,
     RoleChangeRequested,
     TargetId,
-    TargetsWanted,
 )
 from dandelionyoke_standins._policy_clock import VirtualClock
 from dandelionyoke_standins._policy_platform import (
@@ -36,7 +36,7 @@
 class ApplyDecision(Action):
     """Request to apply a decision of the fleet part."""
 
-    decision: RoleChangeRequested | TargetsWanted
+    decision: RoleChangeRequested | FleetSizeChangeRequested
 
 
 class OrdersPart:
@@ -44,14 +44,14 @@
 
     handles: ClassVar[tuple[type[Event], ...]] = (
         RoleChangeRequested,
-        TargetsWanted,
+        FleetSizeChangeRequested,
     )
 
     _wakeup_s: float | None = None
 
     def handle(self, event: Event, now_s: float) -> list[Output]:
         """Return the action that applies a decision."""
-        if isinstance(event, RoleChangeRequested | TargetsWanted):
+        if isinstance(event, RoleChangeRequested | FleetSizeChangeRequested):
             return [ApplyDecision(event)]
         return []
 
@@ -80,7 +80,7 @@
         match action.decision:
             case RoleChangeRequested(target_id=target_id, role=role):
                 self._change_role(self._platform.targets[target_id], role)
-            case TargetsWanted():
+            case FleetSizeChangeRequested():
                 self._change_targets(action.decision)
 
     def _change_role(
@@ -114,7 +114,7 @@
         simulated_target.engine.switch_role(role, self._clock.now_s)
         self._changing.discard(simulated_target.target.target_id)
 
-    def _change_targets(self, decision: TargetsWanted) -> None:
+    def _change_targets(self, decision: FleetSizeChangeRequested) -> None:
         additions = (
             (False, decision.add_steady),
             (True, decision.add_reclaimable),
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -15,6 +15,7 @@
     EngineSpeed,
     FleetPart,
     FleetSettings,
+    FleetSizeChangeRequested,
     MixRow,
     Output,
     Role,
@@ -22,7 +23,6 @@
     ServiceName,
     TargetId,
     TargetStatus,
-    TargetsWanted,
     TimerFired,
 )
 from dandelionyoke_core._role_plan import WorkRow, utilisation
@@ -280,10 +280,14 @@
             part = make_fleet_part(fleet, **service)
             outputs, _ = run_for(part, fleet, seconds)
             requests = [
-                one for one in outputs if isinstance(one, TargetsWanted)
+                one
+                for one in outputs
+                if isinstance(one, FleetSizeChangeRequested)
             ]
             first = (
-                requests[0] if requests else TargetsWanted(SERVICE, HOME, 7, '')
+                requests[0]
+                if requests
+                else FleetSizeChangeRequested(SERVICE, HOME, 7, '')
             )
             found = (
                 first.add_steady,
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -15,6 +15,7 @@
     DutyLeaseSettings,
     EngineOrderResponded,
     Event,
+    FleetSizeChangeRequested,
     Instance,
     Journal,
     LoadReport,
@@ -35,7 +36,6 @@
     TargetId,
     TargetOrderResponded,
     TargetsListed,
-    TargetsWanted,
     record_from_json,
 )
 from dandelionyoke_standins import EngineSettings
@@ -338,7 +338,7 @@
         request = GenerateRequest('a-1', 'model', 'answer 200 tokens', (), 200)
         bench.engine.model.generate(request, bench.now_s)
         fence = bench.entries[FIRST].believes(CONTROL_DUTY, bench.now_s) or 0
-        wanted = TargetsWanted(
+        wanted = FleetSizeChangeRequested(
             SERVICE, DOMAIN, fence, 'test', add_steady=1, remove=(TARGET_ID,)
         )
         bench.entries[FIRST].take(wanted, bench.now_s)
