--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -131,7 +131,7 @@
         name = service.service_name
         place = FleetPlace(self._domain, name, duty.fence)
         mix = self._work.mix(name, now_s)
-        fresh_share = self._targets.fresh_share(name)
+        uncached_share = self._targets.uncached_share(name)
         deciders = self._deciders_of(name)
         statuses = self._targets.target_statuses(name, now_s)
         domain_statuses = [
@@ -144,7 +144,9 @@
             deciders.roles.decide(
                 place,
                 _short_term_rows(
-                    mix, fresh_share, _domain_share(domain_statuses, statuses)
+                    mix,
+                    uncached_share,
+                    _domain_share(domain_statuses, statuses),
                 ),
                 domain_statuses,
                 now_s,
@@ -154,7 +156,7 @@
             deciders.size.decide(
                 place,
                 service,
-                _long_term_rows(mix, fresh_share),
+                _long_term_rows(mix, uncached_share),
                 statuses,
                 now_s,
             )
@@ -190,7 +192,7 @@
 
 
 def _short_term_rows(
-    mix: tuple[MixRow, ...], fresh_share: float, domain_share: float
+    mix: tuple[MixRow, ...], uncached_share: float, domain_share: float
 ) -> list[WorkRow]:
     """Return the domain's share of the work, by its share of the targets.
 
@@ -201,7 +203,7 @@
     """
     return [
         WorkRow(
-            row.prompt_per_s * fresh_share * domain_share,
+            row.prompt_per_s * uncached_share * domain_share,
             row.output_per_s * domain_share,
         )
         for row in mix
@@ -209,9 +211,9 @@
 
 
 def _long_term_rows(
-    mix: tuple[MixRow, ...], fresh_share: float
+    mix: tuple[MixRow, ...], uncached_share: float
 ) -> list[WorkRow]:
     return [
-        WorkRow(row.slow_prompt_per_s * fresh_share, row.slow_output_per_s)
+        WorkRow(row.slow_prompt_per_s * uncached_share, row.slow_output_per_s)
         for row in mix
     ]
--- a/packages/core/dandelionyoke_core/_fleet_view.py
+++ b/packages/core/dandelionyoke_core/_fleet_view.py
@@ -32,7 +32,7 @@
     ) -> tuple[TargetStatus, ...]:
         """Return the targets of a service in all domains."""
 
-    def fresh_share(self, service: ServiceName) -> float:
+    def uncached_share(self, service: ServiceName) -> float:
         """Return the share of prompt tokens that are not in a KV cache."""
 
 
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -206,7 +206,7 @@
             if state.listed
         )
 
-    def fresh_share(self, service: ServiceName) -> float:
+    def uncached_share(self, service: ServiceName) -> float:
         """Return the share of prompt tokens that is not cached."""
         return self._uncached_shares.share(service)
 
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -78,7 +78,7 @@
             )
         )
 
-    def fresh_share(self, service: ServiceName) -> float:
+    def uncached_share(self, service: ServiceName) -> float:
         return 1
 
     def mix(self, service: ServiceName, now_s: float) -> tuple[MixRow, ...]:
