--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -168,7 +168,7 @@
         ]
         if len(remote) <= self._settings.poll_all_below_far:
             return remote
-        return self._random.sample(remote, self._settings.far_polls)
+        return self._random.sample(remote, self._settings.remote_polls)
 
     def _share(self, now_s: float) -> list[Output]:
         live_entries = self._peers.live_in_domain
--- a/packages/core/dandelionyoke_core/_routing_settings.py
+++ b/packages/core/dandelionyoke_core/_routing_settings.py
@@ -12,7 +12,7 @@
     `sample` random targets are compared with the affinity targets of the
     prefix. An unreachable target gets no calls for `unreachable_cooldown_s`,
     and after `failures_before_crash` consecutive failed polls it counts as
-    crashed. Each round polls `far_polls` targets of other domains, for the
+    crashed. Each round polls `remote_polls` targets of other domains, for the
     services that were requested in the last `needed_s`.
     """
 
@@ -24,7 +24,7 @@
     entries_per_share: int = 32
     jitter_share: float = 0.2
     watchers: int = 2
-    far_polls: int = 2
+    remote_polls: int = 2
     poll_all_below_far: int = 16
     needed_s: float = 60.0
     poll_all_below_entries: int = 4
