--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -166,7 +166,7 @@
             for state in self._table.of_service(service).values()
             if state.target.domain != self._domain
         ]
-        if len(remote) <= self._settings.poll_all_below_far:
+        if len(remote) <= self._settings.poll_all_below_remote:
             return remote
         return self._random.sample(remote, self._settings.remote_polls)
 
--- a/packages/core/dandelionyoke_core/_routing_settings.py
+++ b/packages/core/dandelionyoke_core/_routing_settings.py
@@ -25,7 +25,7 @@
     jitter_share: float = 0.2
     watchers: int = 2
     remote_polls: int = 2
-    poll_all_below_far: int = 16
+    poll_all_below_remote: int = 16
     needed_s: float = 60.0
     poll_all_below_entries: int = 4
     sample: int = 3
