--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -158,7 +158,7 @@
         which target of another domain is idle. Polling all of them would
         cost each entry an amount that grows with the fleet.
         """
-        since_s = now_s - self._settings.needed_s
+        since_s = now_s - self._settings.service_interest_s
         remote = [
             state
             for service, at_s in self._last_requested_s.items()
--- a/packages/core/dandelionyoke_core/_routing_settings.py
+++ b/packages/core/dandelionyoke_core/_routing_settings.py
@@ -13,7 +13,7 @@
     prefix. An unreachable target gets no calls for `unreachable_cooldown_s`,
     and after `failures_before_crash` consecutive failed polls it counts as
     crashed. Each round polls `remote_polls` targets of other domains, for the
-    services that were requested in the last `needed_s`.
+    services that were requested in the last `service_interest_s`.
     """
 
     list_interval_s: float = 2.0
@@ -26,7 +26,7 @@
     watchers: int = 2
     remote_polls: int = 2
     poll_all_below_remote: int = 16
-    needed_s: float = 60.0
+    service_interest_s: float = 60.0
     poll_all_below_entries: int = 4
     sample: int = 3
     unreachable_cooldown_s: float = 3.0
