--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -112,7 +112,9 @@
         """Return the polls and shared records that are due."""
         outputs: list[Output] = []
         list_factor = (
-            1 if self._should_read_list() else self._settings.seldom_list_factor
+            1
+            if self._should_read_list()
+            else self._settings.non_watcher_list_factor
         )
         if self._list_timer.restart_if_due(now_s, list_factor):
             outputs.append(ListTargets())
--- a/packages/core/dandelionyoke_core/_routing_settings.py
+++ b/packages/core/dandelionyoke_core/_routing_settings.py
@@ -17,7 +17,7 @@
     """
 
     list_interval_s: float = 2.0
-    seldom_list_factor: float = 40.0
+    non_watcher_list_factor: float = 40.0
     poll_interval_s: float = 0.5
     cache_interval_s: float = 1.0
     share_interval_s: float = 2.0
