--- a/packages/core/dandelionyoke_core/_admission_settings.py
+++ b/packages/core/dandelionyoke_core/_admission_settings.py
@@ -18,7 +18,7 @@
     a service. `reserved_share` of each limit is split equally among the
     entries; their number is the highest count of live entries in the last
     `peak_entries_window_s`. In a large fleet an entry shares the demand of an
-    organisation only above `pressing_share` of its equal part of a limit.
+    organisation only above `demand_share_threshold` of its equal part of a limit.
     """
 
     output_weight: float = 8.0
@@ -38,6 +38,6 @@
     demand_lifetime_s: float = 5.0
     share_all_below_entries: int = 16
     shared_organisations: int = 64
-    pressing_share: float = 0.7
+    demand_share_threshold: float = 0.7
     reserved_share: float = 0.2
     no_target_retry_s: float = 1.0
--- a/packages/core/dandelionyoke_core/_demand.py
+++ b/packages/core/dandelionyoke_core/_demand.py
@@ -238,7 +238,11 @@
         limits are included: one that demands less is served without any
         coordination.
         """
-        share = 0 if self._is_small_fleet() else self._settings.pressing_share
+        share = (
+            0
+            if self._is_small_fleet()
+            else self._settings.demand_share_threshold
+        )
         entries = max(1, len(self._peers.live))
         return {
             name: DemandRate(
