--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -142,7 +142,7 @@
     def _polled_targets(self) -> list[TargetState]:
         local = [
             state
-            for state in self._table.every()
+            for state in self._table.all_states()
             if state.target.domain == self._domain
         ]
         names = targets_to_poll(
--- a/packages/core/dandelionyoke_core/_target_table.py
+++ b/packages/core/dandelionyoke_core/_target_table.py
@@ -65,7 +65,7 @@
         """Return the state of a target, or None if it is unknown."""
         return self._states.get(target_id)
 
-    def every(self) -> Iterable[TargetState]:
+    def all_states(self) -> Iterable[TargetState]:
         """Return the states of all targets."""
         return self._states.values()
 
