--- a/packages/core/dandelionyoke_core/_commit.py
+++ b/packages/core/dandelionyoke_core/_commit.py
@@ -24,7 +24,7 @@
     Head,
     Loaded,
     StoreLayoutSettings,
-    Unsettled,
+    StoreUnavailable,
     change_key,
     snapshot_key,
 )
@@ -75,7 +75,7 @@
     problems: tuple[Problem, ...]
 
 
-CommitOutcome = Committed | Conflicted | Rejected | Unsettled
+CommitOutcome = Committed | Conflicted | Rejected | StoreUnavailable
 
 
 class Committer(StoreTask[CommitOutcome]):
@@ -98,8 +98,8 @@
         cause = ''
         for _ in range(self._settings.max_tries):
             loaded = yield from self._store.load(self._history_from)
-            if isinstance(loaded, Unsettled):
-                return Unsettled(loaded.cause, self._in_doubt)
+            if isinstance(loaded, StoreUnavailable):
+                return StoreUnavailable(loaded.cause, self._in_doubt)
             outcome = self._check_head(loaded)
             if outcome is not None:
                 return outcome
@@ -111,7 +111,7 @@
                 cause = answer.cause
             else:
                 return answer
-        return Unsettled(cause, self._in_doubt)
+        return StoreUnavailable(cause, self._in_doubt)
 
     def _check_head(self, loaded: Loaded) -> CommitOutcome | None:
         """Return the outcome that the head determines; None to write.
@@ -126,7 +126,7 @@
         if self._history_from is None:
             self._history_from = loaded.head.revision + 1
         if _has_gap(loaded, self._history_from):
-            return Unsettled(
+            return StoreUnavailable(
                 'too many changes were committed meanwhile', self._in_doubt
             )
         base = self._proposal.base_revision
@@ -166,7 +166,9 @@
             operations=self._proposal.operations,
         )
 
-    def _archive(self, loaded: Loaded) -> StoreGenerator[Unsettled | None]:
+    def _archive(
+        self, loaded: Loaded
+    ) -> StoreGenerator[StoreUnavailable | None]:
         """Write what the next head omits under separate, immutable keys."""
         head = loaded.head
         kept_changes = self._kept_changes(head)
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -47,9 +47,9 @@
     StoreGet,
     StoreItem,
     StoreResponded,
+    StoreUnavailable,
     StoreWatch,
     TimerFired,
-    Unsettled,
     apply_change,
     difference,
     hash_key,
@@ -268,7 +268,9 @@
         """
         store = VirtualStore()
         store.is_out = True
-        self.assertEqual(Unsettled('unavailable', False), commit(store, 'mine'))
+        self.assertEqual(
+            StoreUnavailable('unavailable', False), commit(store, 'mine')
+        )
         store.is_out = False
         committer = Committer(propose('mine', None))
         calls = step(committer, store, committer.begin())
@@ -277,7 +279,9 @@
         store.is_out = True
         while calls:
             calls = step(committer, store, calls)
-        self.assertEqual(Unsettled('unavailable', True), committer.outcome)
+        self.assertEqual(
+            StoreUnavailable('unavailable', True), committer.outcome
+        )
 
     def test_an_invalid_configuration_is_not_written(self) -> None:
         store = VirtualStore()
