--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -60,7 +60,7 @@
 from dandelionyoke_core._changes import (
     Problem as Problem,
     apply_change as apply_change,
-    difference as difference,
+    diff_snapshots as diff_snapshots,
     validate as validate,
 )
 from dandelionyoke_core._chat import (
--- a/packages/core/dandelionyoke_core/_changes.py
+++ b/packages/core/dandelionyoke_core/_changes.py
@@ -96,7 +96,7 @@
     return tuple(problem for check in checks for problem in check(snapshot))
 
 
-def difference(old: Snapshot, new: Snapshot) -> tuple[Operation, ...]:
+def diff_snapshots(old: Snapshot, new: Snapshot) -> tuple[Operation, ...]:
     """Return the operations that turn `old` into `new`."""
     operations: list[Operation] = []
     for section, field in _SNAPSHOT_FIELDS.items():
--- a/packages/operator/dandelionyoke_operator/commands/_change.py
+++ b/packages/operator/dandelionyoke_operator/commands/_change.py
@@ -1,6 +1,6 @@
 """Commands that plan, apply and undo changes of the configuration."""
 
-from dandelionyoke_core import Snapshot, difference
+from dandelionyoke_core import Snapshot, diff_snapshots
 from dandelionyoke_operator._configuration import Configuration
 from dandelionyoke_operator._desired import (
     desired_snapshot,
@@ -25,7 +25,7 @@
     current = repository.load().snapshot
     desired = desired_snapshot(file, current)
     _reject_withdrawn_keys(invocation, repository, desired, current)
-    operations = difference(current, desired)
+    operations = diff_snapshots(current, desired)
     return PlanReport(
         base_revision=current.revision,
         differences=describe(operations, current),
@@ -51,7 +51,7 @@
     change = ChangeRequest(
         author=invocation.author,
         reason=invocation.reason,
-        operations=difference(current, desired),
+        operations=diff_snapshots(current, desired),
         base_revision=base_revision,
     )
     return commit(invocation, platform, change, current)
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -51,7 +51,7 @@
     StoreWatch,
     TimerFired,
     apply_change,
-    difference,
+    diff_snapshots,
     hash_key,
     record_to_json,
     validate,
@@ -133,7 +133,7 @@
             )
         )
         self.assertEqual(
-            new, apply_change(old, change_at(1, difference(old, new)))
+            new, apply_change(old, change_at(1, diff_snapshots(old, new)))
         )
 
     def test_a_change_that_does_not_apply_is_refused(self) -> None:
