--- a/packages/core/dandelionyoke_core/_fleet_settings.py
+++ b/packages/core/dandelionyoke_core/_fleet_settings.py
@@ -9,7 +9,7 @@
 class FleetSettings:
     """Thresholds, costs and cooldowns of role changes and fleet size changes.
 
-    Stress is the utilisation of the engines; above 1 they are overloaded.
+    Utilisation is the load of the engines; above 1 they are overloaded.
     `change_cost_s` is the engine time that a role change costs: the drain,
     the change, and an initially empty KV cache. Below `comfortable_stress` a
     change gains nothing. The gain has to exceed the cost by a factor of
@@ -31,7 +31,7 @@
     min_observation_s: float = 15.0
     role_change_timeout_s: float = 60.0
     resend_interval_s: float = 5.0
-    grow_stress: float = 0.85
+    grow_utilisation: float = 0.85
     shrink_stress: float = 0.5
     grow_after_s: float = 20.0
     shrink_after_s: float = 120.0
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -94,7 +94,8 @@
         settings = self.settings
         counts = Counter(status.role for status in usable)
         is_overloaded = (
-            utilisation(rows, counts, settings.speed) > settings.grow_stress
+            utilisation(rows, counts, settings.speed)
+            > settings.grow_utilisation
         )
         counts[_choose_removal(usable).role] -= 1
         reduced_utilisation = (
