--- a/packages/core/dandelionyoke_core/_fleet_settings.py
+++ b/packages/core/dandelionyoke_core/_fleet_settings.py
@@ -32,7 +32,7 @@
     role_change_timeout_s: float = 60.0
     resend_interval_s: float = 5.0
     grow_utilisation: float = 0.85
-    shrink_stress: float = 0.5
+    shrink_utilisation: float = 0.5
     grow_after_s: float = 20.0
     shrink_after_s: float = 120.0
     size_settle_s: float = 90.0
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -102,7 +102,8 @@
             0 if is_overloaded else utilisation(rows, counts, settings.speed)
         )
         is_underused = (
-            not is_overloaded and reduced_utilisation < settings.shrink_stress
+            not is_overloaded
+            and reduced_utilisation < settings.shrink_utilisation
         )
         self._overloaded_since_s = _condition_since(
             is_overloaded, self._overloaded_since_s, now_s
