--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -102,7 +102,7 @@
         counts = Counter(status.role for status in usable)
         speed = self.settings.speed
         before = utilisation(rows, counts, speed)
-        if before <= self.settings.comfortable_stress:
+        if before <= self.settings.min_utilisation_for_change:
             return None
         candidates = [
             (
@@ -135,7 +135,7 @@
         settings = self.settings
         stable_s = self.history.stable_s(now_s)
         hold_s = min(settings.max_hold_s, max(settings.min_hold_s, stable_s))
-        comfortable = settings.comfortable_stress
+        comfortable = settings.min_utilisation_for_change
         saved_share = max(before, comfortable) - max(after, comfortable)
         return saved_share * engine_count * hold_s
 
--- a/packages/core/dandelionyoke_core/_fleet_settings.py
+++ b/packages/core/dandelionyoke_core/_fleet_settings.py
@@ -11,7 +11,7 @@
 
     Utilisation is the load of the engines; above 1 they are overloaded.
     `change_cost_s` is the engine time that a role change costs: the drain,
-    the change, and an initially empty KV cache. Below `comfortable_stress` a
+    the change, and an initially empty KV cache. Below `min_utilisation_for_change` a
     change gains nothing. The gain has to exceed the cost by a factor of
     `gain_factor`. No role change is decided before the mix has been observed
     for `min_observation_s`. `role_cooldown_s` can be short because the mix
@@ -23,7 +23,7 @@
     decision_interval_s: float = 2.0
     change_cost_s: float = 8.0
     gain_factor: float = 1.5
-    comfortable_stress: float = 0.7
+    min_utilisation_for_change: float = 0.7
     min_hold_s: float = 30.0
     max_hold_s: float = 300.0
     shift_threshold: float = 0.15
