--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -123,7 +123,7 @@
         self.performed: tuple[type[Action], ...] = ()
         self.perform: Callable[[Bench, str, Action], Event | None] | None = None
 
-    def meet(self) -> None:
+    def announce_peers(self) -> None:
         """Announce all entries as live to every entry."""
         for entry in self.entries.values():
             entry.take(LivePeersChanged(self.names, self.names), self.now_s)
--- a/tests/core/test_duty_lease.py
+++ b/tests/core/test_duty_lease.py
@@ -75,7 +75,7 @@
     """Create a bench whose first entry, with a slow clock, holds the duty."""
     bench = Bench(make_parts)
     bench.entries[FIRST].rate = SLOW_CLOCK
-    bench.meet()
+    bench.announce_peers()
     bench.settle(4, (FIRST,))
     assert list(active_holders(bench)) == [FIRST]
     return bench
@@ -90,7 +90,7 @@
         """
         bench = Bench(make_parts)
         bench.entries[FIRST].rate = SLOW_CLOCK
-        bench.meet()
+        bench.announce_peers()
         moves = trouble(FIRST, SECOND, 4.9)
         states = explore(bench, moves, 6, assert_only_the_stores_holder_acts)
         self.assertGreater(states, 1_000)
@@ -148,7 +148,7 @@
         expires.
         """
         bench = Bench(make_parts)
-        bench.meet()
+        bench.announce_peers()
         while not _count_calls(bench, FIRST, StorePut):
             bench.tick(0.1, (FIRST,))
             bench.answer(FIRST)
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -168,7 +168,7 @@
 def bench_with_first_as_holder(*, is_checking: bool) -> EngineBench:
     """Return a bench in which the first entry holds the duty."""
     bench = EngineBench(is_checking=is_checking)
-    bench.meet()
+    bench.announce_peers()
     bench.settle(4, (FIRST,))
     return bench
 
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -104,7 +104,7 @@
     bench.performed = (SubmitUsage,)
     for entry in bench.entries.values():
         entry.take(Started(wall_s=600), bench.now_s)
-    bench.meet()
+    bench.announce_peers()
     bench.settle(4, (FIRST,))
 
 
