--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -180,7 +180,9 @@
             self.wake(name)
         return True
 
-    def settle(self, until_s: float, running: Iterable[str]) -> None:
+    def run_without_faults(
+        self, until_s: float, running: Iterable[str]
+    ) -> None:
         """Run the entries without faults until a time."""
         running = tuple(running)
         while self.now_s < until_s:
--- a/tests/core/test_duty_lease.py
+++ b/tests/core/test_duty_lease.py
@@ -76,7 +76,7 @@
     bench = Bench(make_parts)
     bench.entries[FIRST].rate = SLOW_CLOCK
     bench.announce_peers()
-    bench.settle(4, (FIRST,))
+    bench.run_without_faults(4, (FIRST,))
     assert list(active_holders(bench)) == [FIRST]
     return bench
 
@@ -132,13 +132,13 @@
         """
         bench = new_bench_held_by_first()
         old_fence = active_holders(bench)[FIRST]
-        bench.settle(bench.now_s + 20, (SECOND,))
+        bench.run_without_faults(bench.now_s + 20, (SECOND,))
         new_holders = active_holders(bench)
         self.assertEqual([SECOND], list(new_holders))
         self.assertGreater(new_holders[SECOND], old_fence)
         bench.resume(FIRST)
         assert_only_the_stores_holder_acts(bench, ())
-        bench.settle(bench.now_s + 60, (FIRST, SECOND))
+        bench.run_without_faults(bench.now_s + 60, (FIRST, SECOND))
         self.assertEqual(new_holders, active_holders(bench))
 
     def test_a_write_without_an_answer_is_verified_by_reading(self) -> None:
@@ -153,7 +153,7 @@
             bench.tick(0.1, (FIRST,))
             bench.answer(FIRST)
         bench.lose(FIRST)
-        bench.settle(bench.now_s + 1, (FIRST,))
+        bench.run_without_faults(bench.now_s + 1, (FIRST,))
         self.assertEqual([FIRST], list(active_holders(bench)))
         grants = _count_calls(bench, FIRST, LeaseGrant)
         self.assertEqual(1, grants)
@@ -167,12 +167,12 @@
         bench = new_bench_held_by_first()
         bench.platform.faults.outage = True
         calls_before = len(bench.entries[FIRST].seen)
-        bench.settle(bench.now_s + 11, NAMES)
+        bench.run_without_faults(bench.now_s + 11, NAMES)
         self.assertEqual({}, active_holders(bench))
-        bench.settle(bench.now_s + 50, NAMES)
+        bench.run_without_faults(bench.now_s + 50, NAMES)
         self.assertLess(len(bench.entries[FIRST].seen) - calls_before, 80)
         bench.platform.faults.outage = False
-        bench.settle(bench.now_s + 15, NAMES)
+        bench.run_without_faults(bench.now_s + 15, NAMES)
         self.assertEqual(1, len(active_holders(bench)))
         assert_only_the_stores_holder_acts(bench, ())
 
@@ -185,12 +185,12 @@
         bench = new_bench_held_by_first()
         bench.entries[FIRST].take(Leaving(), bench.now_s)
         self.assertEqual({}, active_holders(bench))
-        bench.settle(bench.now_s + 0.9, NAMES)
+        bench.run_without_faults(bench.now_s + 0.9, NAMES)
         self.assertEqual(0, _count_calls(bench, FIRST, LeaseRelease))
-        bench.settle(bench.now_s + 4, NAMES)
+        bench.run_without_faults(bench.now_s + 4, NAMES)
         self.assertEqual([SECOND], list(active_holders(bench)))
         calls = len(bench.entries[FIRST].seen)
-        bench.settle(bench.now_s + 30, NAMES)
+        bench.run_without_faults(bench.now_s + 30, NAMES)
         self.assertEqual(calls, len(bench.entries[FIRST].seen))
 
     def test_store_calls_do_not_grow_with_the_domain(self) -> None:
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -169,7 +169,7 @@
     """Return a bench in which the first entry holds the duty."""
     bench = EngineBench(is_checking=is_checking)
     bench.announce_peers()
-    bench.settle(4, (FIRST,))
+    bench.run_without_faults(4, (FIRST,))
     return bench
 
 
@@ -195,14 +195,14 @@
                 ):
                     bench = bench_with_first_as_holder(is_checking=is_checking)
                     _stop_first(bench, calls, resumption)
-                    bench.settle(bench.now_s + 14, (SECOND,))
+                    bench.run_without_faults(bench.now_s + 14, (SECOND,))
                     bench.request_role(SECOND)
                     check_orders(bench, (str(calls), resumption))
                     _resume_first(bench, resumption)
                     running = (SECOND,) if resumption == 'never' else NAMES
-                    bench.settle(bench.now_s + 40, running)
+                    bench.run_without_faults(bench.now_s + 40, running)
                     bench.request_role(SECOND)
-                    bench.settle(bench.now_s + 20, running)
+                    bench.run_without_faults(bench.now_s + 20, running)
                     check_orders(bench, (str(calls), resumption))
                     self.assertEqual(0, count_plans(bench))
                     report = bench.engine.model.load_report(bench.now_s)
@@ -220,7 +220,7 @@
             states = explore(bench, _takeover_moves(), 4, check_orders)
             bench.answer(FIRST)
             states += explore(bench, _takeover_moves(), 3, check_orders)
-            bench.settle(bench.now_s + 2.5, (FIRST,))
+            bench.run_without_faults(bench.now_s + 2.5, (FIRST,))
             states += explore(bench, _takeover_moves(), 3, check_orders)
             self.assertGreater(states, 500)
 
@@ -238,11 +238,11 @@
                 bench = bench_with_first_as_holder(is_checking=False)
                 bench.request_role(FIRST)
                 late = _intercept_order(bench, which)
-                bench.settle(bench.now_s + delay_s, (SECOND,))
+                bench.run_without_faults(bench.now_s + delay_s, (SECOND,))
                 bench.request_role(SECOND)
                 bench.engine.take(FIRST, late, bench.now_s)
                 check_orders(bench, (str(which), str(delay_s)))
-                bench.settle(bench.now_s + 40, (SECOND,))
+                bench.run_without_faults(bench.now_s + 40, (SECOND,))
                 check_orders(bench, (str(which), str(delay_s)))
                 self.assertEqual(0, count_plans(bench))
                 report = bench.engine.model.load_report(bench.now_s)
@@ -257,7 +257,7 @@
         bench.platform.faults.keys = 'orders'
         bench.platform.faults.lose_answers = 4
         bench.request_role(FIRST)
-        bench.settle(40, (FIRST,))
+        bench.run_without_faults(40, (FIRST,))
         check_orders(bench, ())
         self.assertEqual(3, len(bench.orders))
         self.assertEqual(0, count_plans(bench))
@@ -295,7 +295,7 @@
         request = GenerateRequest('a-1', 'model', 'answer 200 tokens', (), 200)
         bench.engine.model.generate(request, bench.now_s)
         bench.request_role(FIRST)
-        bench.settle(60, (FIRST,))
+        bench.run_without_faults(60, (FIRST,))
         self.assertEqual(3, len(bench.orders))
         record = bench.engine.model.record
         changed_s = bench.orders[1].at_s  # type: ignore[attr-defined]
@@ -326,7 +326,7 @@
             for _ in range(10):
                 bench.answer(FIRST)
             self.assertEqual(1, len(bench.orders))
-        bench.settle(bench.now_s + 10, (FIRST,))
+        bench.run_without_faults(bench.now_s + 10, (FIRST,))
         self.assertEqual(3, len(bench.orders))
 
     def test_a_target_is_drained_before_it_is_removed(self) -> None:
@@ -342,7 +342,7 @@
             SERVICE, DOMAIN, fence, 'test', add_steady=1, remove=(TARGET_ID,)
         )
         bench.entries[FIRST].take(wanted, bench.now_s)
-        bench.settle(60, (FIRST,))
+        bench.run_without_faults(60, (FIRST,))
         received = bench.platform.record.orders
         self.assertEqual(
             ['add', 'remove'], [one.order.action for one in received]
@@ -396,7 +396,7 @@
 
 
 def _run_and_request(bench: Bench, name: str, elapsed_s: float) -> None:
-    bench.settle(bench.now_s + elapsed_s, (name,))
+    bench.run_without_faults(bench.now_s + elapsed_s, (name,))
     assert isinstance(bench, EngineBench)
     bench.request_role(name)
 
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -105,7 +105,7 @@
     for entry in bench.entries.values():
         entry.take(Started(wall_s=600), bench.now_s)
     bench.announce_peers()
-    bench.settle(4, (FIRST,))
+    bench.run_without_faults(4, (FIRST,))
 
 
 def add_usage(bench: Bench, name: str, tokens: int) -> None:
@@ -123,7 +123,7 @@
             bench = Bench(make_parts)
             start(bench)
             add_usage(bench, FIRST, 7)
-            bench.settle(wait_s, (FIRST,))
+            bench.run_without_faults(wait_s, (FIRST,))
             add_usage(bench, SECOND, 5)
             moves = trouble(FIRST, SECOND, 3.4)
             states = explore(bench, moves, 5, _check_total)
@@ -141,19 +141,19 @@
                 start(bench)
                 add_usage(bench, FIRST, 7)
                 add_usage(bench, SECOND, 5)
-                bench.settle(64.9, (FIRST,))
+                bench.run_without_faults(64.9, (FIRST,))
                 for _ in range(calls):
                     if not bench.answer(FIRST):
                         bench.tick(0.1, (FIRST,))
                 if resumption == 'with an answer':
                     bench.withhold(FIRST)
-                bench.settle(bench.now_s + 30, (SECOND,))
+                bench.run_without_faults(bench.now_s + 30, (SECOND,))
                 if resumption == 'with an answer':
                     bench.resume(FIRST)
                 if resumption == 'before its call':
                     bench.answer(FIRST)
                 running = (SECOND,) if resumption == 'never' else NAMES
-                bench.settle(200, running)
+                bench.run_without_faults(200, running)
                 _check_total(bench, (str(calls),))
                 self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
@@ -167,7 +167,7 @@
             bench = Bench(make_parts)
             start(bench)
             add_usage(bench, FIRST, 7)
-            bench.settle(62, NAMES)
+            bench.run_without_faults(62, NAMES)
             while not _is_closing(bench, FIRST):
                 bench.tick(0.1, (FIRST,))
                 while not _is_closing(bench, FIRST) and bench.answer(FIRST):
@@ -179,7 +179,7 @@
             for _ in range(steps):
                 bench.answer(SECOND)
             bench.answer(FIRST)
-            bench.settle(200, NAMES)
+            bench.run_without_faults(200, NAMES)
             self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
     def test_a_store_outage_across_the_end_of_a_window(self) -> None:
@@ -190,14 +190,14 @@
         bench = Bench(make_parts)
         start(bench)
         add_usage(bench, FIRST, 7)
-        bench.settle(50, NAMES)
+        bench.run_without_faults(50, NAMES)
         bench.platform.faults.outage = True
         add_usage(bench, FIRST, 5)
-        bench.settle(150, NAMES)
+        bench.run_without_faults(150, NAMES)
         add_usage(bench, SECOND, 3)
         bench.platform.faults.outage = False
         bench.platform.faults.lose_answers = 12
-        bench.settle(320, NAMES)
+        bench.run_without_faults(320, NAMES)
         self.assertEqual(15, sum_reported(bench.platform)['tokens'])
         self.assertGreaterEqual(len(bench.platform.record.usage), 4)
 
@@ -209,10 +209,10 @@
         bench = Bench(make_parts)
         start(bench)
         add_usage(bench, FIRST, 7)
-        bench.settle(70, NAMES)
+        bench.run_without_faults(70, NAMES)
         self.assertEqual(7, sum_reported(bench.platform)['tokens'])
         add_usage(bench, SECOND, 5)
-        bench.settle(130, NAMES)
+        bench.run_without_faults(130, NAMES)
         self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
     def test_a_leaving_entry_waits_a_limited_time_to_save(self) -> None:
@@ -229,7 +229,7 @@
         usage = bench.entries[FIRST].parts[1]
         assert isinstance(usage, UsagePart)
         self.assertEqual(1, usage.unsaved_count)
-        bench.settle(bench.now_s + 11, (FIRST,))
+        bench.run_without_faults(bench.now_s + 11, (FIRST,))
         self.assertEqual(0, usage.unsaved_count)
 
 
