--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -80,7 +80,7 @@
         while queue:
             self._step(queue.pop(0), now_s * self.rate, queue)
 
-    def believes(self, duty: str, now_s: float) -> int | None:
+    def believed_fence(self, duty: str, now_s: float) -> int | None:
         """Return the fencing token that the entry believes valid, or None."""
         fence, until_s = self.fences.get(duty, (0, 0.0))
         return fence if now_s * self.rate < until_s else None
--- a/tests/core/test_duty_lease.py
+++ b/tests/core/test_duty_lease.py
@@ -56,7 +56,7 @@
     """Return the fencing token of each entry that acts for the duty."""
     fences_by_name = {}
     for name, entry in bench.entries.items():
-        fence = entry.believes(REPORT_DUTY, bench.now_s)
+        fence = entry.believed_fence(REPORT_DUTY, bench.now_s)
         if fence is not None:
             fences_by_name[name] = fence
     return fences_by_name
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -337,7 +337,9 @@
         bench = bench_with_first_as_holder(is_checking=True)
         request = GenerateRequest('a-1', 'model', 'answer 200 tokens', (), 200)
         bench.engine.model.generate(request, bench.now_s)
-        fence = bench.entries[FIRST].believes(CONTROL_DUTY, bench.now_s) or 0
+        fence = (
+            bench.entries[FIRST].believed_fence(CONTROL_DUTY, bench.now_s) or 0
+        )
         wanted = FleetSizeChangeRequested(
             SERVICE, DOMAIN, fence, 'test', add_steady=1, remove=(TARGET_ID,)
         )
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -173,7 +173,7 @@
                 while not _is_closing(bench, FIRST) and bench.answer(FIRST):
                     continue
             add_usage(bench, SECOND, 5)
-            while bench.entries[SECOND].believes(REPORT_DUTY, 0) is None:
+            while bench.entries[SECOND].believed_fence(REPORT_DUTY, 0) is None:
                 bench.tick(0.1, (SECOND,))
                 bench.answer(SECOND)
             for _ in range(steps):
