--- a/tests/core/duty_bench.py
+++ b/tests/core/duty_bench.py
@@ -231,7 +231,7 @@
     return states
 
 
-def trouble(first: str, second: str, step_s: float) -> tuple[Move, ...]:
+def fault_moves(first: str, second: str, step_s: float) -> tuple[Move, ...]:
     """Return the moves of two entries, the first of which may be paused."""
     return (
         ('first answered', lambda bench: bench.answer(first)),
--- a/tests/core/test_duty_lease.py
+++ b/tests/core/test_duty_lease.py
@@ -37,8 +37,8 @@
     NAMES,
     Bench,
     explore,
+    fault_moves,
     instance,
-    trouble,
 )
 
 FIRST, SECOND = NAMES
@@ -91,7 +91,7 @@
         bench = Bench(make_parts)
         bench.entries[FIRST].rate = SLOW_CLOCK
         bench.announce_peers()
-        moves = trouble(FIRST, SECOND, 4.9)
+        moves = fault_moves(FIRST, SECOND, 4.9)
         states = explore(bench, moves, 6, assert_only_the_stores_holder_acts)
         self.assertGreater(states, 1_000)
 
@@ -104,7 +104,7 @@
         for pause_s in (2.4, 9.6):
             bench = new_bench_held_by_first()
             bench.tick(pause_s / 2, (FIRST,))
-            moves = trouble(FIRST, SECOND, pause_s)
+            moves = fault_moves(FIRST, SECOND, pause_s)
             states = explore(
                 bench, moves, 5, assert_only_the_stores_holder_acts
             )
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -35,9 +35,9 @@
     Bench,
     call_all,
     explore,
+    fault_moves,
     holder_of,
     small_fleet,
-    trouble,
 )
 
 FIRST, SECOND = NAMES
@@ -125,7 +125,7 @@
             add_usage(bench, FIRST, 7)
             bench.run_without_faults(wait_s, (FIRST,))
             add_usage(bench, SECOND, 5)
-            moves = trouble(FIRST, SECOND, 3.4)
+            moves = fault_moves(FIRST, SECOND, 3.4)
             states = explore(bench, moves, 5, _check_total)
             self.assertGreater(states, 200)
 
