--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -34,7 +34,7 @@
 )
 from dandelionyoke_gateway._source_links import SourceLinks
 from tests.gateway.settings import new_settings
-from tests.platform.path import Lines
+from tests.platform.node_harness import Lines
 
 ENGINES = [
     RegisteredTarget(
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -18,7 +18,7 @@
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._phase_task import PendingFleetChanges
 from tests.gateway.settings import new_settings
-from tests.platform.path import Lines
+from tests.platform.node_harness import Lines
 
 
 class HeldDuty:
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -42,7 +42,7 @@
 )
 from dandelionyoke_platform._dialect import PlatformDialect
 from tests.gateway.settings import new_settings
-from tests.platform.path import Lines
+from tests.platform.node_harness import Lines
 from tests.platform.test_process import configuration
 
 
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -41,7 +41,7 @@
 )
 from tests.gateway.network import DomainNetwork
 from tests.gateway.settings import new_settings
-from tests.platform.path import Lines
+from tests.platform.node_harness import Lines
 
 PREFILL_S = 0.05
 HOT = PromptPart('hot', 6000)
--- a/tests/gateway/test_rate_limits.py
+++ b/tests/gateway/test_rate_limits.py
@@ -38,7 +38,7 @@
 from dandelionyoke_gateway._source_links import SourceLinks
 from tests.gateway.network import DomainNetwork
 from tests.gateway.settings import new_settings
-from tests.platform.path import Lines
+from tests.platform.node_harness import Lines
 
 LIMIT = RateLimit(100.0, 1000.0, LimitUnit.TOKENS)
 LARGE = 100.0
--- a/tests/platform/program.py
+++ b/tests/platform/program.py
@@ -13,7 +13,7 @@
 from eventlet.green import socket
 
 from dandelionyoke_gateway import clock_s
-from tests.platform.path import API_KEY, request_bytes
+from tests.platform.node_harness import API_KEY, request_bytes
 from tests.platform.store_standin import StoreStandin
 
 WAIT_TIMEOUT_S = 15.0
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -16,7 +16,7 @@
     RateLimit,
 )
 from dandelionyoke_gateway import clock_s
-from tests.platform.path import (
+from tests.platform.node_harness import (
     API_KEY,
     NodeHarness,
     Piece,
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -22,7 +22,7 @@
     KEEPALIVE_PROBES,
 )
 from dandelionyoke_platform._duties import CALL_TIMEOUT_S, PlatformDuties
-from tests.platform.path import Script, ScriptedTarget, answer
+from tests.platform.node_harness import Script, ScriptedTarget, answer
 
 ORDER = TargetCountOrder('lm', 'a', 3, True)
 
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -16,7 +16,7 @@
 
 from dandelionyoke_gateway import clock_s
 from dandelionyoke_platform import _wire_names as wire
-from tests.platform.path import (
+from tests.platform.node_harness import (
     API_KEY,
     HOST,
     Piece,
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -10,7 +10,7 @@
 
 from dandelionyoke_gateway import clock_s
 from dandelionyoke_links import receive
-from tests.platform.path import HOST
+from tests.platform.node_harness import HOST
 from tests.soak.record import CALL_PATHS, CallerCall, SoakRecord
 
 RESPONSE_TIMEOUT_S = 6.5
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -18,7 +18,7 @@
 
 from dandelionyoke_gateway import ExitStatus, clock_s
 from dandelionyoke_standins._relay import Relay
-from tests.platform.path import HOST
+from tests.platform.node_harness import HOST
 from tests.platform.program import Ports, Program
 from tests.platform.store_standin import StoreStandin
 from tests.soak.callers import Caller
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -5,7 +5,13 @@
 from random import Random
 
 from dandelionyoke_gateway import clock_s
-from tests.platform.path import Piece, ScriptedTarget, Seen, answer, chunk
+from tests.platform.node_harness import (
+    Piece,
+    ScriptedTarget,
+    Seen,
+    answer,
+    chunk,
+)
 from tests.platform.store_standin import StoreStandin
 from tests.soak.promises import EVENTS_PER_STREAM, plain_body, stream_event
 from tests.soak.record import Run, SoakRecord
