--- a/tests/platform/node_harness.py
+++ b/tests/platform/node_harness.py
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class Seen:
+class ReceivedRequest:
     """A request as received by a target."""
 
     line: str
@@ -56,7 +56,7 @@
 
 Piece = bytes | float | None
 # Bytes are sent, a float is a pause in seconds, None resets the connection.
-Script = Callable[[Seen], Iterable[Piece]]
+Script = Callable[[ReceivedRequest], Iterable[Piece]]
 
 
 class ScriptedTarget:
@@ -65,7 +65,7 @@
     def __init__(self, script: Script) -> None:
         self._script = script
         self._listener = eventlet.listen(('127.0.0.1', 0))
-        self.seen: list[Seen] = []
+        self.received_requests: list[ReceivedRequest] = []
         # Requests whose connection the node closed before the answer's end.
         self.abandoned_count = 0
         self._threads = [eventlet.spawn(self._accept)]
@@ -96,15 +96,15 @@
     def _serve(self, sock: socket.socket) -> None:
         with sock:
             while True:
-                seen = _read(sock)
-                if seen is None:
+                request = _read(sock)
+                if request is None:
                     return
-                self.seen.append(seen)
-                if not self._answer(sock, seen):
+                self.received_requests.append(request)
+                if not self._answer(sock, request):
                     return
 
-    def _answer(self, sock: socket.socket, seen: Seen) -> bool:
-        for piece in self._script(seen):
+    def _answer(self, sock: socket.socket, request: ReceivedRequest) -> bool:
+        for piece in self._script(request):
             if piece is None:
                 reset_on_close(sock)
                 return False
@@ -123,7 +123,7 @@
         return True
 
 
-def _read(sock: socket.socket) -> Seen | None:
+def _read(sock: socket.socket) -> ReceivedRequest | None:
     content = b''
     while b'\r\n\r\n' not in content:
         try:
@@ -141,7 +141,7 @@
         headers[name.strip().lower()] = text.strip()
     while len(body) < int(headers.get('content-length', 0)):
         body += sock.recv(65536)
-    return Seen(lines[0], headers, body)
+    return ReceivedRequest(lines[0], headers, body)
 
 
 def answer(
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -20,8 +20,8 @@
     API_KEY,
     NodeHarness,
     Piece,
+    ReceivedRequest,
     Script,
-    Seen,
     answer,
     chunk,
     request_bytes,
@@ -33,15 +33,15 @@
 )
 
 
-def answers_ok(seen: Seen) -> Iterator[Piece]:
+def answers_ok(request: ReceivedRequest) -> Iterator[Piece]:
     yield answer()
 
 
-def resets_connection(seen: Seen) -> Iterator[Piece]:
+def resets_connection(request: ReceivedRequest) -> Iterator[Piece]:
     yield None
 
 
-def refuses_call(seen: Seen) -> Iterator[Piece]:
+def refuses_call(request: ReceivedRequest) -> Iterator[Piece]:
     yield answer('503 Busy', b'', 'Not-Executed: 1\r\n')
 
 
@@ -50,12 +50,12 @@
 
     The first request counts for all targets that share the returned script.
     """
-    earlier_requests: list[Seen] = []
+    earlier_requests: list[ReceivedRequest] = []
 
-    def answer_request(seen: Seen) -> Iterable[Piece]:
+    def answer_request(request: ReceivedRequest) -> Iterable[Piece]:
         chosen = then if earlier_requests else first
-        earlier_requests.append(seen)
-        return chosen(seen)
+        earlier_requests.append(request)
+        return chosen(request)
 
     return answer_request
 
@@ -71,7 +71,9 @@
         self.addCleanup(self.node.close)
 
     def count_sends(self) -> int:
-        return sum(len(target.seen) for target in self.node.targets)
+        return sum(
+            len(target.received_requests) for target in self.node.targets
+        )
 
 
 class PlainCallTest(CallTestCase):
@@ -81,11 +83,11 @@
         self.assertEqual(200, status(content))
         self.assertIn(b'response-signature: s', content.lower())
         self.assertTrue(content.endswith(b'\r\n\r\nok'))
-        seen = target.seen[0]
-        self.assertEqual('POST /confirm/1 HTTP/1.1', seen.line)
-        self.assertEqual(b'body', seen.body)
-        self.assertEqual('acme', seen.headers['tenant'])
-        self.assertNotIn('x-api-key', seen.headers)
+        request = target.received_requests[0]
+        self.assertEqual('POST /confirm/1 HTTP/1.1', request.line)
+        self.assertEqual(b'body', request.body)
+        self.assertEqual('acme', request.headers['tenant'])
+        self.assertNotIn('x-api-key', request.headers)
 
     def test_a_non_idempotent_call_whose_answer_is_lost_is_not_retried(
         self,
@@ -124,21 +126,23 @@
         If it were forwarded, a caller would receive another customer's data.
         """
 
-        def answers_another_attempt(seen: Seen) -> Iterator[Piece]:
+        def answers_another_attempt(
+            request: ReceivedRequest,
+        ) -> Iterator[Piece]:
             yield answer(extra='Response-Signature: s\r\nAttempt-Id: other\r\n')
 
         self.node.add_target(answers_another_attempt)
         self.assertEqual(502, status(self.node.call()))
 
     def test_a_success_without_signature_is_a_failure(self) -> None:
-        def answers_unsigned(seen: Seen) -> Iterator[Piece]:
+        def answers_unsigned(request: ReceivedRequest) -> Iterator[Piece]:
             yield answer(extra='Attempt-Id: a1\r\n')
 
         self.node.add_target(answers_unsigned)
         self.assertEqual(502, status(self.node.call()))
 
     def test_an_error_status_of_a_target_is_forwarded(self) -> None:
-        def answers_500(seen: Seen) -> Iterator[Piece]:
+        def answers_500(request: ReceivedRequest) -> Iterator[Piece]:
             yield answer('500 Oops', b'why')
 
         self.node.add_target(answers_500)
@@ -153,7 +157,7 @@
         other calls.
         """
 
-        def answers_slowly(seen: Seen) -> Iterator[Piece]:
+        def answers_slowly(request: ReceivedRequest) -> Iterator[Piece]:
             yield 2.0
             yield answer()
 
@@ -165,7 +169,7 @@
         self.assertEqual(1, target.abandoned_count)
 
     def test_a_call_is_answered_at_its_deadline(self) -> None:
-        def never_answers(seen: Seen) -> Iterator[Piece]:
+        def never_answers(request: ReceivedRequest) -> Iterator[Piece]:
             yield 9.0
 
         self.node.add_target(never_answers)
@@ -199,7 +203,7 @@
         self.set_rate_limit(RateLimit(1.0, 2.0))
         statuses = [status(self.node.call()) for _ in range(5)]
         self.assertEqual([200, 200, 200, 429, 429], statuses)
-        self.assertEqual(3, len(target.seen))
+        self.assertEqual(3, len(target.received_requests))
         self.assertIn(b'retry-after', self.node.call().lower())
         self.assertIn('limit.reached', self.node.log_lines.text)
 
@@ -277,11 +281,11 @@
             f'id: {number}\ndata: t{number}\n\n'.encode() for number in numbers
         )
 
-    def answers_prefill(self, seen: Seen) -> Iterator[Piece]:
+    def answers_prefill(self, request: ReceivedRequest) -> Iterator[Piece]:
         body = b'{"kv_handle":"h1","tokens":900,"version":1}'
         yield answer('200 OK', body, 'Content-Type: application/json\r\n')
 
-    def streams_tokens(self, seen: Seen) -> Iterator[Piece]:
+    def streams_tokens(self, request: ReceivedRequest) -> Iterator[Piece]:
         yield stream_head()
         yield chunk(self.events(1))
         yield chunk(self.events(2, 3))
@@ -299,13 +303,16 @@
         self.assertIn(b'data: t3', content)
         self.assertTrue(content.endswith(b'0\r\n\r\n'))
         self.assertEqual(
-            'prefill', prefill_engine.seen[0].headers['serving-phase']
+            'prefill',
+            prefill_engine.received_requests[0].headers['serving-phase'],
         )
         self.assertEqual(
             f'{prefill_engine.address}/h1',
-            decode_engine.seen[0].headers['kv-source'],
+            decode_engine.received_requests[0].headers['kv-source'],
+        )
+        self.assertNotIn(
+            'serving-phase', decode_engine.received_requests[0].headers
         )
-        self.assertNotIn('serving-phase', decode_engine.seen[0].headers)
 
     def test_a_refused_decode_reuses_the_cache_at_another_engine(self) -> None:
         """An engine that is changing its phase refuses a decode.
@@ -321,7 +328,7 @@
         self.assertEqual(
             200, status(self.node.call('/ask/1', extra=PROMPT_HEADERS))
         )
-        self.assertEqual(1, len(prefill_engine.seen))
+        self.assertEqual(1, len(prefill_engine.received_requests))
 
     def test_a_queued_prefill_avoids_an_engine_that_is_draining(
         self,
@@ -332,9 +339,9 @@
         work, and their callers would wait for nothing.
         """
 
-        def answers_slowly(seen: Seen) -> Iterator[Piece]:
+        def answers_slowly(request: ReceivedRequest) -> Iterator[Piece]:
             yield 0.3
-            yield from self.answers_prefill(seen)
+            yield from self.answers_prefill(request)
 
         draining_engine = self.node.add_target(
             answers_slowly, 'lm', Phase.PREFILL
@@ -345,15 +352,15 @@
             for _ in range(3)
         ]
         eventlet.sleep(0.1)
-        self.assertEqual(2, len(draining_engine.seen))
+        self.assertEqual(2, len(draining_engine.received_requests))
         other_engine = self.node.add_target(
             self.answers_prefill, 'lm', Phase.PREFILL
         )
         self.node.knowledge.registry.mark_leaving('i-1', None)
         answers = [status(caller.wait()) for caller in callers]
         self.assertEqual([200, 200, 200], answers)
-        self.assertEqual(2, len(draining_engine.seen))
-        self.assertEqual(1, len(other_engine.seen))
+        self.assertEqual(2, len(draining_engine.received_requests))
+        self.assertEqual(1, len(other_engine.received_requests))
 
     def test_refused_connections_do_not_spend_the_retry_budget(self) -> None:
         """Two decode engines crash under load and refuse connections.
@@ -378,7 +385,7 @@
         self.assertEqual(
             200, status(self.node.call('/ask/1', extra=PROMPT_HEADERS))
         )
-        self.assertEqual(1, len(prefill_engine.seen))
+        self.assertEqual(1, len(prefill_engine.received_requests))
 
     def test_a_repeated_prefill_is_charged_to_the_retry_budget(self) -> None:
         """A decode engine breaks off right after it fetched a prompt's cache.
@@ -421,8 +428,10 @@
         )
         content = self.node.call('/ask/1', extra=short_prompt_headers)
         self.assertEqual(200, status(content))
-        self.assertEqual([], prefill_engine.seen)
-        self.assertNotIn('kv-source', decode_engine.seen[0].headers)
+        self.assertEqual([], prefill_engine.received_requests)
+        self.assertNotIn(
+            'kv-source', decode_engine.received_requests[0].headers
+        )
 
     def test_a_long_prompt_is_prefilled_separately_on_fast_engines(
         self,
@@ -434,7 +443,7 @@
         prefill_time = self.node.knowledge.service_state('lm').prefill_time
         prefill_time.add_sample(Prompt('m', 1000, 1), 0.1)
         self.node.call('/ask/1', extra=PROMPT_HEADERS)
-        self.assertEqual(1, len(prefill_engine.seen))
+        self.assertEqual(1, len(prefill_engine.received_requests))
 
     def test_cached_prefixes_do_not_make_a_prompt_count_as_short(self) -> None:
         """Prefill engines have nearly all of each prompt cached and are fast.
@@ -452,10 +461,10 @@
         for _ in range(50):
             prefill_time.add_sample(Prompt('m', 50000, 1, parts), 0.05)
         self.node.call('/ask/1', extra=PROMPT_HEADERS)
-        self.assertEqual(1, len(prefill_engine.seen))
+        self.assertEqual(1, len(prefill_engine.received_requests))
 
     def test_a_stream_that_breaks_off_is_not_ended_as_complete(self) -> None:
-        def breaks_off(seen: Seen) -> Iterator[Piece]:
+        def breaks_off(request: ReceivedRequest) -> Iterator[Piece]:
             yield stream_head()
             yield chunk(self.events(1) + b'id: 2\nda')
             yield 0.05
@@ -468,8 +477,8 @@
         self.assertFalse(content.endswith(b'0\r\n\r\n'))
 
     def test_a_stream_that_breaks_off_resumes_at_another_engine(self) -> None:
-        def breaks_off(seen: Seen) -> Iterator[Piece]:
-            if 'last-event-id' in seen.headers:
+        def breaks_off(request: ReceivedRequest) -> Iterator[Piece]:
+            if 'last-event-id' in request.headers:
                 yield stream_head()
                 yield chunk(self.events(2, 3))
                 yield chunk(b'')
@@ -488,7 +497,7 @@
         self.assertTrue(content.endswith(b'0\r\n\r\n'))
 
     def test_a_callers_disconnect_ends_the_prefill(self) -> None:
-        def answers_slowly(seen: Seen) -> Iterator[Piece]:
+        def answers_slowly(request: ReceivedRequest) -> Iterator[Piece]:
             yield 2.0
 
         prefill_engine = self.node.add_target(
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -55,7 +55,7 @@
         duties = PlatformDuties(target.address, PausedPool(pause_s))
         duties.order_targets(ORDER, FencingStamp('n-1', 9, clock_s() + 0.05))
         eventlet.sleep(0.05)
-        return [seen.line for seen in target.seen]
+        return [request.line for request in target.received_requests]
 
     def test_an_order_within_the_term_is_sent(self) -> None:
         self.assertEqual(1, len(self.order(0)))
@@ -81,7 +81,7 @@
         target.refuse_connections()
         answer_behind = duties.order_targets(ORDER, stamp)
         self.assertIs(DutyOutcome.NOT_SENT, answer_behind.outcome)
-        self.assertEqual(1, len(target.seen))
+        self.assertEqual(1, len(target.received_requests))
 
     def test_an_order_times_out_before_the_keepalive_probes(self) -> None:
         """Guards against orders whose connection can no longer be reset."""
@@ -101,7 +101,7 @@
         order = PhaseOrder(engine, Phase.DECODE, 0)
         answer_behind = duties.order_phase(order, stamp)
         self.assertIs(DutyOutcome.NOT_SENT, answer_behind.outcome)
-        self.assertEqual(1, len(target.seen))
+        self.assertEqual(1, len(target.received_requests))
 
 
 class DutyAnswerTest(testtools.TestCase):
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -20,8 +20,8 @@
     API_KEY,
     HOST,
     Piece,
+    ReceivedRequest,
     ScriptedTarget,
-    Seen,
     answer,
 )
 from tests.platform.program import Ports, Program, wait_for
@@ -72,7 +72,7 @@
         self.store.put('servers/i-1', json.dumps(registry_entry))
         self.store.put('servers/broken', '{"slots": "many"}')
 
-    def answer_after_pause(self, seen: Seen) -> Iterator[Piece]:
+    def answer_after_pause(self, request: ReceivedRequest) -> Iterator[Piece]:
         if self.pause_s:
             yield self.pause_s
         yield answer()
@@ -138,7 +138,9 @@
         program = self.start_program()
         self.pause_s = 1.0
         caller = eventlet.spawn(program.call)
-        wait_for(lambda: self.target.seen, 'a request at the target')
+        wait_for(
+            lambda: self.target.received_requests, 'a request at the target'
+        )
         program.end(signal.SIGHUP)
         program.end(signal.SIGTERM)
         self.assertIn(b' 200 ', caller.wait())
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -7,8 +7,8 @@
 from dandelionyoke_gateway import clock_s
 from tests.platform.node_harness import (
     Piece,
+    ReceivedRequest,
     ScriptedTarget,
-    Seen,
     answer,
     chunk,
 )
@@ -81,7 +81,7 @@
         self._record.leaving_since_s.pop(self.target_id, None)
         self.write_entry()
 
-    def _serve(self, request: Seen) -> Iterator[Piece]:
+    def _serve(self, request: ReceivedRequest) -> Iterator[Piece]:
         attempt_id = request.headers.get('attempt-id', '')
         path = request.line.split(' ')[1]
         if path.startswith('/-/'):
