--- a/tests/gateway/test_backlog_task.py
+++ b/tests/gateway/test_backlog_task.py
@@ -34,7 +34,7 @@
 )
 from dandelionyoke_gateway._source_links import SourceLinks
 from tests.gateway.settings import new_settings
-from tests.platform.node_harness import Lines
+from tests.platform.node_harness import LogLines
 
 ENGINES = [
     RegisteredTarget(
@@ -57,7 +57,7 @@
             Member(f'n-{other}', other, '10.0.0.2:7') for other in 'abc'
         )
         self.knowledge.registry.replace(ENGINES, clock_s())
-        self.lines = Lines()
+        self.lines = LogLines()
         self.log = DecisionLog(self.lines, self.name, Metrics())
         links = SourceLinks(self.knowledge)
         links.attach(self.send, lambda peer_id, url: None)
--- a/tests/gateway/test_engine_count_task.py
+++ b/tests/gateway/test_engine_count_task.py
@@ -18,7 +18,7 @@
 from dandelionyoke_gateway._log import DecisionLog
 from dandelionyoke_gateway._phase_task import PendingFleetChanges
 from tests.gateway.settings import new_settings
-from tests.platform.node_harness import Lines
+from tests.platform.node_harness import LogLines
 
 
 class HeldDuty:
@@ -44,7 +44,7 @@
 class UnacceptedOrderTest(testtools.TestCase):
     def refusing_domains(self, outcome: DutyOutcome) -> list[str]:
         """Order reclaimable engines; list the domains that count as unavailable."""
-        log = DecisionLog(Lines(), 'n-1', Metrics())
+        log = DecisionLog(LogLines(), 'n-1', Metrics())
         self.addCleanup(log.close)
         task = EngineCountTask(
             new_knowledge(new_settings(), Random(3)),
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_news.py
@@ -42,7 +42,7 @@
 )
 from dandelionyoke_platform._dialect import PlatformDialect
 from tests.gateway.settings import new_settings
-from tests.platform.node_harness import Lines
+from tests.platform.node_harness import LogLines
 from tests.platform.test_process import configuration
 
 
@@ -54,7 +54,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(3))
-        log = DecisionLog(Lines(), 'n-1', Metrics())
+        log = DecisionLog(LogLines(), 'n-1', Metrics())
         self.addCleanup(log.close)
         self.configurations = ConfigurationUpdater(
             self.knowledge, PlatformDialect(), log
@@ -190,7 +190,7 @@
             self.configurations,
             self.registry,
             StorePollPolicy(self.knowledge, StorePollSettings()),
-            DecisionLog(Lines(), 'n-1', Metrics()),
+            DecisionLog(LogLines(), 'n-1', Metrics()),
         )
 
     def apply_large_change(self) -> None:
--- a/tests/gateway/test_phase_task.py
+++ b/tests/gateway/test_phase_task.py
@@ -18,7 +18,7 @@
 from dandelionyoke_gateway._phase_task import PendingFleetChanges, PhaseTask
 from dandelionyoke_platform._duties import PlatformDuties
 from tests.gateway.settings import new_settings
-from tests.platform.node_harness import Lines
+from tests.platform.node_harness import LogLines
 
 
 def engine(name: str) -> RegisteredTarget:
@@ -31,7 +31,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.knowledge = new_knowledge(new_settings(), Random(3))
-        log = DecisionLog(Lines(), 'n-1', Metrics())
+        log = DecisionLog(LogLines(), 'n-1', Metrics())
         self.addCleanup(log.close)
         duties = PlatformDuties('127.0.0.1:1', TargetPool())
         self.task = PhaseTask(
--- a/tests/gateway/test_prefill_queue.py
+++ b/tests/gateway/test_prefill_queue.py
@@ -41,7 +41,7 @@
 )
 from tests.gateway.network import DomainNetwork
 from tests.gateway.settings import new_settings
-from tests.platform.node_harness import Lines
+from tests.platform.node_harness import LogLines
 
 PREFILL_S = 0.05
 HOT = PromptPart('hot', 6000)
@@ -61,7 +61,7 @@
         self._network = network
         self.knowledge = new_knowledge(new_settings(name), Random(3))
         self.local_queue = LocalPrefillQueue(self.knowledge)
-        self.log = DecisionLog(Lines(), name, Metrics())
+        self.log = DecisionLog(LogLines(), name, Metrics())
         self.queue = DomainPrefillQueue(
             self.local_queue, self.knowledge, self.log
         )
--- a/tests/gateway/test_rate_limits.py
+++ b/tests/gateway/test_rate_limits.py
@@ -38,7 +38,7 @@
 from dandelionyoke_gateway._source_links import SourceLinks
 from tests.gateway.network import DomainNetwork
 from tests.gateway.settings import new_settings
-from tests.platform.node_harness import Lines
+from tests.platform.node_harness import LogLines
 
 LIMIT = RateLimit(100.0, 1000.0, LimitUnit.TOKENS)
 LARGE = 100.0
@@ -51,7 +51,7 @@
     def __init__(self, network: 'Network', name: str) -> None:
         self.name = InstanceId(name)
         self._network = network
-        self.lines = Lines()
+        self.lines = LogLines()
         self.knowledge = new_knowledge(new_settings(name), Random(3))
         self.log = DecisionLog(self.lines, name, Metrics())
         self.limits = DomainRateLimits(self.knowledge, self.log)
--- a/tests/platform/node_harness.py
+++ b/tests/platform/node_harness.py
@@ -165,7 +165,7 @@
     return f'{len(content):x}\r\n'.encode() + content + b'\r\n'
 
 
-class Lines:
+class LogLines:
     """Log sink that keeps the lines."""
 
     def __init__(self) -> None:
@@ -180,7 +180,7 @@
     """A listening node and the targets registered at it."""
 
     def __init__(self) -> None:
-        self.log_lines = Lines()
+        self.log_lines = LogLines()
         self.probed_targets: list[str] = []
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(7))
         self.knowledge.configuration = configuration()
