--- a/tests/platform/node_harness.py
+++ b/tests/platform/node_harness.py
@@ -54,9 +54,9 @@
     body: bytes
 
 
-Piece = bytes | float | None
+ScriptStep = bytes | float | None
 # Bytes are sent, a float is a pause in seconds, None resets the connection.
-Script = Callable[[ReceivedRequest], Iterable[Piece]]
+Script = Callable[[ReceivedRequest], Iterable[ScriptStep]]
 
 
 class ScriptedTarget:
@@ -104,12 +104,12 @@
                     return
 
     def _answer(self, sock: socket.socket, request: ReceivedRequest) -> bool:
-        for piece in self._script(request):
-            if piece is None:
+        for step in self._script(request):
+            if step is None:
                 reset_on_close(sock)
                 return False
-            if isinstance(piece, float):
-                sock.settimeout(piece)
+            if isinstance(step, float):
+                sock.settimeout(step)
                 try:
                     is_closed = not sock.recv(1)
                 except TimeoutError:
@@ -119,7 +119,7 @@
                     self.abandoned_count += 1
                     return False
                 continue
-            sock.sendall(piece)
+            sock.sendall(step)
         return True
 
 
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -19,9 +19,9 @@
 from tests.platform.node_harness import (
     API_KEY,
     NodeHarness,
-    Piece,
     ReceivedRequest,
     Script,
+    ScriptStep,
     answer,
     chunk,
     request_bytes,
@@ -33,15 +33,15 @@
 )
 
 
-def answers_ok(request: ReceivedRequest) -> Iterator[Piece]:
+def answers_ok(request: ReceivedRequest) -> Iterator[ScriptStep]:
     yield answer()
 
 
-def resets_connection(request: ReceivedRequest) -> Iterator[Piece]:
+def resets_connection(request: ReceivedRequest) -> Iterator[ScriptStep]:
     yield None
 
 
-def refuses_call(request: ReceivedRequest) -> Iterator[Piece]:
+def refuses_call(request: ReceivedRequest) -> Iterator[ScriptStep]:
     yield answer('503 Busy', b'', 'Not-Executed: 1\r\n')
 
 
@@ -52,7 +52,7 @@
     """
     earlier_requests: list[ReceivedRequest] = []
 
-    def answer_request(request: ReceivedRequest) -> Iterable[Piece]:
+    def answer_request(request: ReceivedRequest) -> Iterable[ScriptStep]:
         chosen = then if earlier_requests else first
         earlier_requests.append(request)
         return chosen(request)
@@ -128,21 +128,21 @@
 
         def answers_another_attempt(
             request: ReceivedRequest,
-        ) -> Iterator[Piece]:
+        ) -> Iterator[ScriptStep]:
             yield answer(extra='Response-Signature: s\r\nAttempt-Id: other\r\n')
 
         self.node.add_target(answers_another_attempt)
         self.assertEqual(502, status(self.node.call()))
 
     def test_a_success_without_signature_is_a_failure(self) -> None:
-        def answers_unsigned(request: ReceivedRequest) -> Iterator[Piece]:
+        def answers_unsigned(request: ReceivedRequest) -> Iterator[ScriptStep]:
             yield answer(extra='Attempt-Id: a1\r\n')
 
         self.node.add_target(answers_unsigned)
         self.assertEqual(502, status(self.node.call()))
 
     def test_an_error_status_of_a_target_is_forwarded(self) -> None:
-        def answers_500(request: ReceivedRequest) -> Iterator[Piece]:
+        def answers_500(request: ReceivedRequest) -> Iterator[ScriptStep]:
             yield answer('500 Oops', b'why')
 
         self.node.add_target(answers_500)
@@ -157,7 +157,7 @@
         other calls.
         """
 
-        def answers_slowly(request: ReceivedRequest) -> Iterator[Piece]:
+        def answers_slowly(request: ReceivedRequest) -> Iterator[ScriptStep]:
             yield 2.0
             yield answer()
 
@@ -169,7 +169,7 @@
         self.assertEqual(1, target.abandoned_count)
 
     def test_a_call_is_answered_at_its_deadline(self) -> None:
-        def never_answers(request: ReceivedRequest) -> Iterator[Piece]:
+        def never_answers(request: ReceivedRequest) -> Iterator[ScriptStep]:
             yield 9.0
 
         self.node.add_target(never_answers)
@@ -281,11 +281,11 @@
             f'id: {number}\ndata: t{number}\n\n'.encode() for number in numbers
         )
 
-    def answers_prefill(self, request: ReceivedRequest) -> Iterator[Piece]:
+    def answers_prefill(self, request: ReceivedRequest) -> Iterator[ScriptStep]:
         body = b'{"kv_handle":"h1","tokens":900,"version":1}'
         yield answer('200 OK', body, 'Content-Type: application/json\r\n')
 
-    def streams_tokens(self, request: ReceivedRequest) -> Iterator[Piece]:
+    def streams_tokens(self, request: ReceivedRequest) -> Iterator[ScriptStep]:
         yield stream_head()
         yield chunk(self.events(1))
         yield chunk(self.events(2, 3))
@@ -339,7 +339,7 @@
         work, and their callers would wait for nothing.
         """
 
-        def answers_slowly(request: ReceivedRequest) -> Iterator[Piece]:
+        def answers_slowly(request: ReceivedRequest) -> Iterator[ScriptStep]:
             yield 0.3
             yield from self.answers_prefill(request)
 
@@ -464,7 +464,7 @@
         self.assertEqual(1, len(prefill_engine.received_requests))
 
     def test_a_stream_that_breaks_off_is_not_ended_as_complete(self) -> None:
-        def breaks_off(request: ReceivedRequest) -> Iterator[Piece]:
+        def breaks_off(request: ReceivedRequest) -> Iterator[ScriptStep]:
             yield stream_head()
             yield chunk(self.events(1) + b'id: 2\nda')
             yield 0.05
@@ -477,7 +477,7 @@
         self.assertFalse(content.endswith(b'0\r\n\r\n'))
 
     def test_a_stream_that_breaks_off_resumes_at_another_engine(self) -> None:
-        def breaks_off(request: ReceivedRequest) -> Iterator[Piece]:
+        def breaks_off(request: ReceivedRequest) -> Iterator[ScriptStep]:
             if 'last-event-id' in request.headers:
                 yield stream_head()
                 yield chunk(self.events(2, 3))
@@ -497,7 +497,7 @@
         self.assertTrue(content.endswith(b'0\r\n\r\n'))
 
     def test_a_callers_disconnect_ends_the_prefill(self) -> None:
-        def answers_slowly(request: ReceivedRequest) -> Iterator[Piece]:
+        def answers_slowly(request: ReceivedRequest) -> Iterator[ScriptStep]:
             yield 2.0
 
         prefill_engine = self.node.add_target(
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -19,9 +19,9 @@
 from tests.platform.node_harness import (
     API_KEY,
     HOST,
-    Piece,
     ReceivedRequest,
     ScriptedTarget,
+    ScriptStep,
     answer,
 )
 from tests.platform.program import Ports, Program, wait_for
@@ -72,7 +72,9 @@
         self.store.put('servers/i-1', json.dumps(registry_entry))
         self.store.put('servers/broken', '{"slots": "many"}')
 
-    def answer_after_pause(self, request: ReceivedRequest) -> Iterator[Piece]:
+    def answer_after_pause(
+        self, request: ReceivedRequest
+    ) -> Iterator[ScriptStep]:
         if self.pause_s:
             yield self.pause_s
         yield answer()
--- a/tests/soak/targets.py
+++ b/tests/soak/targets.py
@@ -6,9 +6,9 @@
 
 from dandelionyoke_gateway import clock_s
 from tests.platform.node_harness import (
-    Piece,
     ReceivedRequest,
     ScriptedTarget,
+    ScriptStep,
     answer,
     chunk,
 )
@@ -81,7 +81,7 @@
         self._record.leaving_since_s.pop(self.target_id, None)
         self.write_entry()
 
-    def _serve(self, request: ReceivedRequest) -> Iterator[Piece]:
+    def _serve(self, request: ReceivedRequest) -> Iterator[ScriptStep]:
         attempt_id = request.headers.get('attempt-id', '')
         path = request.line.split(' ')[1]
         if path.startswith('/-/'):
@@ -111,14 +111,14 @@
         else:
             yield from self._stream(attempt_id, last_event_id)
 
-    def _prefill(self, attempt_id: str) -> Iterator[Piece]:
+    def _prefill(self, attempt_id: str) -> Iterator[ScriptStep]:
         yield PREFILL_DELAY_S
         handle = json.dumps(
             {'kv_handle': f'h{attempt_id}', 'tokens': 9, 'version': 1}
         )
         yield answer('200 OK', handle.encode(), _signed(attempt_id))
 
-    def _plain(self, attempt_id: str) -> Iterator[Piece]:
+    def _plain(self, attempt_id: str) -> Iterator[ScriptStep]:
         yield PLAIN_DELAY_S
         if self._has_fault('lose'):
             yield None
@@ -128,7 +128,9 @@
             b'HTTP/1.1 200 OK\r\n' if self._has_fault('extra') else b''
         )
 
-    def _stream(self, attempt_id: str, last_event_id: int) -> Iterator[Piece]:
+    def _stream(
+        self, attempt_id: str, last_event_id: int
+    ) -> Iterator[ScriptStep]:
         yield EVENT_INTERVAL_S
         yield (
             f'HTTP/1.1 200 OK\r\n{_signed(attempt_id)}'
