--- a/tests/platform/program.py
+++ b/tests/platform/program.py
@@ -138,7 +138,7 @@
                 received += data
         return received
 
-    def end(self, signal_number: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
         """Send a signal to the process."""
         self.process.send_signal(signal_number)
 
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -143,8 +143,8 @@
         wait_for(
             lambda: self.target.received_requests, 'a request at the target'
         )
-        program.end(signal.SIGHUP)
-        program.end(signal.SIGTERM)
+        program.send_signal(signal.SIGHUP)
+        program.send_signal(signal.SIGTERM)
         self.assertIn(b' 200 ', caller.wait())
         self.pause_s = 0.0
         self.assertFalse(program.is_ready())
@@ -175,7 +175,7 @@
         first.call()
         wait_for(lambda: self.store.usage, 'a usage report')
         second = self.start_program()
-        first.end(signal.SIGKILL)
+        first.send_signal(signal.SIGKILL)
         first_fences = {fence for _, fence, _ in self.store.usage}
 
         def taken_over() -> bool:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -280,9 +280,9 @@
         if node.program.has_ended():
             return
         if fault.action == 'reload':
-            node.program.end(signal.SIGHUP)
+            node.program.send_signal(signal.SIGHUP)
         elif fault.action == 'kill':
-            node.program.end(signal.SIGKILL)
+            node.program.send_signal(signal.SIGKILL)
             eventlet.sleep(RESTART_S * 4)
             self._record_span('kill', node.name, start_s)
         elif fault.action == 'pause':
@@ -290,15 +290,15 @@
             self._record_span('pause', node.name, start_s)
         elif not node.is_leaving:
             node.is_leaving = True
-            node.program.end(signal.SIGTERM)
+            node.program.send_signal(signal.SIGTERM)
             self._record_span('term', node.name, start_s)
 
     def _pause(self, node: SoakNode, duration_s: float) -> None:
         program = node.program
-        program.end(signal.SIGSTOP)
+        program.send_signal(signal.SIGSTOP)
         eventlet.sleep(duration_s)
         if not program.has_ended():
-            program.end(signal.SIGCONT)
+            program.send_signal(signal.SIGCONT)
 
     def _inject_link_fault(self, fault: Fault) -> None:
         start_s = clock_s()
@@ -411,8 +411,8 @@
             caller.is_ended = True
         for node in self._nodes:
             if not node.program.has_ended():
-                node.program.end(signal.SIGCONT)
-                node.program.end(signal.SIGKILL)
+                node.program.send_signal(signal.SIGCONT)
+                node.program.send_signal(signal.SIGKILL)
             node.program.process.wait()
         for relay in self._relays:
             relay.close()
