--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -105,7 +105,7 @@
         self.history.append(item)
         return self.revision
 
-    def lapse(self) -> None:
+    def expire_leases(self) -> None:
         """Expire all leases, as after an outage during which they ran on."""
         for lease, (_, ttl_s) in tuple(self.leases.items()):
             self.leases[lease] = (0, ttl_s)
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -257,7 +257,7 @@
         program = self.start_program()
         program.call()
         wait_for(lambda: self.store.usage, 'a usage report')
-        self.store.lapse()
+        self.store.expire_leases()
         eventlet.sleep(0.5)
         _, _, body = self.store.usage[0]
         key = f'reports/{body["window_id"]}'
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -336,7 +336,7 @@
             self._store.history.clear()
             self._store.forgotten = self._store.revision
         elif fault.action == 'lapse':
-            self._store.lapse()
+            self._store.expire_leases()
         else:
             self._store.loses = True
             eventlet.sleep(fault.duration_s)
