--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -58,7 +58,7 @@
         self.orders: list[dict[str, Any]] = []
         # The same reports with their time of arrival.
         self.reports: list[tuple[float, str, int, dict[str, Any]]] = []
-        self.is_out = False
+        self.is_unavailable = False
         # Writes are performed, but their answers are lost.
         self.loses = False
         # Watches after an older revision than this are refused (410).
@@ -157,7 +157,7 @@
             self.orders.append(body)
             return 200, {}
         self.calls[_address(environ), path] += 1
-        if self.is_out or _address(environ) in self.refused:
+        if self.is_unavailable or _address(environ) in self.refused:
             return 503, {}
         if path == wire.KEY_PATH:
             item = self.items.get(query['key'])
@@ -199,7 +199,7 @@
         until_s = clock_s() + int(query['wait_ms']) / 1000
         while True:
             self._expire()
-            if self.is_out:
+            if self.is_unavailable:
                 return 503, {}
             events = [
                 item.fields()
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -123,12 +123,12 @@
         The node cannot learn of it, so it must stop accepting keys in time.
         """
         program = self.start_program()
-        self.store.is_out = True
+        self.store.is_unavailable = True
         started_s = clock_s()
         wait_for(lambda: b' 503 ' in program.call(), 'a refusal')
         self.assertLess(clock_s() - started_s, 5)
         self.assertFalse(program.is_ready())
-        self.store.is_out = False
+        self.store.is_unavailable = False
         wait_for(lambda: b' 200 ' in program.call(), 'an answer')
 
     def test_a_stopping_process_drains_its_calls(self) -> None:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -237,7 +237,7 @@
         while not self._is_ended:
             eventlet.sleep(ENTRY_INTERVAL_S)
             for target in self._targets:
-                if not self._store.is_out:
+                if not self._store.is_unavailable:
                     target.write_entry()
 
     def _restart_ended_nodes(self) -> None:
@@ -324,9 +324,9 @@
     def _inject_store_fault(self, fault: Fault) -> None:
         start_s = clock_s()
         if fault.action == 'out':
-            self._store.is_out = True
+            self._store.is_unavailable = True
             eventlet.sleep(fault.duration_s)
-            self._store.is_out = False
+            self._store.is_unavailable = False
         elif fault.action == 'refuse':
             address = f'127.0.0.1:{self._store_port(fault.index)}'
             self._store.refused.add(address)
