--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -60,7 +60,7 @@
         self.reports: list[tuple[float, str, int, dict[str, Any]]] = []
         self.is_unavailable = False
         # Writes are performed, but their answers are lost.
-        self.loses = False
+        self.loses_write_answers = False
         # Watches after an older revision than this are refused (410).
         self.forgotten = 0
         # Replacements of texts in listed values, for example a node's address
@@ -168,7 +168,7 @@
             return self._watch(query)
         if path == wire.TRANSACTION_PATH:
             outcome = self._write(body)
-            return (504, {}) if self.loses else outcome
+            return (504, {}) if self.loses_write_answers else outcome
         return self._handle_lease(environ['REQUEST_METHOD'], path, body)
 
     def _record_usage(
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -338,9 +338,9 @@
         elif fault.action == 'lapse':
             self._store.expire_leases()
         else:
-            self._store.loses = True
+            self._store.loses_write_answers = True
             eventlet.sleep(fault.duration_s)
-            self._store.loses = False
+            self._store.loses_write_answers = False
         self._record_span('store', '', start_s)
 
     def _store_port(self, index: int) -> int:
