--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -62,7 +62,7 @@
         # Writes are performed, but their answers are lost.
         self.loses_write_answers = False
         # Watches after an older revision than this are refused (410).
-        self.forgotten = 0
+        self.compacted_revision = 0
         # Replacements of texts in listed values, for example a node's address
         # by that of a relay.
         self.rewrites: dict[str, str] = {}
@@ -194,7 +194,7 @@
 
     def _watch(self, query: dict[str, str]) -> tuple[int, dict[str, Any]]:
         after = int(query['after'])
-        if after < self.forgotten:
+        if after < self.compacted_revision:
             return 410, {}
         until_s = clock_s() + int(query['wait_ms']) / 1000
         while True:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -334,7 +334,7 @@
             self._store.refused.discard(address)
         elif fault.action == 'forget':
             self._store.history.clear()
-            self._store.forgotten = self._store.revision
+            self._store.compacted_revision = self._store.revision
         elif fault.action == 'lapse':
             self._store.expire_leases()
         else:
