--- a/packages/core/dandelionyoke_core/_fleet_settings.py
+++ b/packages/core/dandelionyoke_core/_fleet_settings.py
@@ -35,5 +35,5 @@
     shrink_utilisation: float = 0.5
     grow_after_s: float = 20.0
     shrink_after_s: float = 120.0
-    size_settle_s: float = 90.0
+    size_cooldown_s: float = 90.0
     speed: EngineSpeed = attrs.field(factory=EngineSpeed)
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -117,7 +117,7 @@
     ) -> list[FleetSizeChangeRequested]:
         self._overloaded_since_s = None
         self._underused_since_s = None
-        self._cooldown_until_s = now_s + self.settings.size_settle_s
+        self._cooldown_until_s = now_s + self.settings.size_cooldown_s
         return [request]
 
 
