--- a/packages/core/dandelionyoke_core/_fleet_notices.py
+++ b/packages/core/dandelionyoke_core/_fleet_notices.py
@@ -27,7 +27,7 @@
 class FleetSizeChangeRequested(Notice):
     """Requests more targets for a service in a domain, or fewer.
 
-    `add_steady` counts on-demand targets, `add_reclaimable` spot targets.
+    `add_on_demand` counts on-demand targets, `add_reclaimable` spot targets.
     Targets in `remove` must be drained before they are returned to the
     platform.
     """
@@ -36,6 +36,6 @@
     domain: Domain
     fence: int
     reason: str
-    add_steady: int = 0
+    add_on_demand: int = 0
     add_reclaimable: int = 0
     remove: tuple[TargetId, ...] = ()
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -133,7 +133,7 @@
         domain=place.domain,
         fence=place.fence,
         reason='the targets have been saturated for longer than grow_after_s',
-        add_steady=int(not is_spot_allowed),
+        add_on_demand=int(not is_spot_allowed),
         add_reclaimable=int(is_spot_allowed),
     )
 
--- a/packages/core/dandelionyoke_core/_orders.py
+++ b/packages/core/dandelionyoke_core/_orders.py
@@ -237,7 +237,7 @@
         targets = [self._own_target(target_id) for target_id in event.remove]
         plans = [remove_plan(target, order_ids) for target in targets if target]
         for count, reclaimable in (
-            (event.add_steady, False),
+            (event.add_on_demand, False),
             (event.add_reclaimable, True),
         ):
             if count:
--- a/packages/standins/dandelionyoke_standins/_policy_orders.py
+++ b/packages/standins/dandelionyoke_standins/_policy_orders.py
@@ -116,7 +116,7 @@
 
     def _change_targets(self, decision: FleetSizeChangeRequested) -> None:
         additions = (
-            (False, decision.add_steady),
+            (False, decision.add_on_demand),
             (True, decision.add_reclaimable),
         )
         for reclaimable, count in additions:
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -290,7 +290,7 @@
                 else FleetSizeChangeRequested(SERVICE, HOME, 7, '')
             )
             found = (
-                first.add_steady,
+                first.add_on_demand,
                 first.add_reclaimable,
                 len(first.remove),
             )
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -341,7 +341,7 @@
             bench.entries[FIRST].believed_fence(CONTROL_DUTY, bench.now_s) or 0
         )
         wanted = FleetSizeChangeRequested(
-            SERVICE, DOMAIN, fence, 'test', add_steady=1, remove=(TARGET_ID,)
+            SERVICE, DOMAIN, fence, 'test', add_on_demand=1, remove=(TARGET_ID,)
         )
         bench.entries[FIRST].take(wanted, bench.now_s)
         bench.run_without_faults(60, (FIRST,))
