--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -185,9 +185,9 @@
     change still counts. Otherwise its share would pass to the other domains,
     which would change roles for it.
     """
-    reached_count = sum(status.is_reached for status in statuses)
-    return sum(status.is_reached for status in domain_statuses) / max(
-        1, reached_count
+    reachable_count = sum(status.is_reachable for status in statuses)
+    return sum(status.is_reachable for status in domain_statuses) / max(
+        1, reachable_count
     )
 
 
--- a/packages/core/dandelionyoke_core/_fleet_view.py
+++ b/packages/core/dandelionyoke_core/_fleet_view.py
@@ -14,14 +14,14 @@
     """State of a target as known to routing.
 
     `calls` is the number of calls in progress, `is_usable` whether the
-    target takes new calls, and `is_reached` whether it answers polls.
+    target takes new calls, and `is_reachable` whether it answers polls.
     """
 
     target: Target
     role: Role
     calls: float
     is_usable: bool
-    is_reached: bool
+    is_reachable: bool
 
 
 class TargetView(Protocol):
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -71,7 +71,7 @@
                 self.roles.get(target.target_id, Role.MIXED),
                 calls=row,
                 is_usable=target.target_id not in {*self.changing, *self.cut},
-                is_reached=target.target_id not in self.cut,
+                is_reachable=target.target_id not in self.cut,
             )
             for row, (target, domain) in enumerate(
                 zip(targets, self.domains, strict=True)
