--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -17,7 +17,7 @@
 from dandelionyoke_core._fleet_settings import FleetSettings
 from dandelionyoke_core._fleet_size import SizeDecider
 from dandelionyoke_core._fleet_view import (
-    FleetPlace,
+    FleetScope,
     TargetStatus,
     TargetView,
     WorkView,
@@ -129,7 +129,7 @@
         self, service: Service, duty: ControlDuty, now_s: float
     ) -> list[Output]:
         name = service.service_name
-        place = FleetPlace(self._domain, name, duty.fence)
+        scope = FleetScope(self._domain, name, duty.fence)
         mix = self._work.mix(name, now_s)
         uncached_share = self._targets.uncached_share(name)
         deciders = self._deciders_of(name)
@@ -142,7 +142,7 @@
         outputs: list[Output] = []
         outputs.extend(
             deciders.roles.decide(
-                place,
+                scope,
                 _short_term_rows(
                     mix,
                     uncached_share,
@@ -154,7 +154,7 @@
         )
         outputs.extend(
             deciders.size.decide(
-                place,
+                scope,
                 service,
                 _long_term_rows(mix, uncached_share),
                 statuses,
--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -7,7 +7,7 @@
 
 from dandelionyoke_core._fleet_notices import RoleChangeRequested
 from dandelionyoke_core._fleet_settings import FleetSettings
-from dandelionyoke_core._fleet_view import FleetPlace, TargetStatus
+from dandelionyoke_core._fleet_view import FleetScope, TargetStatus
 from dandelionyoke_core._mix_history import MixHistory
 from dandelionyoke_core._records import Role
 from dandelionyoke_core._role_plan import (
@@ -37,7 +37,7 @@
 
     def decide(
         self,
-        place: FleetPlace,
+        scope: FleetScope,
         rows: Sequence[WorkRow],
         statuses: Sequence[TargetStatus],
         now_s: float,
@@ -45,13 +45,13 @@
         """Track the pending change, or request one whose gain exceeds its cost."""
         self.history.learn(rows, self.settings.speed, now_s)
         if self._change is not None:
-            return self._track(self._change, place, statuses, now_s)
+            return self._track(self._change, scope, statuses, now_s)
         if now_s < self._cooldown_until_s:
             return []
         # The first calls after a start are too few to estimate the mix.
         if self.history.observed_s(now_s) < self.settings.min_observation_s:
             return []
-        request = self._find_best(place, rows, statuses, now_s)
+        request = self._find_best(scope, rows, statuses, now_s)
         if request is None:
             return []
         self._change = RoleChange(request, now_s)
@@ -65,7 +65,7 @@
     def _track(
         self,
         change: RoleChange,
-        place: FleetPlace,
+        scope: FleetScope,
         statuses: Sequence[TargetStatus],
         now_s: float,
     ) -> list[RoleChangeRequested]:
@@ -86,11 +86,11 @@
         if now_s - self._sent_s < self.settings.resend_interval_s:
             return []
         self._sent_s = now_s
-        return [attrs.evolve(request, fence=place.fence)]
+        return [attrs.evolve(request, fence=scope.fence)]
 
     def _find_best(
         self,
-        place: FleetPlace,
+        scope: FleetScope,
         rows: Sequence[WorkRow],
         statuses: Sequence[TargetStatus],
         now_s: float,
@@ -125,7 +125,7 @@
             f' gain {gain_s:.0f} engine seconds'
         )
         return RoleChangeRequested(
-            chosen.target.target_id, place.service, new, place.fence, reason
+            chosen.target.target_id, scope.service, new, scope.fence, reason
         )
 
     def _gain_s(
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -8,7 +8,7 @@
 from dandelionyoke_core._entities import Service
 from dandelionyoke_core._fleet_notices import FleetSizeChangeRequested
 from dandelionyoke_core._fleet_settings import FleetSettings
-from dandelionyoke_core._fleet_view import FleetPlace, TargetStatus
+from dandelionyoke_core._fleet_view import FleetScope, TargetStatus
 from dandelionyoke_core._names import Domain
 from dandelionyoke_core._role_plan import WorkRow, utilisation
 
@@ -31,7 +31,7 @@
 
     def decide(
         self,
-        place: FleetPlace,
+        scope: FleetScope,
         service: Service,
         rows: Sequence[WorkRow],
         statuses: Sequence[TargetStatus],
@@ -42,22 +42,22 @@
         local = [
             candidate
             for candidate in usable
-            if candidate.target.domain == place.domain
+            if candidate.target.domain == scope.domain
         ]
         if not local or now_s < self._cooldown_until_s:
             return []
         self._update_load(rows, usable, now_s)
-        if self._should_scale_up(place, service, statuses, now_s):
+        if self._should_scale_up(scope, service, statuses, now_s):
             return self._start_cooldown(
-                _scale_up(place, service, statuses), now_s
+                _scale_up(scope, service, statuses), now_s
             )
-        if self._should_scale_down(place, service, statuses, now_s):
-            return self._start_cooldown(_scale_down(place, local), now_s)
+        if self._should_scale_down(scope, service, statuses, now_s):
+            return self._start_cooldown(_scale_down(scope, local), now_s)
         return []
 
     def _should_scale_up(
         self,
-        place: FleetPlace,
+        scope: FleetScope,
         service: Service,
         statuses: Sequence[TargetStatus],
         now_s: float,
@@ -67,11 +67,11 @@
             return False
         by_domain = _counts_by_domain(statuses)
         smallest = min(by_domain, key=lambda name: (by_domain[name], name))
-        return len(statuses) < service.max_targets and smallest == place.domain
+        return len(statuses) < service.max_targets and smallest == scope.domain
 
     def _should_scale_down(
         self,
-        place: FleetPlace,
+        scope: FleetScope,
         service: Service,
         statuses: Sequence[TargetStatus],
         now_s: float,
@@ -83,7 +83,7 @@
         largest = max(by_domain, key=lambda name: (by_domain[name], name))
         if len(statuses) <= service.min_targets or by_domain[largest] < 2:
             return False
-        return largest == place.domain
+        return largest == scope.domain
 
     def _update_load(
         self,
@@ -122,16 +122,16 @@
 
 
 def _scale_up(
-    place: FleetPlace, service: Service, statuses: Sequence[TargetStatus]
+    scope: FleetScope, service: Service, statuses: Sequence[TargetStatus]
 ) -> FleetSizeChangeRequested:
     """Add a spot target while the allowed share permits it, else on-demand."""
     reclaimable = sum(status.target.reclaimable for status in statuses)
     allowed = service.reclaimable_share * (len(statuses) + 1)
     is_spot_allowed = reclaimable + 1 <= allowed
     return FleetSizeChangeRequested(
-        service=place.service,
-        domain=place.domain,
-        fence=place.fence,
+        service=scope.service,
+        domain=scope.domain,
+        fence=scope.fence,
         reason='the targets have been saturated for longer than grow_after_s',
         add_on_demand=int(not is_spot_allowed),
         add_reclaimable=int(is_spot_allowed),
@@ -139,12 +139,12 @@
 
 
 def _scale_down(
-    place: FleetPlace, usable: Sequence[TargetStatus]
+    scope: FleetScope, usable: Sequence[TargetStatus]
 ) -> FleetSizeChangeRequested:
     return FleetSizeChangeRequested(
-        service=place.service,
-        domain=place.domain,
-        fence=place.fence,
+        service=scope.service,
+        domain=scope.domain,
+        fence=scope.fence,
         reason='one target fewer has sufficed for longer than shrink_after_s',
         remove=(_choose_removal(usable).target.target_id,),
     )
--- a/packages/core/dandelionyoke_core/_fleet_view.py
+++ b/packages/core/dandelionyoke_core/_fleet_view.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class FleetPlace:
+class FleetScope:
     """Domain and service that a decision covers.
 
     `fence` is the fencing token of the duty that makes the decision.
