--- a/packages/core/dandelionyoke_core/_fleet.py
+++ b/packages/core/dandelionyoke_core/_fleet.py
@@ -15,7 +15,7 @@
 from dandelionyoke_core._events import Event, Started, TimerFired
 from dandelionyoke_core._fleet_roles import RoleDecider
 from dandelionyoke_core._fleet_settings import FleetSettings
-from dandelionyoke_core._fleet_size import SizeDecider
+from dandelionyoke_core._fleet_size import TargetCountScaler
 from dandelionyoke_core._fleet_view import (
     FleetScope,
     TargetStatus,
@@ -47,7 +47,7 @@
     """The deciders for one service."""
 
     roles: RoleDecider
-    size: SizeDecider
+    size: TargetCountScaler
 
 
 class FleetPart:
@@ -169,7 +169,7 @@
             history = MixHistory(self._settings.shift_threshold)
             deciders = Deciders(
                 RoleDecider(self._settings, history),
-                SizeDecider(self._settings),
+                TargetCountScaler(self._settings),
             )
             self._deciders[name] = deciders
         return deciders
--- a/packages/core/dandelionyoke_core/_fleet_size.py
+++ b/packages/core/dandelionyoke_core/_fleet_size.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class SizeDecider:
+class TargetCountScaler:
     """Decides on the number of targets of one service in one domain.
 
     New targets start too late for a short swing in load, so decisions use
