--- a/packages/core/dandelionyoke_core/_demand.py
+++ b/packages/core/dandelionyoke_core/_demand.py
@@ -138,7 +138,7 @@
             record, now_s, record.rates()
         )
 
-    def told(self, name: OrganisationId) -> DemandRate:
+    def last_shared(self, name: OrganisationId) -> DemandRate:
         """Return the local demand that this entry shared last."""
         return self._last_shared.get(name, DemandRate())
 
