--- a/packages/core/dandelionyoke_core/_demand.py
+++ b/packages/core/dandelionyoke_core/_demand.py
@@ -142,7 +142,7 @@
         """Return the local demand that this entry shared last."""
         return self._last_shared.get(name, DemandRate())
 
-    def elsewhere(
+    def remote_demand(
         self, name: OrganisationId, now_s: float
     ) -> DemandRate | None:
         """Sum the demand at other entries; None without a current record."""
--- a/packages/core/dandelionyoke_core/_limits.py
+++ b/packages/core/dandelionyoke_core/_limits.py
@@ -106,7 +106,7 @@
         organisation_id = organisation.organisation_id
         entries = self._entry_counts[0][1] if self._entry_counts else 1
         local_demand = self._demand.last_shared(organisation_id)
-        remote_demand = self._demand.elsewhere(organisation_id, now_s)
+        remote_demand = self._demand.remote_demand(organisation_id, now_s)
         if remote_demand is None:
             # No other entry reports its demand. The others may still use
             # their shares, so only an equal share is safe.
