--- a/packages/core/dandelionyoke_core/_admission.py
+++ b/packages/core/dandelionyoke_core/_admission.py
@@ -73,7 +73,7 @@
             case LivePeersChanged(live=live):
                 self._limits.update_entry_count(len(live), now_s)
             case RecordReceived(record=DemandShared() as record):
-                self._demand.learn(record, now_s)
+                self._demand.add_received(record, now_s)
         return []
 
     def next_wakeup_s(self) -> float | None:
--- a/packages/core/dandelionyoke_core/_demand.py
+++ b/packages/core/dandelionyoke_core/_demand.py
@@ -132,7 +132,7 @@
         demand.tokens.add(ticket.prompt_tokens + output_tokens, now_s)
         demand.calls.add(1, now_s)
 
-    def learn(self, record: DemandShared, now_s: float) -> None:
+    def add_received(self, record: DemandShared, now_s: float) -> None:
         """Store a record received from another entry."""
         self._received[record.instance_id] = ReceivedDemand(
             record, now_s, record.rates()
