--- a/packages/core/dandelionyoke_core/_gossip.py
+++ b/packages/core/dandelionyoke_core/_gossip.py
@@ -48,7 +48,7 @@
         stored = self._stored.get(record_key)
         return None if stored is None else stored.record
 
-    def keep(
+    def store_local(
         self, record: SharedRecord, everywhere: bool, now_s: float
     ) -> RecordEntry | None:
         """Store a record of this node; return the entry to send if new."""
--- a/packages/core/dandelionyoke_core/_record_propagation.py
+++ b/packages/core/dandelionyoke_core/_record_propagation.py
@@ -48,7 +48,7 @@
         self, record: SharedRecord, everywhere: bool, now_s: float
     ) -> None:
         """Queue a record of this node for the next flush."""
-        entry = self._table.keep(record, everywhere, now_s)
+        entry = self._table.store_local(record, everywhere, now_s)
         if entry is not None:
             self._pending.append(_PendingEntry(entry))
 
