--- a/packages/core/dandelionyoke_core/_gossip.py
+++ b/packages/core/dandelionyoke_core/_gossip.py
@@ -64,7 +64,7 @@
             now_s,
         )
 
-    def learn(
+    def store_received(
         self, entry: RecordEntry, now_s: float
     ) -> tuple[SharedRecord, RecordEntry] | None:
         """Store a record received from a peer if its version is newer.
--- a/packages/core/dandelionyoke_core/_record_propagation.py
+++ b/packages/core/dandelionyoke_core/_record_propagation.py
@@ -77,7 +77,7 @@
         """Store the records of a peer and return those that are newer."""
         newer_records: list[SharedRecord] = []
         for entry in batch.entries:
-            accepted = self._table.learn(entry, now_s)
+            accepted = self._table.store_received(entry, now_s)
             if accepted is not None:
                 record, forwarded = accepted
                 self._pending.append(_PendingEntry(forwarded, peer_id))
