--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -99,7 +99,7 @@
         for timer in self._timers():
             timer.start(now_s)
 
-    def need(self, service: ServiceName, now_s: float) -> None:
+    def record_request(self, service: ServiceName, now_s: float) -> None:
         """Record that a service was requested at this entry."""
         self._last_requested_s[service] = now_s
 
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -99,7 +99,7 @@
         self, requirements: RouteRequirements, now_s: float
     ) -> Target | NoRoute:
         """Choose a target for an attempt."""
-        self._poll_schedule.need(requirements.service, now_s)
+        self._poll_schedule.record_request(requirements.service, now_s)
         usable = self._usable(requirements.service, now_s)
         eligible = {
             target_id: state
