--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -108,7 +108,7 @@
         due = (timer.due_s for timer in self._timers())
         return min((due_s for due_s in due if due_s is not None), default=None)
 
-    def due(self, now_s: float) -> list[Output]:
+    def take_due(self, now_s: float) -> list[Output]:
         """Return the polls and shared records that are due."""
         outputs: list[Output] = []
         list_factor = (
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -86,7 +86,7 @@
         if isinstance(event, Started):
             self._poll_schedule.start(now_s, event.wall_s)
         if isinstance(event, Started | TimerFired):
-            return self._poll_schedule.due(now_s)
+            return self._poll_schedule.take_due(now_s)
         return self._table.learn(event, now_s)
 
     def next_wakeup_s(self) -> float | None:
