--- a/packages/core/dandelionyoke_core/_call_handlers.py
+++ b/packages/core/dandelionyoke_core/_call_handlers.py
@@ -30,7 +30,7 @@
         """Set the timer of a call."""
         due_s = self._due_s(request_id)
         if due_s is not None:
-            self._timers.put(request_id, due_s)
+            self._timers.schedule(request_id, due_s)
 
     def next_wakeup_s(self) -> float | None:
         """Return when the next timer expires; its call may be due later."""
--- a/packages/core/dandelionyoke_core/_claim_table.py
+++ b/packages/core/dandelionyoke_core/_claim_table.py
@@ -136,7 +136,7 @@
         """Set the timer of the claim to the earliest of its due times."""
         due_s = self._due_s(claim.request_id)
         if due_s is not None:
-            self._timers.put(claim.request_id, due_s)
+            self._timers.schedule(claim.request_id, due_s)
 
     def next_wakeup_s(self) -> float | None:
         """Return when the next claim is due, or None."""
--- a/packages/core/dandelionyoke_core/_timers.py
+++ b/packages/core/dandelionyoke_core/_timers.py
@@ -23,7 +23,7 @@
         """Return the earliest due time, which may be too early, or None."""
         return self._heap[0][0] if self._heap else None
 
-    def put(self, name: Name, due_s: float) -> None:
+    def schedule(self, name: Name, due_s: float) -> None:
         """Schedule `name` for `due_s`, unless it is due earlier already."""
         scheduled_s = self._scheduled.get(name)
         if scheduled_s is None or due_s < scheduled_s:
@@ -49,4 +49,4 @@
             if due_s <= now_s:
                 yield name
             else:
-                self.put(name, due_s)
+                self.schedule(name, due_s)
