--- a/packages/core/dandelionyoke_core/_call_handlers.py
+++ b/packages/core/dandelionyoke_core/_call_handlers.py
@@ -39,7 +39,7 @@
     def handle_due(self, now_s: float) -> list[Output]:
         """Handle the calls that are due."""
         outputs: list[Output] = []
-        for request_id in tuple(self._timers.due(now_s, self._due_s)):
+        for request_id in tuple(self._timers.pop_due(now_s, self._due_s)):
             call = self._operations.calls.get(request_id)
             if call is not None:
                 outputs += self._handle_due_call(call, now_s)
--- a/packages/core/dandelionyoke_core/_claim_table.py
+++ b/packages/core/dandelionyoke_core/_claim_table.py
@@ -144,7 +144,7 @@
 
     def due(self, now_s: float) -> Iterator[Claim]:
         """Yield the claims that are due."""
-        for request_id in tuple(self._timers.due(now_s, self._due_s)):
+        for request_id in tuple(self._timers.pop_due(now_s, self._due_s)):
             claim = self._claims.get(request_id)
             if claim is not None:
                 yield claim
--- a/packages/core/dandelionyoke_core/_timers.py
+++ b/packages/core/dandelionyoke_core/_timers.py
@@ -30,7 +30,7 @@
             self._scheduled[name] = due_s
             heapq.heappush(self._heap, (due_s, name))
 
-    def due(
+    def pop_due(
         self, now_s: float, due_of: Callable[[Name], float | None]
     ) -> Iterator[Name]:
         """Remove and yield the names that are due.
