--- a/packages/core/dandelionyoke_core/_target_changes.py
+++ b/packages/core/dandelionyoke_core/_target_changes.py
@@ -31,7 +31,7 @@
     _changed: dict[TargetId, tuple[float, Target]] = attrs.field(factory=dict)
     _gone: dict[TargetId, float] = attrs.field(factory=dict)
 
-    def note(self, target: Target, now_s: float) -> None:
+    def add_changed(self, target: Target, now_s: float) -> None:
         """Record a target that was added or changed."""
         self._gone.pop(target.target_id, None)
         self._changed[target.target_id] = (now_s, target)
--- a/packages/core/dandelionyoke_core/_target_table.py
+++ b/packages/core/dandelionyoke_core/_target_table.py
@@ -143,9 +143,9 @@
             self._states[target.target_id] = state
             service = self._services.setdefault(target.service, {})
             service[target.target_id] = state
-            self.changes.note(target, now_s)
+            self.changes.add_changed(target, now_s)
         elif state.target != target:
-            self.changes.note(target, now_s)
+            self.changes.add_changed(target, now_s)
         starts_leaving = _starts_leaving(state.target, target)
         if _returns_to_live(state.target, target):
             # The removal of the target was cancelled. It is paid for, so it
