--- a/packages/core/dandelionyoke_core/_target_changes.py
+++ b/packages/core/dandelionyoke_core/_target_changes.py
@@ -36,7 +36,7 @@
         self._gone.pop(target.target_id, None)
         self._changed[target.target_id] = (now_s, target)
 
-    def note_gone(self, target_id: TargetId, now_s: float) -> None:
+    def add_removed(self, target_id: TargetId, now_s: float) -> None:
         """Record a target that is no longer listed."""
         self._changed.pop(target_id, None)
         self._gone[target_id] = now_s
--- a/packages/core/dandelionyoke_core/_target_table.py
+++ b/packages/core/dandelionyoke_core/_target_table.py
@@ -160,7 +160,7 @@
     def _unlist(self, target_id: TargetId, now_s: float) -> None:
         state = self._states[target_id]
         if state.listed:
-            self.changes.note_gone(target_id, now_s)
+            self.changes.add_removed(target_id, now_s)
         state.listed = False
         if not state.sent:
             self._states.pop(target_id)
