--- a/packages/core/dandelionyoke_core/_target_changes.py
+++ b/packages/core/dandelionyoke_core/_target_changes.py
@@ -41,7 +41,7 @@
         self._changed.pop(target_id, None)
         self._gone[target_id] = now_s
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Discard all recorded changes."""
         self._changed.clear()
         self._gone.clear()
--- a/packages/core/dandelionyoke_core/_target_table.py
+++ b/packages/core/dandelionyoke_core/_target_table.py
@@ -112,7 +112,7 @@
         if is_first:
             # The other entries have read the list as well, so the changes
             # need not be shared.
-            self.changes.forget()
+            self.changes.clear()
         listed = {target.target_id for target in targets}
         for target_id in set(self._states) - listed:
             self._unlist(target_id, now_s)
