--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -182,7 +182,7 @@
             for candidate in self._polled_targets()
             if self._should_share_load(candidate, now_s)
         ]
-        recent = [state for state in states if state.heard_s >= since_s]
+        recent = [state for state in states if state.last_response_s >= since_s]
         unreachable = [state for state in states if state.failures]
         if not recent and not unreachable:
             return self._share_changes(now_s)
--- a/packages/core/dandelionyoke_core/_routing.py
+++ b/packages/core/dandelionyoke_core/_routing.py
@@ -200,7 +200,7 @@
                 state.report.role,
                 state.load().calls,
                 state.usable(now_s),
-                state.heard_s > NEVER_S and not state.failures,
+                state.last_response_s > NEVER_S and not state.failures,
             )
             for state in self._table.of_service(service).values()
             if state.listed
--- a/packages/core/dandelionyoke_core/_target_choice.py
+++ b/packages/core/dandelionyoke_core/_target_choice.py
@@ -93,7 +93,8 @@
         fresh = [
             target_id
             for target_id, state in usable.items()
-            if state.target.domain != self._domain and state.heard_s >= since_s
+            if state.target.domain != self._domain
+            and state.last_response_s >= since_s
         ]
         if local or fresh:
             return local, fresh
--- a/packages/core/dandelionyoke_core/_target_state.py
+++ b/packages/core/dandelionyoke_core/_target_state.py
@@ -56,7 +56,7 @@
     report: LoadReport
     prefixes: PrefixIndex
     report_taken_s: float = NEVER_S
-    heard_s: float = NEVER_S
+    last_response_s: float = NEVER_S
     shared_s: float = NEVER_S
     sent: dict[AttemptId, SentAttempt] = attrs.field(factory=dict)
     ended: deque[tuple[float, SentAttempt]] = attrs.field(
@@ -123,7 +123,7 @@
     def mark_reachable(self, now_s: float) -> None:
         """Record that the target responded."""
         self.failures = 0
-        self.heard_s = now_s
+        self.last_response_s = now_s
         self.cooldown_until_s = min(self.cooldown_until_s, now_s)
 
     def mark_unreachable(self, cooldown_until_s: float) -> None:
