--- a/packages/core/dandelionyoke_core/_poll_schedule.py
+++ b/packages/core/dandelionyoke_core/_poll_schedule.py
@@ -207,7 +207,10 @@
         if self._instance_id in first_poller:
             return True
         max_silence_s = self._settings.share_interval_s * MAX_MISSED_SHARES
-        return now_s - max(state.shared_s, self._started_s) > max_silence_s
+        return (
+            now_s - max(state.last_shared_report_s, self._started_s)
+            > max_silence_s
+        )
 
     def _share_changes(self, now_s: float) -> list[Output]:
         changed, gone = self._table.changes.latest(now_s)
--- a/packages/core/dandelionyoke_core/_target_state.py
+++ b/packages/core/dandelionyoke_core/_target_state.py
@@ -57,7 +57,7 @@
     prefixes: PrefixIndex
     report_taken_s: float = NEVER_S
     last_response_s: float = NEVER_S
-    shared_s: float = NEVER_S
+    last_shared_report_s: float = NEVER_S
     sent: dict[AttemptId, SentAttempt] = attrs.field(factory=dict)
     ended: deque[tuple[float, SentAttempt]] = attrs.field(
         factory=lambda: deque(maxlen=MAX_ENDED)
--- a/packages/core/dandelionyoke_core/_target_table.py
+++ b/packages/core/dandelionyoke_core/_target_table.py
@@ -173,7 +173,7 @@
         for target_id, report in shared.reports():
             state = self._states.get(target_id)
             if state is not None:
-                state.shared_s = now_s
+                state.last_shared_report_s = now_s
             outputs.extend(self._on_report(target_id, report, now_s))
         for target_id in shared.unreachable:
             outputs.extend(self._on_unreachable(target_id, now_s))
