--- a/packages/core/dandelionyoke_core/_call.py
+++ b/packages/core/dandelionyoke_core/_call.py
@@ -71,7 +71,7 @@
     unanswered_placements: int = 0
     possibly_run: set[AttemptId] = attrs.field(factory=set)
     excluded_targets: set[TargetId] = attrs.field(factory=set)
-    caller_gone: bool = False
+    caller_disconnected: bool = False
     claimed: bool = False
     stalled_since_s: float | None = None
     retry_at_s: float = 0.0
--- a/packages/core/dandelionyoke_core/_call_handlers.py
+++ b/packages/core/dandelionyoke_core/_call_handlers.py
@@ -47,7 +47,7 @@
         return outputs
 
     def _handle_due_call(self, call: Call, now_s: float) -> list[Output]:
-        if now_s >= call.deadline_s and not call.caller_gone:
+        if now_s >= call.deadline_s and not call.caller_disconnected:
             return self.handler_for(call).give_up(
                 call, deadline_passed(), now_s
             )
--- a/packages/core/dandelionyoke_core/_call_operations.py
+++ b/packages/core/dandelionyoke_core/_call_operations.py
@@ -117,7 +117,7 @@
     ) -> list[Output]:
         """End a call with a refusal that states whether it may have run."""
         outputs = self.close(call, now_s)
-        if call.caller_gone:
+        if call.caller_disconnected:
             return outputs
         return [
             *outputs,
--- a/packages/core/dandelionyoke_core/_request.py
+++ b/packages/core/dandelionyoke_core/_request.py
@@ -143,7 +143,7 @@
         return {
             CompletionRequested: self._on_called,
             ServiceCallRequested: self._on_called,
-            CallerDisconnected: self._on_caller_gone,
+            CallerDisconnected: self._on_caller_disconnected,
             CallAdmitted: self._on_admitted,
             CallRejected: self._on_rejected,
             ClaimGranted: self._on_claim_granted,
@@ -153,7 +153,7 @@
             TargetCrashed: self._on_target_crashed,
             TargetLeaving: self._on_target_leaving,
             ShutdownForced: self._on_shutdown_forced,
-            TimerFired: self._on_woken,
+            TimerFired: self._on_timer_fired,
             **dict.fromkeys(_ATTEMPT_EVENTS, self._on_attempt_event),
         }
 
@@ -189,7 +189,7 @@
         )
         return [log, *self._call_handlers.handler_for(call).start(call, now_s)]
 
-    def _on_caller_gone(
+    def _on_caller_disconnected(
         self, event: CallerDisconnected, now_s: float
     ) -> list[Output]:
         call = self._operations.calls.get(event.request_id)
@@ -201,7 +201,7 @@
             f'the caller disconnected after {len(call.tokens)} tokens',
             'caller_gone',
         )
-        call.caller_gone = True
+        call.caller_disconnected = True
         return [
             log,
             *self._call_handlers.handler_for(call).give_up(
@@ -264,7 +264,7 @@
                 return handler.on_failed(call, event, now_s)
         return handler.on_answered(call, event, now_s)
 
-    def _on_woken(self, event: TimerFired, now_s: float) -> list[Output]:
+    def _on_timer_fired(self, event: TimerFired, now_s: float) -> list[Output]:
         return self._call_handlers.handle_due(now_s)
 
     # Events that end or move several calls at once.
--- a/packages/core/dandelionyoke_core/_service_calls.py
+++ b/packages/core/dandelionyoke_core/_service_calls.py
@@ -53,7 +53,7 @@
     def on_claim_granted(self, call: Call, now_s: float) -> list[Output]:
         """Send a call after its claim was granted to this node."""
         call.claimed = True
-        if call.caller_gone:
+        if call.caller_disconnected:
             return self.abandon(call, now_s)
         return self._place(call, now_s)
 
@@ -62,7 +62,7 @@
     ) -> list[Output]:
         """Return the recorded answer without sending the call."""
         outputs = self._operations.close(call, now_s)
-        if call.caller_gone:
+        if call.caller_disconnected:
             return outputs
         return [
             *outputs,
@@ -86,7 +86,7 @@
         request.
         """
         outputs = self._operations.close(call, now_s)
-        if call.caller_gone:
+        if call.caller_disconnected:
             return outputs
         return [
             *outputs,
@@ -106,7 +106,7 @@
         if not isinstance(event, ServiceAnswered):
             return [stray_answer_metric('kind')]
         outputs: list[Output] = []
-        if not call.caller_gone:
+        if not call.caller_disconnected:
             outputs.append(
                 RespondService(
                     call.request_id,
@@ -167,7 +167,7 @@
         limit_s = self._settings.service_timeout_s
         limit_s += self._settings.service_grace_s
         timeout_at_s = call.attempt.last_activity_s + limit_s
-        if call.caller_gone:
+        if call.caller_disconnected:
             return timeout_at_s
         return min(timeout_at_s, call.deadline_s)
 
@@ -191,9 +191,9 @@
     def _continue_without_caller(
         self, call: Call, refusal: Refusal
     ) -> list[Output]:
-        if call.caller_gone:
+        if call.caller_disconnected:
             return []
-        call.caller_gone = True
+        call.caller_disconnected = True
         return refusal_outputs(call.request_id, call.with_run_state(refusal))
 
     def _place(self, call: Call, now_s: float) -> list[Output]:
@@ -238,7 +238,7 @@
             f'{attempt.target.target_id} did not run {attempt.attempt_id}',
             cause,
         )
-        if call.caller_gone:
+        if call.caller_disconnected:
             return [*outputs, log, *self.abandon(call, now_s)]
         return [*outputs, log, *self._place(call, now_s)]
 
--- a/packages/standins/dandelionyoke_standins/_policy_world.py
+++ b/packages/standins/dandelionyoke_standins/_policy_world.py
@@ -65,9 +65,9 @@
         self.ledger.add_call(call)
         node = self.nodes[call.entry]
         self.deliver(node, CallArrived(call))
-        caller_gone = CallerDisconnected(call.request_id)
+        caller_disconnected = CallerDisconnected(call.request_id)
         self.clock.call_at(
-            call.deadline_s, partial(self.handle, node, caller_gone)
+            call.deadline_s, partial(self.handle, node, caller_disconnected)
         )
 
     def handle(self, node: SimulatedNode, event: Event) -> None:
