--- a/packages/core/dandelionyoke_core/__init__.py
+++ b/packages/core/dandelionyoke_core/__init__.py
@@ -359,7 +359,7 @@
     Loaded as Loaded,
     LoadOutcome as LoadOutcome,
     StoreLayoutSettings as StoreLayoutSettings,
-    StoreUnavailable as StoreUnavailable,
+    TaskFailed as TaskFailed,
 )
 from dandelionyoke_core._target_changes import (
     TargetsShared as TargetsShared,
--- a/packages/core/dandelionyoke_core/_commit.py
+++ b/packages/core/dandelionyoke_core/_commit.py
@@ -24,7 +24,7 @@
     Head,
     Loaded,
     StoreLayoutSettings,
-    StoreUnavailable,
+    TaskFailed,
     change_key,
     snapshot_key,
 )
@@ -75,7 +75,7 @@
     problems: tuple[Problem, ...]
 
 
-CommitOutcome = Committed | Conflicted | Rejected | StoreUnavailable
+CommitOutcome = Committed | Conflicted | Rejected | TaskFailed
 
 
 class Committer(StoreTask[CommitOutcome]):
@@ -98,8 +98,8 @@
         cause = ''
         for _ in range(self._settings.max_tries):
             loaded = yield from self._store.load(self._history_from)
-            if isinstance(loaded, StoreUnavailable):
-                return StoreUnavailable(loaded.cause, self._in_doubt)
+            if isinstance(loaded, TaskFailed):
+                return TaskFailed(loaded.cause, self._in_doubt)
             outcome = self._check_head(loaded)
             if outcome is not None:
                 return outcome
@@ -111,7 +111,7 @@
                 cause = answer.cause
             else:
                 return answer
-        return StoreUnavailable(cause, self._in_doubt)
+        return TaskFailed(cause, self._in_doubt)
 
     def _check_head(self, loaded: Loaded) -> CommitOutcome | None:
         """Return the outcome that the head determines; None to write.
@@ -126,7 +126,7 @@
         if self._history_from is None:
             self._history_from = loaded.head.revision + 1
         if _has_gap(loaded, self._history_from):
-            return StoreUnavailable(
+            return TaskFailed(
                 'too many changes were committed meanwhile', self._in_doubt
             )
         base = self._proposal.base_revision
@@ -166,9 +166,7 @@
             operations=self._proposal.operations,
         )
 
-    def _archive(
-        self, loaded: Loaded
-    ) -> StoreGenerator[StoreUnavailable | None]:
+    def _archive(self, loaded: Loaded) -> StoreGenerator[TaskFailed | None]:
         """Write what the next head omits under separate, immutable keys."""
         head = loaded.head
         kept_changes = self._kept_changes(head)
--- a/packages/core/dandelionyoke_core/_configuration_reader.py
+++ b/packages/core/dandelionyoke_core/_configuration_reader.py
@@ -18,7 +18,7 @@
     ConfigurationStore,
     Loaded,
     StoreLayoutSettings,
-    StoreUnavailable,
+    TaskFailed,
     decode_head,
 )
 from dandelionyoke_core._store_task import StoreGenerator, StoreTask
@@ -62,7 +62,7 @@
     confirmed_s: float
 
 
-ReadOutcome = HeadRead | StoreUnavailable
+ReadOutcome = HeadRead | TaskFailed
 
 
 class HeadReader:
@@ -125,7 +125,7 @@
         actions = task.handle(event, now_s)
         if task.outcome is None:
             return actions, None
-        if isinstance(task.outcome, StoreUnavailable):
+        if isinstance(task.outcome, TaskFailed):
             self._handle_failure(is_watcher, now_s)
             return [], None
         return [], self._finish(task.outcome, is_watcher, now_s)
@@ -181,7 +181,7 @@
         try:
             return (yield from self._read_content(head_item, known_revision))
         except DandelionyokeError as error:
-            return StoreUnavailable(str(error))
+            return TaskFailed(str(error))
 
     def _read_head(
         self, watch_after: int | None
@@ -196,7 +196,7 @@
         )
         if not isinstance(answer, StoreListing):
             cause = answer.cause if isinstance(answer, StoreFailed) else ''
-            return StoreUnavailable(cause)
+            return TaskFailed(cause)
         items = [item for item in answer.items if item.key == HEAD_KEY]
         if items:
             return max(items, key=lambda item: item.revision)
--- a/packages/core/dandelionyoke_core/_store_layout.py
+++ b/packages/core/dandelionyoke_core/_store_layout.py
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class StoreUnavailable:
+class TaskFailed:
     """The task ended without an outcome, for example by a store failure.
 
     If the change may have happened, it is safe to submit the same proposal
@@ -76,7 +76,7 @@
     head_store_revision: int
 
 
-LoadOutcome = Loaded | StoreUnavailable
+LoadOutcome = Loaded | TaskFailed
 
 
 class ConfigurationStore:
@@ -98,16 +98,16 @@
         cause = ''
         for _ in range(self._settings.max_tries):
             head_item = yield from self.read(HEAD_KEY)
-            if isinstance(head_item, StoreUnavailable):
+            if isinstance(head_item, TaskFailed):
                 return head_item
             try:
                 loaded = yield from self.load_from_head(head_item, history_from)
             except DandelionyokeError as error:
-                return StoreUnavailable(str(error))
+                return TaskFailed(str(error))
             if isinstance(loaded, Loaded):
                 return loaded
             cause = loaded.cause
-        return StoreUnavailable(cause)
+        return TaskFailed(cause)
 
     def load_from_head(
         self, head_item: StoreItem, history_from: int | None = None
@@ -115,14 +115,14 @@
         """Read the snapshot and the changes that a head refers to."""
         head = decode_head(head_item)
         base = yield from self._read_snapshot(head.snapshot_revision)
-        if isinstance(base, StoreUnavailable):
+        if isinstance(base, TaskFailed):
             return base
         first = head.snapshot_revision + 1
         if history_from is not None:
             oldest = head.revision - self._settings.max_changes_since
             first = max(1, oldest, min(first, history_from))
         changes = yield from self.read_changes(head, first)
-        if isinstance(changes, StoreUnavailable):
+        if isinstance(changes, TaskFailed):
             return changes
         snapshot = base
         for change in changes:
@@ -132,13 +132,13 @@
 
     def read_changes(
         self, head: Head, first: int
-    ) -> StoreGenerator[tuple[Change, ...] | StoreUnavailable]:
+    ) -> StoreGenerator[tuple[Change, ...] | TaskFailed]:
         """Read the changes from revision `first` up to that of the head."""
         first_kept = head.revision - len(head.changes) + 1
         found: list[Change] = []
         for revision in range(first, first_kept):
             text = yield from self._read_text(change_key(revision))
-            if isinstance(text, StoreUnavailable):
+            if isinstance(text, TaskFailed):
                 return text
             found.append(record_from_json(text, Change))
         found.extend(
@@ -146,27 +146,23 @@
         )
         return tuple(found)
 
-    def read(self, key: str) -> StoreGenerator[StoreItem | StoreUnavailable]:
+    def read(self, key: str) -> StoreGenerator[StoreItem | TaskFailed]:
         """Read a key, with up to `max_tries` tries."""
-        found: StoreItem | StoreUnavailable = StoreUnavailable('')
+        found: StoreItem | TaskFailed = TaskFailed('')
         for _ in range(self._settings.max_tries):
             found = yield from self.read_once(key)
             if isinstance(found, StoreItem):
                 return found
         return found
 
-    def read_once(
-        self, key: str
-    ) -> StoreGenerator[StoreItem | StoreUnavailable]:
+    def read_once(self, key: str) -> StoreGenerator[StoreItem | TaskFailed]:
         """Read a key, with one try."""
         answer = yield StoreGet(self.next_operation_id(), key)
         if isinstance(answer, StoreItem):
             return answer
-        return StoreUnavailable(_failure_cause(answer))
+        return TaskFailed(_failure_cause(answer))
 
-    def create(
-        self, key: str, text: str
-    ) -> StoreGenerator[StoreUnavailable | None]:
+    def create(self, key: str, text: str) -> StoreGenerator[TaskFailed | None]:
         """Write an immutable key; succeed if it exists already."""
         cause = ''
         for _ in range(self._settings.max_tries):
@@ -174,7 +170,7 @@
             if isinstance(answer, StoreWritten | StoreConflict):
                 return None
             cause = _failure_cause(answer)
-        return StoreUnavailable(cause)
+        return TaskFailed(cause)
 
     def compare_and_swap(
         self, key: str, text: str, expected_revision: int
@@ -197,20 +193,20 @@
 
     def _read_snapshot(
         self, revision: int
-    ) -> StoreGenerator[Snapshot | StoreUnavailable]:
+    ) -> StoreGenerator[Snapshot | TaskFailed]:
         if revision == 0:
             return Snapshot()
         text = yield from self._read_text(snapshot_key(revision))
-        if isinstance(text, StoreUnavailable):
+        if isinstance(text, TaskFailed):
             return text
         return record_from_json(text, Snapshot)
 
-    def _read_text(self, key: str) -> StoreGenerator[str | StoreUnavailable]:
+    def _read_text(self, key: str) -> StoreGenerator[str | TaskFailed]:
         found = yield from self.read(key)
-        if isinstance(found, StoreUnavailable):
+        if isinstance(found, TaskFailed):
             return found
         if found.value is None:
-            return StoreUnavailable(f'{key} does not exist')
+            return TaskFailed(f'{key} does not exist')
         return found.value
 
     def next_operation_id(self) -> OperationId:
--- a/packages/operator/dandelionyoke_operator/_repository.py
+++ b/packages/operator/dandelionyoke_operator/_repository.py
@@ -23,7 +23,7 @@
     StoreList,
     StorePut,
     StoreResponded,
-    StoreUnavailable,
+    TaskFailed,
 )
 from dandelionyoke_operator._environment import Environment
 from dandelionyoke_operator._errors import (
@@ -98,7 +98,7 @@
         match loader.outcome:
             case Loaded() as loaded:
                 return loaded
-            case StoreUnavailable(cause):
+            case TaskFailed(cause):
                 raise UnavailableError(
                     f'The configuration cannot be read: {cause}',
                     'Try again when the platform answers',
@@ -129,7 +129,7 @@
                 return outcome
             case Rejected(problems):
                 raise ConfigurationMistakes(mistakes_from_problems(problems))
-            case StoreUnavailable(cause, may_have_been_applied):
+            case TaskFailed(cause, may_have_been_applied):
                 raise _commit_error(cause, may_have_been_applied)
         raise _commit_error('no answer', may_have_been_applied=True)
 
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -47,8 +47,8 @@
     StoreGet,
     StoreItem,
     StoreResponded,
-    StoreUnavailable,
     StoreWatch,
+    TaskFailed,
     TimerFired,
     apply_change,
     diff_snapshots,
@@ -269,7 +269,7 @@
         store = VirtualStore()
         store.is_out = True
         self.assertEqual(
-            StoreUnavailable('unavailable', False), commit(store, 'mine')
+            TaskFailed('unavailable', False), commit(store, 'mine')
         )
         store.is_out = False
         committer = Committer(propose('mine', None))
@@ -279,9 +279,7 @@
         store.is_out = True
         while calls:
             calls = step(committer, store, calls)
-        self.assertEqual(
-            StoreUnavailable('unavailable', True), committer.outcome
-        )
+        self.assertEqual(TaskFailed('unavailable', True), committer.outcome)
 
     def test_an_invalid_configuration_is_not_written(self) -> None:
         store = VirtualStore()
