--- a/packages/core/dandelionyoke_core/_fleet_roles.py
+++ b/packages/core/dandelionyoke_core/_fleet_roles.py
@@ -135,8 +135,8 @@
         settings = self.settings
         stable_s = self.history.stable_s(now_s)
         hold_s = min(settings.max_hold_s, max(settings.min_hold_s, stable_s))
-        comfortable = settings.min_utilisation_for_change
-        saved_share = max(before, comfortable) - max(after, comfortable)
+        min_utilisation = settings.min_utilisation_for_change
+        saved_share = max(before, min_utilisation) - max(after, min_utilisation)
         return saved_share * engine_count * hold_s
 
 
--- a/packages/core/dandelionyoke_core/_ports.py
+++ b/packages/core/dandelionyoke_core/_ports.py
@@ -125,9 +125,9 @@
 class RouteRequirements:
     """Requirements of a call on its target.
 
-    `excluded_targets` lists targets that already failed this call; `preferred_target` is the
-    target that may still hold its state. Calls with `on_demand_only` are not sent to
-    reclaimable (spot) targets.
+    `excluded_targets` lists targets that already failed this call;
+    `preferred_target` is the target that may still hold its state. Calls with
+    `on_demand_only` are not sent to reclaimable (spot) targets.
     """
 
     organisation: OrganisationId
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -78,10 +78,10 @@
         if isinstance(event, DutyGained):
             self.fence = event.fence
             return []
-        wanted = RoleChangeRequested(
+        role_change = RoleChangeRequested(
             TARGET_ID, SERVICE, self.role, self.fence, 'test'
         )
-        return [wanted]
+        return [role_change]
 
     def next_wakeup_s(self) -> float | None:
         return None
@@ -340,10 +340,10 @@
         fence = (
             bench.entries[FIRST].believed_fence(CONTROL_DUTY, bench.now_s) or 0
         )
-        wanted = FleetSizeChangeRequested(
+        size_change = FleetSizeChangeRequested(
             SERVICE, DOMAIN, fence, 'test', add_on_demand=1, remove=(TARGET_ID,)
         )
-        bench.entries[FIRST].take(wanted, bench.now_s)
+        bench.entries[FIRST].take(size_change, bench.now_s)
         bench.run_without_faults(60, (FIRST,))
         received = bench.platform.record.orders
         self.assertEqual(
@@ -413,12 +413,12 @@
         simulation, names = small_fleet(7, entries=4, engines=3)
         holder = holder_of(simulation, CONTROL_DUTY)
         fence = simulation.platform.store.read(DUTY_KEY).revision
-        wanted = RoleChangeRequested(
+        role_change = RoleChangeRequested(
             ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test'
         )
         call_all(simulation, names, 1)
         simulation.run(40.2)
-        simulation.deliver(holder, wanted)
+        simulation.deliver(holder, role_change)
         simulation.run(40.5)
         simulation.kill(holder)
         for round_ in range(2, 8):
