--- a/packages/standins/dandelionyoke_standins/_spread.py
+++ b/packages/standins/dandelionyoke_standins/_spread.py
@@ -35,7 +35,7 @@
 )
 from dandelionyoke_standins._spread_node import VirtualNode, WorldSettings
 from dandelionyoke_standins._spread_store import VirtualStore
-from dandelionyoke_standins._spread_world import World
+from dandelionyoke_standins._spread_world import PropagationSimulation
 
 NODE_COUNTS = (8, 64, 410)
 CHANGES_PER_DAY = 5200
@@ -135,26 +135,28 @@
     def __init__(self, nodes: int, seed: int, settings: SpreadSettings) -> None:
         self._settings = settings
         self._random = random_module.Random(seed)
-        self._world = World(seed, WorldSettings(distribute_nodes(nodes)))
+        self._simulation = PropagationSimulation(
+            seed, WorldSettings(distribute_nodes(nodes))
+        )
         self._change_number = 0
-        commit(self._world.store, full_size_configuration())
+        commit(self._simulation.store, full_size_configuration())
         for _ in range(2):
             self._commit()
-        self._world.run(WARM_UP_S)
+        self._simulation.run(WARM_UP_S)
 
     def measure_steady_cost(self) -> dict[str, float]:
         """Measure the cost at `CHANGES_PER_DAY`."""
-        world = self._world
-        nodes = world.live_nodes()
-        _reset_counters(world)
-        started_s = world.now_s
+        simulation = self._simulation
+        nodes = simulation.live_nodes()
+        _reset_counters(simulation)
+        started_s = simulation.now_s
         ages: list[float] = []
-        while world.now_s - started_s < STEADY_DURATION_S:
+        while simulation.now_s - started_s < STEADY_DURATION_S:
             pause_s = self._random.expovariate(CHANGES_PER_DAY / DAY_S)
-            world.run(min(pause_s, STEADY_DURATION_S))
+            simulation.run(min(pause_s, STEADY_DURATION_S))
             self._commit()
-            ages.extend(_knowledge_ages(world))
-        node_seconds = len(nodes) * (world.now_s - started_s)
+            ages.extend(_knowledge_ages(simulation))
+        node_seconds = len(nodes) * (simulation.now_s - started_s)
         return {
             'messages_per_node_s': sum(
                 live_node.sent.total() for live_node in nodes
@@ -173,7 +175,7 @@
             )
             / node_seconds,
             'store_calls_per_s': (
-                world.store.calls.total() / (world.now_s - started_s)
+                simulation.store.calls.total() / (simulation.now_s - started_s)
             ),
             'age_p50_s': _quantile(ages, 0.5),
             'age_max_s': max(ages),
@@ -187,7 +189,7 @@
         times: list[float] = []
         for _ in range(self._settings.changes):
             times.extend(self._time_one_change())
-            self._world.run(self._random.uniform(0, 4))
+            self._simulation.run(self._random.uniform(0, 4))
         return times
 
     def activation_times_under_faults(self) -> list[float]:
@@ -196,42 +198,44 @@
         During each change, one node is paused, one is killed, and one domain
         cannot reach the platform.
         """
-        world = self._world
+        simulation = self._simulation
         times: list[float] = []
         for number in range(self._settings.faults):
-            first, second = self._random.sample(world.live_nodes(), 2)
-            domain = self._random.choice(world.live_nodes()).instance.domain
-            world.pause(first, PAUSE_S)
-            world.kill(second)
-            world.cut(domain, PLATFORM)
-            world.run(self._random.uniform(0, 5))
+            first, second = self._random.sample(simulation.live_nodes(), 2)
+            domain = self._random.choice(
+                simulation.live_nodes()
+            ).instance.domain
+            simulation.pause(first, PAUSE_S)
+            simulation.kill(second)
+            simulation.cut(domain, PLATFORM)
+            simulation.run(self._random.uniform(0, 5))
             times.extend(self._time_one_change())
-            world.heal()
-            world.start(f'new-{number}', second.instance.domain)
-            world.run(WARM_UP_S)
+            simulation.heal()
+            simulation.start(f'new-{number}', second.instance.domain)
+            simulation.run(WARM_UP_S)
         return times
 
     def activation_times_after_outage(self) -> list[float]:
         """Return these times for a change right after a store outage."""
-        world = self._world
-        world.store.is_out = True
-        world.run(60)
-        world.store.is_out = False
+        simulation = self._simulation
+        simulation.store.is_out = True
+        simulation.run(60)
+        simulation.store.is_out = False
         return self._time_one_change()
 
     def detection_times(self) -> list[float]:
         """Return the times until no node lists a killed instance as live."""
-        world = self._world
+        simulation = self._simulation
         times: list[float] = []
         for number in range(self._settings.faults):
-            killed = self._random.choice(world.live_nodes())
-            world.kill(killed)
+            killed = self._random.choice(simulation.live_nodes())
+            simulation.kill(killed)
             is_detected = partial(
-                _is_detected_by_all, world, killed.instance.instance_id
+                _is_detected_by_all, simulation, killed.instance.instance_id
             )
-            times.append(world.run_until(is_detected, 60))
-            world.start(f'again-{number}', killed.instance.domain)
-            world.run(WARM_UP_S)
+            times.append(simulation.run_until(is_detected, 60))
+            simulation.start(f'again-{number}', killed.instance.domain)
+            simulation.run(WARM_UP_S)
         return times
 
     def measure_pauses(self) -> dict[str, float]:
@@ -241,21 +245,23 @@
         again, and how often nodes dropped an instance other than the paused
         one.
         """
-        world = self._world
+        simulation = self._simulation
         return_times: list[float] = []
         false_drops = 0
         for _ in range(self._settings.faults):
-            node = self._random.choice(world.live_nodes())
+            node = self._random.choice(simulation.live_nodes())
             instance_id = node.instance.instance_id
-            node_count = len(world.live_nodes())
-            _reset_counters(world)
-            world.pause(node, PAUSE_S)
-            world.run(PAUSE_S)
+            node_count = len(simulation.live_nodes())
+            _reset_counters(simulation)
+            simulation.pause(node, PAUSE_S)
+            simulation.run(PAUSE_S)
             return_times.append(
-                world.run_until(partial(_all_see_all, world), 60)
+                simulation.run_until(partial(_all_see_all, simulation), 60)
+            )
+            false_drops += _count_false_drops(
+                simulation, instance_id, node_count
             )
-            false_drops += _count_false_drops(world, instance_id, node_count)
-            world.run(WARM_UP_S)
+            simulation.run(WARM_UP_S)
         return {
             'return_max_s': max(return_times),
             'others_dropped': false_drops,
@@ -263,20 +269,21 @@
 
     def measure_region_partition(self, cut_s: float) -> dict[str, float]:
         """Partition the two regions and measure the recovery."""
-        world = self._world
-        domains = {node.instance.domain for node in world.live_nodes()}
+        simulation = self._simulation
+        domains = {node.instance.domain for node in simulation.live_nodes()}
         for north in domains:
             for south in domains:
                 if north.startswith('n') and south.startswith('s'):
-                    world.cut(north, south)
-        world.run(cut_s)
+                    simulation.cut(north, south)
+        simulation.run(cut_s)
         largest_view = max(
-            len(live_node.membership.live) for live_node in world.live_nodes()
+            len(live_node.membership.live)
+            for live_node in simulation.live_nodes()
         )
-        _reset_counters(world)
-        world.heal()
-        took_s = world.run_until(lambda: _all_see_all(world), 300)
-        nodes = world.live_nodes()
+        _reset_counters(simulation)
+        simulation.heal()
+        took_s = simulation.run_until(lambda: _all_see_all(simulation), 300)
+        nodes = simulation.live_nodes()
         sent = [node.sent_bytes.total() for node in nodes]
         return {
             'cut_s': cut_s,
@@ -288,17 +295,17 @@
 
     def measure_record_cost(self, everywhere: bool) -> dict[str, float]:
         """Share one record and measure the messages and bytes per node."""
-        world = self._world
-        world.run(1)
-        _reset_counters(world)
+        simulation = self._simulation
+        simulation.run(1)
+        _reset_counters(simulation)
         record = SharedRecord(f'probe/{everywhere}', 1, lifetime_s=60)
-        sender = world.live_nodes()[0]
-        world.give(sender, ShareRecord(record, everywhere))
-        world.run(0.5)
+        sender = simulation.live_nodes()[0]
+        simulation.give(sender, ShareRecord(record, everywhere))
+        simulation.run(0.5)
         domain = sender.instance.domain
         reached = [
             node
-            for node in world.live_nodes()
+            for node in simulation.live_nodes()
             if everywhere or node.instance.domain == domain
         ]
         kind = 'RecordBatch'
@@ -313,19 +320,19 @@
 
     def _commit(self) -> None:
         self._change_number += 1
-        commit(self._world.store, issue_key(self._change_number))
+        commit(self._simulation.store, issue_key(self._change_number))
 
     def _time_one_change(self) -> list[float]:
-        world = self._world
+        simulation = self._simulation
         self._commit()
-        started_s = world.now_s
-        revision = max(node.revision for node in world.live_nodes()) + 1
+        started_s = simulation.now_s
+        revision = max(node.revision for node in simulation.live_nodes()) + 1
         pending = {
             node.instance.instance_id: node
-            for node in world.live_nodes()
+            for node in simulation.live_nodes()
             if not node.is_paused
         }
-        world.run_until(
+        simulation.run_until(
             lambda: _all_have_revision(pending.values(), revision), 120
         )
         return [
@@ -376,9 +383,9 @@
         report(f'{nodes} nodes, {name}: {formatted}')
 
 
-def _reset_counters(world: World) -> None:
-    world.store.calls.clear()
-    for node in world.nodes.values():
+def _reset_counters(simulation: PropagationSimulation) -> None:
+    simulation.store.calls.clear()
+    for node in simulation.nodes.values():
         node.sent.clear()
         node.sent_bytes.clear()
         node.handling_time_s = 0
@@ -386,10 +393,10 @@
         node.recorder.peers.clear()
 
 
-def _knowledge_ages(world: World) -> list[float]:
+def _knowledge_ages(simulation: PropagationSimulation) -> list[float]:
     ages = (
-        node.configuration.knowledge_age_s(world.now_s)
-        for node in world.live_nodes()
+        node.configuration.knowledge_age_s(simulation.now_s)
+        for node in simulation.live_nodes()
     )
     return [age_s for age_s in ages if age_s is not None]
 
@@ -409,22 +416,27 @@
     )
 
 
-def _is_detected_by_all(world: World, instance_id: InstanceId) -> bool:
+def _is_detected_by_all(
+    simulation: PropagationSimulation, instance_id: InstanceId
+) -> bool:
     return all(
-        instance_id not in node.membership.live for node in world.live_nodes()
+        instance_id not in node.membership.live
+        for node in simulation.live_nodes()
     )
 
 
-def _all_see_all(world: World) -> bool:
-    nodes = world.live_nodes()
+def _all_see_all(simulation: PropagationSimulation) -> bool:
+    nodes = simulation.live_nodes()
     return all(len(node.membership.live) == len(nodes) for node in nodes)
 
 
-def _count_false_drops(world: World, paused_id: str, node_count: int) -> int:
+def _count_false_drops(
+    simulation: PropagationSimulation, paused_id: str, node_count: int
+) -> int:
     """Count how often nodes dropped an instance other than the paused one."""
     return sum(
         1
-        for node in world.live_nodes()
+        for node in simulation.live_nodes()
         for _, known in node.recorder.peers
         if len(known.live) < node_count - (paused_id not in known.live)
     )
--- a/packages/standins/dandelionyoke_standins/_spread_world.py
+++ b/packages/standins/dandelionyoke_standins/_spread_world.py
@@ -50,7 +50,7 @@
 StoreCall = StoreGet | StorePut | StoreDelete | StoreWatch
 
 
-class World:
+class PropagationSimulation:
     """A platform and nodes in failure domains that can be partitioned."""
 
     def __init__(self, seed: int, settings: WorldSettings) -> None:
--- a/tests/core/agreement.py
+++ b/tests/core/agreement.py
@@ -24,7 +24,7 @@
 )
 from dandelionyoke_standins._spread_node import WorldSettings
 from dandelionyoke_standins._spread_store import VirtualStore
-from dandelionyoke_standins._spread_world import World
+from dandelionyoke_standins._spread_world import PropagationSimulation
 
 DUKA = Organisation(OrganisationId('duka'))
 DUKA_KEY = ApiKey(hash_key('secret'), DUKA.organisation_id)
@@ -85,13 +85,13 @@
     return loader.changes
 
 
-def make_world(
+def make_simulation(
     seed: int = 1, domains: tuple[tuple[str, int], ...] = THREE_DOMAINS
-) -> World:
-    world = World(seed, WorldSettings(domains))
-    world.run(20)
-    return world
+) -> PropagationSimulation:
+    simulation = PropagationSimulation(seed, WorldSettings(domains))
+    simulation.run(20)
+    return simulation
 
 
-def all_at(world: World, revision: int) -> bool:
-    return all(node.revision == revision for node in world.live_nodes())
+def all_at(simulation: PropagationSimulation, revision: int) -> bool:
+    return all(node.revision == revision for node in simulation.live_nodes())
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -58,7 +58,7 @@
 )
 from dandelionyoke_standins._spread_node import WorldSettings
 from dandelionyoke_standins._spread_store import VirtualStore
-from dandelionyoke_standins._spread_world import World
+from dandelionyoke_standins._spread_world import PropagationSimulation
 from tests.core.agreement import (
     ADD_DUKA,
     DUKA,
@@ -68,7 +68,7 @@
     all_at,
     commit,
     history,
-    make_world,
+    make_simulation,
     propose,
     reweigh,
     step,
@@ -447,25 +447,28 @@
         withdrawn key still works there. After the partition heals, the key
         must stop working within seconds.
         """
-        world = make_world()
-        commit(world.store, 'first')
-        world.run(1)
+        simulation = make_simulation()
+        commit(simulation.store, 'first')
+        simulation.run(1)
         for other in ('b', 'c', 'platform'):
-            world.cut('a', other)
-        commit(world.store, 'second', WITHDRAW)
-        world.run(100)
+            simulation.cut('a', other)
+        commit(simulation.store, 'second', WITHDRAW)
+        simulation.run(100)
         revisions = {
-            node.instance.domain: node.revision for node in world.live_nodes()
+            node.instance.domain: node.revision
+            for node in simulation.live_nodes()
         }
         self.assertEqual({'a': 1, 'b': 2, 'c': 2}, revisions)
         ages = [
-            node.configuration.knowledge_age_s(world.now_s)
-            for node in world.live_nodes()
+            node.configuration.knowledge_age_s(simulation.now_s)
+            for node in simulation.live_nodes()
             if node.instance.domain == 'a'
         ]
         self.assertTrue(all(100 <= age_s < 140 for age_s in ages), ages)
-        world.heal()
-        self.assertLess(world.run_until(lambda: all_at(world, 2), 60), 7)
+        simulation.heal()
+        self.assertLess(
+            simulation.run_until(lambda: all_at(simulation, 2), 60), 7
+        )
 
     def test_a_node_paused_during_ten_changes(self) -> None:
         """A process is paused while an operator commits ten changes.
@@ -474,17 +477,17 @@
         withdrawn keys for long.
         """
         for seed in range(5):
-            world = make_world(seed)
-            commit(world.store, 'first')
-            world.run(1)
-            node = world.live_nodes()[seed]
-            world.pause(node, 20)
+            simulation = make_simulation(seed)
+            commit(simulation.store, 'first')
+            simulation.run(1)
+            node = simulation.live_nodes()[seed]
+            simulation.pause(node, 20)
             for number in range(10):
-                commit(world.store, f'{number}', reweigh(number + 2))
-                world.run(1.5)
+                commit(simulation.store, f'{number}', reweigh(number + 2))
+                simulation.run(1.5)
             self.assertEqual(1, node.revision)
-            world.run(5.1)
-            took_s = world.run_until(lambda: all_at(world, 11), 60)
+            simulation.run(5.1)
+            took_s = simulation.run_until(lambda: all_at(simulation, 11), 60)
             self.assertLess(took_s, 2)
             logged = [
                 log.subject
@@ -501,15 +504,15 @@
         A node that waited for the missing changes would never catch up, so
         it must read the snapshot.
         """
-        world = make_world()
-        node = world.live_nodes()[0]
-        world.pause(node, 60)
-        commit(world.store, 'first')
+        simulation = make_simulation()
+        node = simulation.live_nodes()[0]
+        simulation.pause(node, 60)
+        commit(simulation.store, 'first')
         for number in range(80):
-            commit(world.store, f'{number}', reweigh(number + 1))
-            world.run(0.25)
-        world.run(40)
-        took_s = world.run_until(lambda: all_at(world, 81), 60)
+            commit(simulation.store, f'{number}', reweigh(number + 1))
+            simulation.run(0.25)
+        simulation.run(40)
+        took_s = simulation.run_until(lambda: all_at(simulation, 81), 60)
         self.assertLess(took_s, 4)
 
     def test_a_new_instance_during_a_platform_outage(self) -> None:
@@ -518,18 +521,18 @@
         It must get the configuration from its peers. Otherwise it would
         refuse callers that the system could serve.
         """
-        world = make_world()
-        commit(world.store, 'first')
+        simulation = make_simulation()
+        commit(simulation.store, 'first')
         for number in range(80):
-            commit(world.store, f'{number}', reweigh(number + 1))
-        world.run(5)
-        world.store.is_out = True
-        world.run(30)
-        node = world.start('fresh', 'a')
-        took_s = world.run_until(lambda: node.revision == 81, 60)
+            commit(simulation.store, f'{number}', reweigh(number + 1))
+        simulation.run(5)
+        simulation.store.is_out = True
+        simulation.run(30)
+        node = simulation.start('fresh', 'a')
+        took_s = simulation.run_until(lambda: node.revision == 81, 60)
         self.assertLess(took_s, 4)
-        world.run(1)
-        age_s = node.configuration.knowledge_age_s(world.now_s)
+        simulation.run(1)
+        age_s = node.configuration.knowledge_age_s(simulation.now_s)
         self.assertGreater(age_s, 29)
 
     def test_a_new_instance_that_reaches_nobody(self) -> None:
@@ -538,17 +541,17 @@
         It knows no keys. A caller must be told that no configuration is
         known, not that its key is invalid.
         """
-        world = World(1, WorldSettings((('a', 1),)))
-        world.cut('a', 'platform')
-        commit(world.store, 'first')
-        world.run(100)
-        (node,) = world.live_nodes()
+        simulation = PropagationSimulation(1, WorldSettings((('a', 1),)))
+        simulation.cut('a', 'platform')
+        commit(simulation.store, 'first')
+        simulation.run(100)
+        (node,) = simulation.live_nodes()
         keys = KeysPart(node.configuration)
-        refusal = keys.authenticate('secret', world.now_s)
+        refusal = keys.authenticate('secret', simulation.now_s)
         self.assertEqual(RefusalKind.NO_KNOWLEDGE, refusal.kind)
-        world.heal()
-        world.run(10)
-        identity = keys.authenticate('secret', world.now_s)
+        simulation.heal()
+        simulation.run(10)
+        identity = keys.authenticate('secret', simulation.now_s)
         self.assertEqual(DUKA, identity.organisation)
 
     def test_a_withdrawn_key_during_a_partition_between_domains(self) -> None:
@@ -557,16 +560,16 @@
         The third domain reaches both, so a withdrawn key must still stop
         working in the partitioned one within seconds.
         """
-        world = make_world()
-        commit(world.store, 'first')
-        world.run(5)
-        world.cut('a', 'b')
-        world.cut('a', 'platform')
-        world.run(30)
-        commit(world.store, 'second', WITHDRAW)
-        begun_s = world.now_s
-        world.run(7)
-        for node in world.live_nodes():
+        simulation = make_simulation()
+        commit(simulation.store, 'first')
+        simulation.run(5)
+        simulation.cut('a', 'b')
+        simulation.cut('a', 'platform')
+        simulation.run(30)
+        commit(simulation.store, 'second', WITHDRAW)
+        begun_s = simulation.now_s
+        simulation.run(7)
+        for node in simulation.live_nodes():
             withdrawn_s = node.recorder.withdrawn[DUKA_KEY.key_hash]
             self.assertLess(withdrawn_s - begun_s, 7)
 
@@ -576,19 +579,21 @@
         The rest of the domain must learn of the change from other domains.
         Otherwise a withdrawn key would work there until the watchers resume.
         """
-        world = make_world()
-        commit(world.store, 'first')
-        world.run(20)
+        simulation = make_simulation()
+        commit(simulation.store, 'first')
+        simulation.run(20)
         watchers = [
-            node for node in world.live_nodes() if node.instance.domain == 'a'
+            node
+            for node in simulation.live_nodes()
+            if node.instance.domain == 'a'
         ]
         for node in watchers[:3]:
-            world.pause(node, 30)
-        commit(world.store, 'second', WITHDRAW)
-        took_s = world.run_until(
+            simulation.pause(node, 30)
+        commit(simulation.store, 'second', WITHDRAW)
+        took_s = simulation.run_until(
             lambda: all(
                 node.revision == 2 or node.is_paused
-                for node in world.live_nodes()
+                for node in simulation.live_nodes()
             ),
             60,
         )
@@ -601,37 +606,37 @@
         every node must have the newest one within seconds.
         """
         for seed in range(12):
-            world = make_world(seed)
+            simulation = make_simulation(seed)
             rng = random.Random(seed)
             for number in range(12):
-                self._inject_fault(world, rng, number)
-                commit(world.store, f'{number}', reweigh(number + 1))
-                world.run(rng.uniform(0, 10))
-            world.heal()
-            world.store.is_out = False
-            commit(world.store, 'last', reweigh(50))
-            last = history(world.store)[-1].revision
-            world.run(20)
-            took_s = world.run_until(lambda: all_at(world, last), 120)
+                self._inject_fault(simulation, rng, number)
+                commit(simulation.store, f'{number}', reweigh(number + 1))
+                simulation.run(rng.uniform(0, 10))
+            simulation.heal()
+            simulation.store.is_out = False
+            commit(simulation.store, 'last', reweigh(50))
+            last = history(simulation.store)[-1].revision
+            simulation.run(20)
+            took_s = simulation.run_until(lambda: all_at(simulation, last), 120)
             self.assertEqual(0, took_s, seed)
-            for node in world.nodes.values():
+            for node in simulation.nodes.values():
                 revisions = [at for _, at in node.recorder.in_force]
                 self.assertEqual(sorted(set(revisions)), revisions)
 
-    def _inject_fault(self, world, rng, number) -> None:
+    def _inject_fault(self, simulation, rng, number) -> None:
         domains = ['a', 'b', 'c', 'platform']
-        node = rng.choice(world.live_nodes())
+        node = rng.choice(simulation.live_nodes())
         match rng.randrange(6):
             case 0:
-                world.cut(*rng.sample(domains, 2))
+                simulation.cut(*rng.sample(domains, 2))
             case 1:
-                world.heal()
+                simulation.heal()
             case 2:
-                world.pause(node, rng.uniform(1, 30))
+                simulation.pause(node, rng.uniform(1, 30))
             case 3:
-                world.kill(node)
-                world.start(f'new-{number}', node.instance.domain)
+                simulation.kill(node)
+                simulation.start(f'new-{number}', node.instance.domain)
             case 4:
-                world.store.is_out = not world.store.is_out
+                simulation.store.is_out = not simulation.store.is_out
             case 5:
-                world.store.write_faults.append('lost')
+                simulation.store.write_faults.append('lost')
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -31,8 +31,8 @@
     message_to_mapping,
 )
 from dandelionyoke_standins._spread_node import WorldSettings
-from dandelionyoke_standins._spread_world import World
-from tests.core.agreement import make_world
+from dandelionyoke_standins._spread_world import PropagationSimulation
+from tests.core.agreement import make_simulation
 
 REGIONS = (('n1', 3), ('n2', 3), ('s1', 3), ('s2', 3))
 
@@ -50,17 +50,19 @@
     ]
 
 
-def all_views_agree(world) -> bool:
+def all_views_agree(simulation) -> bool:
     names = tuple(
-        sorted(node.instance.instance_id for node in world.live_nodes())
+        sorted(node.instance.instance_id for node in simulation.live_nodes())
+    )
+    return all(
+        node.membership.live == names for node in simulation.live_nodes()
     )
-    return all(node.membership.live == names for node in world.live_nodes())
 
 
-def suspected_ids(world):
+def suspected_ids(simulation):
     return [
         log.subject
-        for node in world.nodes.values()
+        for node in simulation.nodes.values()
         for log in node.logs
         if log.kind == 'membership.suspected'
     ]
@@ -108,10 +110,10 @@
 
 class LivenessTest(testtools.TestCase):
     def test_no_instance_is_suspected_without_a_fault(self) -> None:
-        world = make_world()
-        self.assertTrue(all_views_agree(world))
-        world.run(300)
-        self.assertEqual([], suspected_ids(world))
+        simulation = make_simulation()
+        self.assertTrue(all_views_agree(simulation))
+        simulation.run(300)
+        self.assertEqual([], suspected_ids(simulation))
 
     def test_a_killed_instance_is_detected(self) -> None:
         """A process is killed and sends no leave announcement.
@@ -120,9 +122,11 @@
         of limits and may be selected for a duty that it cannot perform.
         """
         for seed in range(5):
-            world = make_world(seed)
-            world.kill(world.live_nodes()[seed])
-            elapsed_s = world.run_until(lambda: all_views_agree(world), 60)
+            simulation = make_simulation(seed)
+            simulation.kill(simulation.live_nodes()[seed])
+            elapsed_s = simulation.run_until(
+                lambda: all_views_agree(simulation), 60
+            )
             self.assertLess(elapsed_s, 9)
 
     def test_a_paused_instance_rejoins_after_the_pause(self) -> None:
@@ -133,25 +137,25 @@
         during the pause.
         """
         for seed in range(5):
-            world = make_world(seed)
-            node = world.live_nodes()[seed]
+            simulation = make_simulation(seed)
+            node = simulation.live_nodes()[seed]
             name = node.instance.instance_id
-            world.pause(node, 20)
-            world.run(19)
-            self.assertFalse(all_views_agree(world))
-            world.run(1.01)
+            simulation.pause(node, 20)
+            simulation.run(19)
+            self.assertFalse(all_views_agree(simulation))
+            simulation.run(1.01)
             self.assertLess(
-                world.run_until(lambda: all_views_agree(world), 60), 5
+                simulation.run_until(lambda: all_views_agree(simulation), 60), 5
             )
-            self.assertEqual({name}, set(suspected_ids(world)))
-            world.run(60)
-            self.assertTrue(all_views_agree(world))
+            self.assertEqual({name}, set(suspected_ids(simulation)))
+            simulation.run(60)
+            self.assertTrue(all_views_agree(simulation))
 
     def test_a_short_pause_causes_no_suspicion(self) -> None:
-        world = make_world()
-        world.pause(world.live_nodes()[0], 4)
-        world.run(30)
-        self.assertEqual([], suspected_ids(world))
+        simulation = make_simulation()
+        simulation.pause(simulation.live_nodes()[0], 4)
+        simulation.run(30)
+        self.assertEqual([], suspected_ids(simulation))
 
     def test_partitioned_regions_reconnect(self) -> None:
         """Two regions are partitioned for an hour.
@@ -160,18 +164,18 @@
         instances the whole time, and no instance restarts afterwards. Unless
         instances presumed dead are probed, the regions never reconnect.
         """
-        world = make_world(domains=REGIONS)
+        simulation = make_simulation(domains=REGIONS)
         for north in ('n1', 'n2'):
             for south in ('s1', 's2'):
-                world.cut(north, south)
-        world.run(60)
+                simulation.cut(north, south)
+        simulation.run(60)
         self.assertEqual(
-            {6}, {len(node.membership.live) for node in world.live_nodes()}
+            {6}, {len(node.membership.live) for node in simulation.live_nodes()}
         )
-        world.run(3540)
-        world.heal()
+        simulation.run(3540)
+        simulation.heal()
         self.assertLess(
-            world.run_until(lambda: all_views_agree(world), 120), 15
+            simulation.run_until(lambda: all_views_agree(simulation), 120), 15
         )
 
     def test_domains_connected_through_a_third_stay_live(self) -> None:
@@ -180,13 +184,13 @@
         Their instances suspect each other but are live. If they were
         removed, each domain would use more than its share of the limits.
         """
-        world = make_world()
-        world.cut('a', 'b')
-        world.run(30)
+        simulation = make_simulation()
+        simulation.cut('a', 'b')
+        simulation.run(30)
         for _ in range(20):
-            world.run(5)
-            self.assertTrue(all_views_agree(world))
-        self.assertLess(len(suspected_ids(world)), 150)
+            simulation.run(5)
+            self.assertTrue(all_views_agree(simulation))
+        self.assertLess(len(suspected_ids(simulation)), 150)
 
     def test_a_link_that_silently_drops_messages(self) -> None:
         """A middlebox drops the state of established connections.
@@ -194,28 +198,28 @@
         Messages on them are lost, while new connections work. The peers at
         both ends are live, and none may be suspected.
         """
-        world = make_world()
-        node = world.live_nodes()[0]
-        world.silence(node)
-        world.run(60)
-        self.assertTrue(all_views_agree(world))
-        self.assertEqual([], suspected_ids(world))
+        simulation = make_simulation()
+        node = simulation.live_nodes()[0]
+        simulation.silence(node)
+        simulation.run(60)
+        self.assertTrue(all_views_agree(simulation))
+        self.assertEqual([], suspected_ids(simulation))
 
     def test_a_leaving_instance_is_known_immediately(self) -> None:
-        world = make_world()
-        node = world.live_nodes()[0]
+        simulation = make_simulation()
+        node = simulation.live_nodes()[0]
         name = node.instance.instance_id
-        world.give(node, Leaving())
-        world.run(0.1)
-        for other in world.live_nodes():
+        simulation.give(node, Leaving())
+        simulation.run(0.1)
+        for other in simulation.live_nodes():
             self.assertEqual((name,), other.membership.leaving)
             is_listed = name in other.membership.live
             self.assertEqual(other is node, is_listed)
-        world.run(30)
-        self.assertEqual([], suspected_ids(world))
-        world.kill(node)
-        world.run(90)
-        self.assertEqual((), world.live_nodes()[0].membership.leaving)
+        simulation.run(30)
+        self.assertEqual([], suspected_ids(simulation))
+        simulation.kill(node)
+        simulation.run(90)
+        self.assertEqual((), simulation.live_nodes()[0].membership.leaving)
 
     def test_membership_without_the_platform_list(self) -> None:
         """The platform's list is unavailable while instances start and stop.
@@ -223,18 +227,20 @@
         A new instance finds its peers through its settings, and the others
         learn of it by gossip. None may depend on the list.
         """
-        world = make_world()
-        world.list_is_out = True
-        seed = world.live_nodes()[0].instance
-        world.settings = attrs.evolve(
-            world.settings,
+        simulation = make_simulation()
+        simulation.list_is_out = True
+        seed = simulation.live_nodes()[0].instance
+        simulation.settings = attrs.evolve(
+            simulation.settings,
             membership=MembershipSettings(seeds=(seed,)),
         )
-        world.kill(world.live_nodes()[5])
-        world.start('new', 'b')
-        self.assertLess(world.run_until(lambda: all_views_agree(world), 60), 9)
-        world.run(60)
-        self.assertTrue(all_views_agree(world))
+        simulation.kill(simulation.live_nodes()[5])
+        simulation.start('new', 'b')
+        self.assertLess(
+            simulation.run_until(lambda: all_views_agree(simulation), 60), 9
+        )
+        simulation.run(60)
+        self.assertTrue(all_views_agree(simulation))
 
     def test_a_restart_with_a_lower_incarnation(self) -> None:
         """An instance restarts with its clock behind, at a lower incarnation.
@@ -243,35 +249,39 @@
         restart. It must announce a higher version, or it is ignored until
         that record expires.
         """
-        world = make_world()
-        world.run(100)
-        node = world.live_nodes()[0]
-        world.kill(node)
-        world.run(20)
-        world.start(
+        simulation = make_simulation()
+        simulation.run(100)
+        node = simulation.live_nodes()[0]
+        simulation.kill(node)
+        simulation.run(20)
+        simulation.start(
             node.instance.instance_id, node.instance.domain, incarnation=0
         )
-        self.assertLess(world.run_until(lambda: all_views_agree(world), 60), 5)
+        self.assertLess(
+            simulation.run_until(lambda: all_views_agree(simulation), 60), 5
+        )
 
 
 class GossipTest(testtools.TestCase):
     def test_a_record_is_delivered_once_within_its_scope(self) -> None:
         for everywhere, count in ((True, 12), (False, 4)):
-            world = make_world()
+            simulation = make_simulation()
             record = SharedRecord('load/x', version=1, lifetime_s=5)
-            for node in world.nodes.values():
+            for node in simulation.nodes.values():
                 node.sent.clear()
                 node.recorder.learned.clear()
-            world.give(world.live_nodes()[0], ShareRecord(record, everywhere))
-            world.run(0.1)
+            simulation.give(
+                simulation.live_nodes()[0], ShareRecord(record, everywhere)
+            )
+            simulation.run(0.1)
             deliveries = [
                 notice
-                for node in world.nodes.values()
+                for node in simulation.nodes.values()
                 for notice in node.recorder.learned
                 if notice.record == record
             ]
             self.assertEqual(count - 1, len(deliveries))
-            sent = sum(n.sent['RecordBatch'] for n in world.nodes.values())
+            sent = sum(n.sent['RecordBatch'] for n in simulation.nodes.values())
             self.assertLess(sent, count * 10)
 
     def test_records_missed_during_a_partition_are_delivered(self) -> None:
@@ -279,19 +289,19 @@
 
         It must arrive after the partition ends, unless it has expired.
         """
-        world = make_world()
+        simulation = make_simulation()
         for other in ('b', 'c'):
-            world.cut('a', other)
-        world.run(20)
+            simulation.cut('a', other)
+        simulation.run(20)
         for name, lifetime_s in (('long', 500), ('short', 10)):
             record = SharedRecord(name, version=1, lifetime_s=lifetime_s)
-            world.give(
-                world.nodes[InstanceId('b-0')], ShareRecord(record, True)
+            simulation.give(
+                simulation.nodes[InstanceId('b-0')], ShareRecord(record, True)
             )
-        world.run(20)
-        world.heal()
-        world.run(40)
-        for node in world.live_nodes():
+        simulation.run(20)
+        simulation.heal()
+        simulation.run(40)
+        for node in simulation.live_nodes():
             names = [n.record.record_key for n in node.recorder.learned]
             if node.instance.domain == 'a':
                 self.assertIn('long', names)
@@ -399,14 +409,16 @@
     def test_the_same_seed_gives_the_same_run(self) -> None:
         runs = []
         for _ in range(2):
-            world = World(7, WorldSettings((('a', 3), ('b', 2))))
-            world.run(30)
-            world.kill(world.live_nodes()[1])
-            world.run(30)
+            simulation = PropagationSimulation(
+                7, WorldSettings((('a', 3), ('b', 2)))
+            )
+            simulation.run(30)
+            simulation.kill(simulation.live_nodes()[1])
+            simulation.run(30)
             runs.append(
                 [
                     (sorted(node.sent.items()), node.recorder.peers)
-                    for node in world.nodes.values()
+                    for node in simulation.nodes.values()
                 ]
             )
         self.assertEqual(runs[0], runs[1])
