--- a/packages/standins/dandelionyoke_standins/_spread.py
+++ b/packages/standins/dandelionyoke_standins/_spread.py
@@ -33,7 +33,7 @@
     StoreAnswered,
     hash_key,
 )
-from dandelionyoke_standins._spread_node import VirtualNode, WorldSettings
+from dandelionyoke_standins._spread_node import PropagationSettings, VirtualNode
 from dandelionyoke_standins._spread_store import VirtualStore
 from dandelionyoke_standins._spread_world import PropagationSimulation
 
@@ -136,7 +136,7 @@
         self._settings = settings
         self._random = random_module.Random(seed)
         self._simulation = PropagationSimulation(
-            seed, WorldSettings(distribute_nodes(nodes))
+            seed, PropagationSettings(distribute_nodes(nodes))
         )
         self._change_number = 0
         commit(self._simulation.store, full_size_configuration())
--- a/packages/standins/dandelionyoke_standins/_spread_node.py
+++ b/packages/standins/dandelionyoke_standins/_spread_node.py
@@ -74,7 +74,7 @@
         instance: Instance,
         incarnation: int,
         seed: str,
-        settings: 'WorldSettings',
+        settings: 'PropagationSettings',
     ) -> None:
         random = random_module.Random(seed)
         self.instance = instance
@@ -134,7 +134,7 @@
 
 
 @attrs.frozen
-class WorldSettings:
+class PropagationSettings:
     """The domains, their numbers of nodes, and the settings of the nodes.
 
     `listing_lag_s` is the delay until the platform lists a started instance
--- a/packages/standins/dandelionyoke_standins/_spread_world.py
+++ b/packages/standins/dandelionyoke_standins/_spread_world.py
@@ -37,7 +37,7 @@
     Woken,
     WriteLog,
 )
-from dandelionyoke_standins._spread_node import VirtualNode, WorldSettings
+from dandelionyoke_standins._spread_node import PropagationSettings, VirtualNode
 from dandelionyoke_standins._spread_store import VirtualStore
 
 IN_DOMAIN_DELAY_S = 0.0003
@@ -53,7 +53,7 @@
 class PropagationSimulation:
     """A platform and nodes in failure domains that can be partitioned."""
 
-    def __init__(self, seed: int, settings: WorldSettings) -> None:
+    def __init__(self, seed: int, settings: PropagationSettings) -> None:
         self.now_s = 0.0
         self.store = VirtualStore()
         self.nodes: dict[InstanceId, VirtualNode] = {}
--- a/tests/core/agreement.py
+++ b/tests/core/agreement.py
@@ -22,7 +22,7 @@
     StoreLayoutSettings,
     hash_key,
 )
-from dandelionyoke_standins._spread_node import WorldSettings
+from dandelionyoke_standins._spread_node import PropagationSettings
 from dandelionyoke_standins._spread_store import VirtualStore
 from dandelionyoke_standins._spread_world import PropagationSimulation
 
@@ -88,7 +88,7 @@
 def make_simulation(
     seed: int = 1, domains: tuple[tuple[str, int], ...] = THREE_DOMAINS
 ) -> PropagationSimulation:
-    simulation = PropagationSimulation(seed, WorldSettings(domains))
+    simulation = PropagationSimulation(seed, PropagationSettings(domains))
     simulation.run(20)
     return simulation
 
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -56,7 +56,7 @@
     record_to_json,
     validate,
 )
-from dandelionyoke_standins._spread_node import WorldSettings
+from dandelionyoke_standins._spread_node import PropagationSettings
 from dandelionyoke_standins._spread_store import VirtualStore
 from dandelionyoke_standins._spread_world import PropagationSimulation
 from tests.core.agreement import (
@@ -541,7 +541,7 @@
         It knows no keys. A caller must be told that no configuration is
         known, not that its key is invalid.
         """
-        simulation = PropagationSimulation(1, WorldSettings((('a', 1),)))
+        simulation = PropagationSimulation(1, PropagationSettings((('a', 1),)))
         simulation.cut('a', 'platform')
         commit(simulation.store, 'first')
         simulation.run(100)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -30,7 +30,7 @@
     choose_links,
     message_to_mapping,
 )
-from dandelionyoke_standins._spread_node import WorldSettings
+from dandelionyoke_standins._spread_node import PropagationSettings
 from dandelionyoke_standins._spread_world import PropagationSimulation
 from tests.core.agreement import make_simulation
 
@@ -410,7 +410,7 @@
         runs = []
         for _ in range(2):
             simulation = PropagationSimulation(
-                7, WorldSettings((('a', 3), ('b', 2)))
+                7, PropagationSettings((('a', 3), ('b', 2)))
             )
             simulation.run(30)
             simulation.kill(simulation.live_nodes()[1])
