--- a/packages/standins/dandelionyoke_standins/_spread.py
+++ b/packages/standins/dandelionyoke_standins/_spread.py
@@ -207,10 +207,10 @@
             ).instance.domain
             simulation.pause(first, PAUSE_S)
             simulation.kill(second)
-            simulation.cut(domain, PLATFORM)
+            simulation.partition(domain, PLATFORM)
             simulation.run(self._random.uniform(0, 5))
             times.extend(self._time_one_change())
-            simulation.heal()
+            simulation.end_partitions()
             simulation.start(f'new-{number}', second.instance.domain)
             simulation.run(WARM_UP_S)
         return times
@@ -274,14 +274,14 @@
         for north in domains:
             for south in domains:
                 if north.startswith('n') and south.startswith('s'):
-                    simulation.cut(north, south)
+                    simulation.partition(north, south)
         simulation.run(cut_s)
         largest_view = max(
             len(live_node.membership.live)
             for live_node in simulation.live_nodes()
         )
         _reset_counters(simulation)
-        simulation.heal()
+        simulation.end_partitions()
         took_s = simulation.run_until(lambda: _all_see_all(simulation), 300)
         nodes = simulation.live_nodes()
         sent = [node.sent_bytes.total() for node in nodes]
@@ -300,7 +300,7 @@
         _reset_counters(simulation)
         record = SharedRecord(f'probe/{everywhere}', 1, lifetime_s=60)
         sender = simulation.live_nodes()[0]
-        simulation.give(sender, ShareRecord(record, everywhere))
+        simulation.deliver(sender, ShareRecord(record, everywhere))
         simulation.run(0.5)
         domain = sender.instance.domain
         reached = [
--- a/packages/standins/dandelionyoke_standins/_spread_world.py
+++ b/packages/standins/dandelionyoke_standins/_spread_world.py
@@ -58,12 +58,12 @@
         self.store = VirtualStore()
         self.nodes: dict[InstanceId, VirtualNode] = {}
         self.listed: dict[InstanceId, Instance] = {}
-        self.list_is_out = False
+        self.is_listing_unavailable = False
         self._seed = seed
         self.settings = settings
         self._queue: list[tuple[float, int, Callable[[], object]]] = []
         self._sequence = itertools.count()
-        self._cuts: set[frozenset[Domain]] = set()
+        self._partitions: set[frozenset[Domain]] = set()
         self._links: dict[Link, int] = {}
         self._silenced: set[int] = set()
         self._connecting: set[Link] = set()
@@ -134,7 +134,7 @@
                 self.settings.listing_lag_s,
                 lambda: self.listed.update({instance.instance_id: instance}),
             )
-        self.give(node, Started(self.now_s))
+        self.deliver(node, Started(self.now_s))
         return node
 
     def kill(self, node: VirtualNode) -> None:
@@ -154,7 +154,7 @@
         node.is_paused = True
         self.call_later(duration_s, lambda: self._resume(node))
 
-    def silence(self, node: VirtualNode) -> None:
+    def drop_messages(self, node: VirtualNode) -> None:
         """Drop all messages on a node's current links; new links work."""
         name = node.instance.instance_id
         self._silenced.update(
@@ -163,13 +163,13 @@
             if name in link
         )
 
-    def cut(self, first: str, second: str) -> None:
+    def partition(self, first: str, second: str) -> None:
         """Partition two domains; the platform counts as a domain."""
-        self._cuts.add(frozenset((Domain(first), Domain(second))))
+        self._partitions.add(frozenset((Domain(first), Domain(second))))
 
-    def heal(self) -> None:
+    def end_partitions(self) -> None:
         """End all partitions and deliver the held messages."""
-        self._cuts.clear()
+        self._partitions.clear()
         held_messages = self._held_messages
         self._held_messages = []
         for link, generation, message in held_messages:
@@ -179,7 +179,7 @@
         """Return the nodes that are not killed, including paused ones."""
         return [node for node in self.nodes.values() if node.is_alive]
 
-    def give(self, node: VirtualNode, event: Event) -> None:
+    def deliver(self, node: VirtualNode, event: Event) -> None:
         """Deliver an event to a node and perform the resulting actions."""
         if not node.is_alive:
             return
@@ -210,7 +210,7 @@
         pending_events = node.pending_events
         node.pending_events = []
         for event in pending_events:
-            self.give(node, event)
+            self.deliver(node, event)
         callbacks = node.pending_callbacks
         node.pending_callbacks = []
         for callback in callbacks:
@@ -229,7 +229,7 @@
         if node.is_paused or wakeup_s is None or wakeup_s > self.now_s:
             return
         node.scheduled_wakeup_s = None
-        self.give(node, Woken())
+        self.deliver(node, Woken())
 
     def _perform(self, node: VirtualNode, action: Action) -> None:
         match action:
@@ -251,10 +251,10 @@
                 self._call_store(node, action)
 
     def _answer_listing(self, node: VirtualNode) -> None:
-        if self.list_is_out or not self._can_reach(node, PLATFORM):
-            self.give(node, ListingFailed('no answer'))
+        if self.is_listing_unavailable or not self._can_reach(node, PLATFORM):
+            self.deliver(node, ListingFailed('no answer'))
             return
-        self.give(node, InstancesListed(tuple(self.listed.values())))
+        self.deliver(node, InstancesListed(tuple(self.listed.values())))
 
     def _call_store(self, node: VirtualNode, action: Action) -> None:
         if not isinstance(action, StoreCall):
@@ -264,7 +264,7 @@
             return
         failed = StoreFailed('timeout', may_have_happened=True)
         answer = StoreAnswered(action.operation_id, failed)
-        self.call_later(CALL_TIMEOUT_S, lambda: self.give(node, answer))
+        self.call_later(CALL_TIMEOUT_S, lambda: self.deliver(node, answer))
 
     def _perform_store_call(self, node: VirtualNode, action: StoreCall) -> None:
         if isinstance(action, StoreWatch):
@@ -278,17 +278,17 @@
 
     def _deliver_answer(self, node: VirtualNode, event: StoreAnswered) -> None:
         if self._can_reach(node, PLATFORM):
-            self.call_later(PLATFORM_DELAY_S, lambda: self.give(node, event))
+            self.call_later(PLATFORM_DELAY_S, lambda: self.deliver(node, event))
 
     def _can_reach(self, node: VirtualNode, domain: Domain) -> bool:
-        return frozenset((node.instance.domain, domain)) not in self._cuts
+        return frozenset((node.instance.domain, domain)) not in self._partitions
 
     def _connect(self, node: VirtualNode, peer_id: InstanceId) -> None:
         peer = self.nodes.get(peer_id)
         if peer is None or not peer.is_alive:
             refused = PeerDisconnected(peer_id, 'refused')
             self.call_later(
-                CROSS_DOMAIN_DELAY_S, lambda: self.give(node, refused)
+                CROSS_DOMAIN_DELAY_S, lambda: self.deliver(node, refused)
             )
         elif self._can_reach(node, peer.instance.domain):
             self._connecting.add((node.instance.instance_id, peer_id))
@@ -311,8 +311,8 @@
         self._connecting.discard(direction)
         link = _link_key(*direction)
         self._links[link] = next(self._sequence)
-        self.give(node, PeerConnected(peer.instance.instance_id))
-        self.give(peer, PeerConnected(node.instance.instance_id))
+        self.deliver(node, PeerConnected(peer.instance.instance_id))
+        self.deliver(peer, PeerConnected(node.instance.instance_id))
 
     def _close_link(
         self, link: Link, closed_by: InstanceId, cause: str
@@ -323,11 +323,11 @@
         peer = self.nodes[name]
         closer = self.nodes[closed_by]
         local_event = PeerDisconnected(name, cause)
-        self.call_later(0, lambda: self.give(closer, local_event))
+        self.call_later(0, lambda: self.deliver(closer, local_event))
         if self._can_reach(peer, closer.instance.domain):
             remote_event = PeerDisconnected(closed_by, cause)
             self.call_later(
-                CROSS_DOMAIN_DELAY_S, lambda: self.give(peer, remote_event)
+                CROSS_DOMAIN_DELAY_S, lambda: self.deliver(peer, remote_event)
             )
 
     def _send(
@@ -360,7 +360,7 @@
         if self._links.get(_link_key(*link)) != generation:
             return
         arrived = PeerMessageArrived(link[0], message)
-        self.give(self.nodes[link[1]], arrived)
+        self.deliver(self.nodes[link[1]], arrived)
 
 
 def _link_key(first: InstanceId, second: InstanceId) -> Link:
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -451,7 +451,7 @@
         commit(simulation.store, 'first')
         simulation.run(1)
         for other in ('b', 'c', 'platform'):
-            simulation.cut('a', other)
+            simulation.partition('a', other)
         commit(simulation.store, 'second', WITHDRAW)
         simulation.run(100)
         revisions = {
@@ -465,7 +465,7 @@
             if node.instance.domain == 'a'
         ]
         self.assertTrue(all(100 <= age_s < 140 for age_s in ages), ages)
-        simulation.heal()
+        simulation.end_partitions()
         self.assertLess(
             simulation.run_until(lambda: all_at(simulation, 2), 60), 7
         )
@@ -542,14 +542,14 @@
         known, not that its key is invalid.
         """
         simulation = PropagationSimulation(1, PropagationSettings((('a', 1),)))
-        simulation.cut('a', 'platform')
+        simulation.partition('a', 'platform')
         commit(simulation.store, 'first')
         simulation.run(100)
         (node,) = simulation.live_nodes()
         keys = KeysPart(node.configuration)
         refusal = keys.authenticate('secret', simulation.now_s)
         self.assertEqual(RefusalKind.NO_KNOWLEDGE, refusal.kind)
-        simulation.heal()
+        simulation.end_partitions()
         simulation.run(10)
         identity = keys.authenticate('secret', simulation.now_s)
         self.assertEqual(DUKA, identity.organisation)
@@ -563,8 +563,8 @@
         simulation = make_simulation()
         commit(simulation.store, 'first')
         simulation.run(5)
-        simulation.cut('a', 'b')
-        simulation.cut('a', 'platform')
+        simulation.partition('a', 'b')
+        simulation.partition('a', 'platform')
         simulation.run(30)
         commit(simulation.store, 'second', WITHDRAW)
         begun_s = simulation.now_s
@@ -612,7 +612,7 @@
                 self._inject_fault(simulation, rng, number)
                 commit(simulation.store, f'{number}', reweigh(number + 1))
                 simulation.run(rng.uniform(0, 10))
-            simulation.heal()
+            simulation.end_partitions()
             simulation.store.is_out = False
             commit(simulation.store, 'last', reweigh(50))
             last = history(simulation.store)[-1].revision
@@ -628,9 +628,9 @@
         node = rng.choice(simulation.live_nodes())
         match rng.randrange(6):
             case 0:
-                simulation.cut(*rng.sample(domains, 2))
+                simulation.partition(*rng.sample(domains, 2))
             case 1:
-                simulation.heal()
+                simulation.end_partitions()
             case 2:
                 simulation.pause(node, rng.uniform(1, 30))
             case 3:
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -167,13 +167,13 @@
         simulation = make_simulation(domains=REGIONS)
         for north in ('n1', 'n2'):
             for south in ('s1', 's2'):
-                simulation.cut(north, south)
+                simulation.partition(north, south)
         simulation.run(60)
         self.assertEqual(
             {6}, {len(node.membership.live) for node in simulation.live_nodes()}
         )
         simulation.run(3540)
-        simulation.heal()
+        simulation.end_partitions()
         self.assertLess(
             simulation.run_until(lambda: all_views_agree(simulation), 120), 15
         )
@@ -185,7 +185,7 @@
         removed, each domain would use more than its share of the limits.
         """
         simulation = make_simulation()
-        simulation.cut('a', 'b')
+        simulation.partition('a', 'b')
         simulation.run(30)
         for _ in range(20):
             simulation.run(5)
@@ -200,7 +200,7 @@
         """
         simulation = make_simulation()
         node = simulation.live_nodes()[0]
-        simulation.silence(node)
+        simulation.drop_messages(node)
         simulation.run(60)
         self.assertTrue(all_views_agree(simulation))
         self.assertEqual([], suspected_ids(simulation))
@@ -209,7 +209,7 @@
         simulation = make_simulation()
         node = simulation.live_nodes()[0]
         name = node.instance.instance_id
-        simulation.give(node, Leaving())
+        simulation.deliver(node, Leaving())
         simulation.run(0.1)
         for other in simulation.live_nodes():
             self.assertEqual((name,), other.membership.leaving)
@@ -228,7 +228,7 @@
         learn of it by gossip. None may depend on the list.
         """
         simulation = make_simulation()
-        simulation.list_is_out = True
+        simulation.is_listing_unavailable = True
         seed = simulation.live_nodes()[0].instance
         simulation.settings = attrs.evolve(
             simulation.settings,
@@ -270,7 +270,7 @@
             for node in simulation.nodes.values():
                 node.sent.clear()
                 node.recorder.learned.clear()
-            simulation.give(
+            simulation.deliver(
                 simulation.live_nodes()[0], ShareRecord(record, everywhere)
             )
             simulation.run(0.1)
@@ -291,15 +291,15 @@
         """
         simulation = make_simulation()
         for other in ('b', 'c'):
-            simulation.cut('a', other)
+            simulation.partition('a', other)
         simulation.run(20)
         for name, lifetime_s in (('long', 500), ('short', 10)):
             record = SharedRecord(name, version=1, lifetime_s=lifetime_s)
-            simulation.give(
+            simulation.deliver(
                 simulation.nodes[InstanceId('b-0')], ShareRecord(record, True)
             )
         simulation.run(20)
-        simulation.heal()
+        simulation.end_partitions()
         simulation.run(40)
         for node in simulation.live_nodes():
             names = [n.record.record_key for n in node.recorder.learned]
