--- a/packages/standins/dandelionyoke_standins/_spread.py
+++ b/packages/standins/dandelionyoke_standins/_spread.py
@@ -99,7 +99,7 @@
         call = calls[0]
         if not hasattr(call, 'operation_id'):
             break
-        answer = StoreAnswered(call.operation_id, store.call(call))
+        answer = StoreAnswered(call.operation_id, store.perform(call))
         calls = committer.handle(answer, 0)
     outcome: CommitOutcome | None = committer.outcome
     if not isinstance(outcome, Committed):
@@ -218,9 +218,9 @@
     def activation_times_after_outage(self) -> list[float]:
         """Return these times for a change right after a store outage."""
         simulation = self._simulation
-        simulation.store.is_out = True
+        simulation.store.is_unavailable = True
         simulation.run(60)
-        simulation.store.is_out = False
+        simulation.store.is_unavailable = False
         return self._time_one_change()
 
     def detection_times(self) -> list[float]:
--- a/packages/standins/dandelionyoke_standins/_spread_store.py
+++ b/packages/standins/dandelionyoke_standins/_spread_store.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.revision = 0
         self.items: dict[str, StoreItem] = {}
-        self.is_out = False
+        self.is_unavailable = False
         self.calls: Counter[str] = Counter()
         # Faults of the next writes, in order: 'lost' (takes effect without an
         # answer), 'dropped' (neither), 'late' (no answer, takes effect after
@@ -36,10 +36,10 @@
         self._delayed_writes: list[StorePut | StoreDelete] = []
         self._watches: list[tuple[StoreWatch, AnswerCallback]] = []
 
-    def call(self, action: Action) -> StoreResult:
+    def perform(self, action: Action) -> StoreResult:
         """Perform a call other than a watch and return its result."""
         self.calls[type(action).__name__] += 1
-        if self.is_out:
+        if self.is_unavailable:
             return StoreFailed('unavailable', may_have_happened=False)
         if isinstance(action, StoreGet):
             found = self._current_item(action.key)
@@ -52,7 +52,7 @@
     def watch(self, action: StoreWatch, answer: AnswerCallback) -> None:
         """Register a watch; answer it at once if its keys have changed."""
         self.calls[type(action).__name__] += 1
-        if self.is_out:
+        if self.is_unavailable:
             failed = StoreFailed('unavailable', may_have_happened=False)
             answer(StoreAnswered(action.operation_id, failed))
             return
@@ -69,7 +69,7 @@
                 )
 
     def _empty_result(self) -> StoreResult:
-        if self.is_out:
+        if self.is_unavailable:
             return StoreFailed('unavailable', may_have_happened=False)
         return StoreListing(self.revision, ())
 
--- a/packages/standins/dandelionyoke_standins/_spread_world.py
+++ b/packages/standins/dandelionyoke_standins/_spread_world.py
@@ -273,7 +273,7 @@
             )
             self.call_later(action.wait_s, lambda: self.store.end_watch(action))
             return
-        ended = StoreAnswered(action.operation_id, self.store.call(action))
+        ended = StoreAnswered(action.operation_id, self.store.perform(action))
         self._deliver_answer(node, ended)
 
     def _deliver_answer(self, node: VirtualNode, event: StoreAnswered) -> None:
--- a/tests/core/agreement.py
+++ b/tests/core/agreement.py
@@ -60,7 +60,7 @@
     actions: list[Action],
 ) -> list[Action]:
     (action,) = actions
-    answer = StoreAnswered(action.operation_id, store.call(action))
+    answer = StoreAnswered(action.operation_id, store.perform(action))
     return state_machine.handle(answer, 0)
 
 
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -267,14 +267,14 @@
         was sent and nothing can be read, it may have happened.
         """
         store = VirtualStore()
-        store.is_out = True
+        store.is_unavailable = True
         self.assertEqual(Unsettled('unavailable', False), commit(store, 'mine'))
-        store.is_out = False
+        store.is_unavailable = False
         committer = Committer(propose('mine', None))
         calls = step(committer, store, committer.begin())
         store.write_faults.append('lost')
         calls = step(committer, store, calls)
-        store.is_out = True
+        store.is_unavailable = True
         while calls:
             calls = step(committer, store, calls)
         self.assertEqual(Unsettled('unavailable', True), committer.outcome)
@@ -526,7 +526,7 @@
         for number in range(80):
             commit(simulation.store, f'{number}', reweigh(number + 1))
         simulation.run(5)
-        simulation.store.is_out = True
+        simulation.store.is_unavailable = True
         simulation.run(30)
         node = simulation.start('fresh', 'a')
         took_s = simulation.run_until(lambda: node.revision == 81, 60)
@@ -613,7 +613,7 @@
                 commit(simulation.store, f'{number}', reweigh(number + 1))
                 simulation.run(rng.uniform(0, 10))
             simulation.end_partitions()
-            simulation.store.is_out = False
+            simulation.store.is_unavailable = False
             commit(simulation.store, 'last', reweigh(50))
             last = history(simulation.store)[-1].revision
             simulation.run(20)
@@ -637,6 +637,8 @@
                 simulation.kill(node)
                 simulation.start(f'new-{number}', node.instance.domain)
             case 4:
-                simulation.store.is_out = not simulation.store.is_out
+                simulation.store.is_unavailable = (
+                    not simulation.store.is_unavailable
+                )
             case 5:
                 simulation.store.write_faults.append('lost')
