--- a/packages/entry/dandelionyoke_entry/_settings.py
+++ b/packages/entry/dandelionyoke_entry/_settings.py
@@ -99,7 +99,7 @@
     if reader.mistakes:
         raise SettingsError(
             '\n'.join(reader.mistakes).removesuffix('.'),
-            'Correct the settings file',
+            'Fix the settings file',
         )
     return EntrySettings(**options)  # type: ignore[arg-type]
 
