--- a/tests/core/test_authority.py
+++ b/tests/core/test_authority.py
@@ -227,7 +227,7 @@
 def _count_duty_calls(simulation: NodeSimulation) -> int:
     return sum(
         action.operation_id.startswith('duty.')
-        for _, _, action in simulation.actions
+        for _, _, action in simulation.recorded_actions
     )
 
 
