--- a/packages/standins/dandelionyoke_standins/_spread.py
+++ b/packages/standins/dandelionyoke_standins/_spread.py
@@ -99,7 +99,7 @@
         call = calls[0]
         if not hasattr(call, 'operation_id'):
             break
-        answer = StoreResponded(call.operation_id, store.call(call))
+        answer = StoreResponded(call.operation_id, store.perform(call))
         calls = committer.handle(answer, 0)
     outcome: CommitOutcome | None = committer.outcome
     if not isinstance(outcome, Committed):
@@ -207,10 +207,10 @@
             ).instance.domain
             simulation.pause(first, PAUSE_S)
             simulation.kill(second)
-            simulation.cut(domain, PLATFORM)
+            simulation.partition(domain, PLATFORM)
             simulation.run(self._random.uniform(0, 5))
             times.extend(self._time_one_change())
-            simulation.heal()
+            simulation.end_partitions()
             simulation.start(f'new-{number}', second.instance.domain)
             simulation.run(WARM_UP_S)
         return times
@@ -218,9 +218,9 @@
     def activation_times_after_outage(self) -> list[float]:
         """Return these times for a change right after a store outage."""
         simulation = self._simulation
-        simulation.store.is_out = True
+        simulation.store.is_unavailable = True
         simulation.run(60)
-        simulation.store.is_out = False
+        simulation.store.is_unavailable = False
         return self._time_one_change()
 
     def detection_times(self) -> list[float]:
@@ -274,14 +274,14 @@
         for north in domains:
             for south in domains:
                 if north.startswith('n') and south.startswith('s'):
-                    simulation.cut(north, south)
+                    simulation.partition(north, south)
         simulation.run(cut_s)
         largest_view = max(
             len(live_node.membership.live)
             for live_node in simulation.live_nodes()
         )
         _reset_counters(simulation)
-        simulation.heal()
+        simulation.end_partitions()
         took_s = simulation.run_until(lambda: _all_see_all(simulation), 300)
         nodes = simulation.live_nodes()
         sent = [node.sent_bytes.total() for node in nodes]
@@ -300,7 +300,7 @@
         _reset_counters(simulation)
         record = SharedRecord(f'probe/{everywhere}', 1, lifetime_s=60)
         sender = simulation.live_nodes()[0]
-        simulation.give(sender, ReplicateRecord(record, everywhere))
+        simulation.deliver(sender, ReplicateRecord(record, everywhere))
         simulation.run(0.5)
         domain = sender.instance.domain
         reached = [
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -267,16 +267,16 @@
         was sent and nothing can be read, it may have happened.
         """
         store = VirtualStore()
-        store.is_out = True
+        store.is_unavailable = True
         self.assertEqual(
             TaskFailed('unavailable', False), commit(store, 'mine')
         )
-        store.is_out = False
+        store.is_unavailable = False
         committer = Committer(propose('mine', None))
         calls = step(committer, store, committer.begin())
         store.write_faults.append('lost')
         calls = step(committer, store, calls)
-        store.is_out = True
+        store.is_unavailable = True
         while calls:
             calls = step(committer, store, calls)
         self.assertEqual(TaskFailed('unavailable', True), committer.outcome)
@@ -453,7 +453,7 @@
         commit(simulation.store, 'first')
         simulation.run(1)
         for other in ('b', 'c', 'platform'):
-            simulation.cut('a', other)
+            simulation.partition('a', other)
         commit(simulation.store, 'second', WITHDRAW)
         simulation.run(100)
         revisions = {
@@ -467,7 +467,7 @@
             if node.instance.domain == 'a'
         ]
         self.assertTrue(all(100 <= age_s < 140 for age_s in ages), ages)
-        simulation.heal()
+        simulation.end_partitions()
         self.assertLess(
             simulation.run_until(lambda: all_at(simulation, 2), 60), 7
         )
@@ -528,7 +528,7 @@
         for number in range(80):
             commit(simulation.store, f'{number}', reweigh(number + 1))
         simulation.run(5)
-        simulation.store.is_out = True
+        simulation.store.is_unavailable = True
         simulation.run(30)
         node = simulation.start('fresh', 'a')
         took_s = simulation.run_until(lambda: node.revision == 81, 60)
@@ -544,14 +544,14 @@
         known, not that its key is invalid.
         """
         simulation = PropagationSimulation(1, PropagationSettings((('a', 1),)))
-        simulation.cut('a', 'platform')
+        simulation.partition('a', 'platform')
         commit(simulation.store, 'first')
         simulation.run(100)
         (node,) = simulation.live_nodes()
         keys = KeysPart(node.configuration)
         refusal = keys.authenticate('secret', simulation.now_s)
         self.assertEqual(RefusalKind.NO_KNOWLEDGE, refusal.kind)
-        simulation.heal()
+        simulation.end_partitions()
         simulation.run(10)
         identity = keys.authenticate('secret', simulation.now_s)
         self.assertEqual(DUKA, identity.organisation)
@@ -565,8 +565,8 @@
         simulation = make_simulation()
         commit(simulation.store, 'first')
         simulation.run(5)
-        simulation.cut('a', 'b')
-        simulation.cut('a', 'platform')
+        simulation.partition('a', 'b')
+        simulation.partition('a', 'platform')
         simulation.run(30)
         commit(simulation.store, 'second', WITHDRAW)
         begun_s = simulation.now_s
@@ -614,8 +614,8 @@
                 self._inject_fault(simulation, rng, number)
                 commit(simulation.store, f'{number}', reweigh(number + 1))
                 simulation.run(rng.uniform(0, 10))
-            simulation.heal()
-            simulation.store.is_out = False
+            simulation.end_partitions()
+            simulation.store.is_unavailable = False
             commit(simulation.store, 'last', reweigh(50))
             last = history(simulation.store)[-1].revision
             simulation.run(20)
@@ -630,15 +630,17 @@
         node = rng.choice(simulation.live_nodes())
         match rng.randrange(6):
             case 0:
-                simulation.cut(*rng.sample(domains, 2))
+                simulation.partition(*rng.sample(domains, 2))
             case 1:
-                simulation.heal()
+                simulation.end_partitions()
             case 2:
                 simulation.pause(node, rng.uniform(1, 30))
             case 3:
                 simulation.kill(node)
                 simulation.start(f'new-{number}', node.instance.domain)
             case 4:
-                simulation.store.is_out = not simulation.store.is_out
+                simulation.store.is_unavailable = (
+                    not simulation.store.is_unavailable
+                )
             case 5:
                 simulation.store.write_faults.append('lost')
