--- a/tests/core/fakes.py
+++ b/tests/core/fakes.py
@@ -54,7 +54,7 @@
         return self.items.get(key, core.StoreItem(key, 0, None))
 
 
-class Directory:
+class ConfigurationView:
     snapshot = SNAPSHOT
 
     def knowledge_age_s(self, now_s: float) -> float | None:
@@ -98,7 +98,7 @@
         self.held.remove(request_id)
         self.served[request_id] += output_tokens
 
-    def come_back_s(self, service: str, now_s: float) -> float:
+    def retry_after_s(self, service: str, now_s: float) -> float:
         return 3
 
 
@@ -108,15 +108,15 @@
     def __init__(self, targets: tuple[core.Target, ...]) -> None:
         self.targets = targets
         self.running: dict[str, core.TargetId] = {}
-        self.needs: list[core.RouteNeed] = []
+        self.requirements: list[core.RouteRequirements] = []
 
     def choose(
-        self, need: core.RouteNeed, now_s: float
+        self, requirements: core.RouteRequirements, now_s: float
     ) -> core.Target | core.NoRoute:
-        self.needs.append(need)
+        self.requirements.append(requirements)
         for target in self.targets:
-            allowed = target.target_id not in need.avoid
-            if allowed and target.service == need.service:
+            allowed = target.target_id not in requirements.excluded_targets
+            if allowed and target.service == requirements.service:
                 return target
         return core.NoRoute('all targets are avoided', 2)
 
@@ -134,7 +134,7 @@
         self,
         attempt_id: str,
         target_id: core.TargetId,
-        need: core.RouteNeed,
+        requirements: core.RouteRequirements,
         now_s: float,
     ) -> None:
         self.running[attempt_id] = target_id
@@ -170,13 +170,13 @@
 class Gossip:
     """Replace membership and keep the records that an entry shares."""
 
-    handles = (core.ShareRecord,)
+    handles = (core.ReplicateRecord,)
 
     def __init__(self) -> None:
         self.shared: list[core.SharedRecord] = []
 
     def handle(self, event: core.Event, now_s: float) -> list[Any]:
-        assert isinstance(event, core.ShareRecord)
+        assert isinstance(event, core.ReplicateRecord)
         self.shared.append(event.record)
         return []
 
@@ -187,7 +187,7 @@
 class Usage:
     """Replace usage and sum the delivered requests and tokens."""
 
-    handles = (core.CallDelivered,)
+    handles = (core.UsageDelivered,)
 
     def __init__(self) -> None:
         self.requests = 0
@@ -195,7 +195,7 @@
         self.output_tokens = 0
 
     def handle(self, event: core.Event, now_s: float) -> list[Any]:
-        assert isinstance(event, core.CallDelivered)
+        assert isinstance(event, core.UsageDelivered)
         self.requests += event.requests
         self.prompt_tokens += event.prompt_tokens
         self.output_tokens += event.output_tokens
@@ -212,7 +212,7 @@
         self,
         name: str = 'entry-1',
         settings: core.RequestSettings = core.RequestSettings(),
-        once: core.OnceSettings = core.OnceSettings(),
+        idempotency: core.IdempotencySettings = core.IdempotencySettings(),
         quarantine: core.QuarantineSettings = core.QuarantineSettings(),
         seed: int = 1,
         started_wall_s: float = 1_000_000.0,
@@ -221,23 +221,29 @@
         self.name = name
         self.admitter = Admitter()
         self.router = Router(TARGETS)
-        self.once = core.OncePart(
-            once, core.InstanceId(name), Random(f'{name}{seed}')
+        self.idempotency = core.IdempotencyPart(
+            idempotency, core.InstanceId(name), Random(f'{name}{seed}')
         )
         self.quarantine = core.QuarantinePart(quarantine)
         self.request = core.RequestPart(
             settings,
-            Directory(),
+            ConfigurationView(),
             Authenticator(),
             self.admitter,
             self.router,
-            self.once,
+            self.idempotency,
             self.quarantine,
             Random(seed),
         )
         self.gossip, self.usage = Gossip(), Usage()
         self.node = core.Composition(
-            (self.quarantine, self.once, self.request, self.gossip, self.usage)
+            (
+                self.quarantine,
+                self.idempotency,
+                self.request,
+                self.gossip,
+                self.usage,
+            )
         )
         self.said: list[core.Action] = []
         self.tell(core.Started(started_wall_s))
@@ -255,7 +261,7 @@
             if wakeup_s > until_s:
                 break
             self.now_s = max(self.now_s, wakeup_s)
-            actions += self.tell(core.Woken())
+            actions += self.tell(core.TimerFired())
         self.now_s = until_s
         return actions
 
@@ -278,7 +284,9 @@
 def ask(
     name: str = 'r1', prompt: str = 'three crates', **more: Any
 ) -> core.Event:
-    return core.ModelCalled(name, 'key-1', 'crate-model', prompt, 8, **more)
+    return core.CompletionRequested(
+        name, 'key-1', 'crate-model', prompt, 8, **more
+    )
 
 
 def confirm(name: str = 'r1', **more: Any) -> core.Event:
@@ -289,7 +297,7 @@
         'body': b'4 crates',
         **more,
     }
-    return core.ServiceCalled(name, 'key-1', 'ledger-desk', **fields)
+    return core.ServiceCallRequested(name, 'key-1', 'ledger-desk', **fields)
 
 
 def serve(
@@ -304,7 +312,7 @@
         if isinstance(action, core.StoreGet | core.StorePut | core.StoreDelete):
             result = store.perform(action)
             waiting += entry.tell(
-                core.StoreAnswered(action.operation_id, result)
+                core.StoreResponded(action.operation_id, result)
             )
     return done
 
--- a/tests/core/policy_fakes.py
+++ b/tests/core/policy_fakes.py
@@ -7,13 +7,13 @@
 from dandelionyoke_core import (
     AdmissionPart,
     AdmissionSettings,
+    CallForecast,
     Domain,
     InstanceId,
     Organisation,
     OrganisationId,
-    Outlook,
     RequestId,
-    RouteNeed,
+    RouteRequirements,
     RoutingPart,
     RoutingSettings,
     Service,
@@ -41,7 +41,7 @@
 
 
 @attrs.define
-class FixedDirectory:
+class FixedConfigurationView:
     snapshot: Snapshot = Snapshot()
 
     def knowledge_age_s(self, now_s: float) -> float | None:
@@ -59,23 +59,25 @@
     """A fixed number of slots; each call takes `run_s`."""
 
     slots: float = 1e9
-    has_room: bool = True
+    can_start: bool = True
     run_s: float = 1
 
     def capacity(self, service: ServiceName, now_s: float) -> ServiceCapacity:
         return ServiceCapacity(1, self.slots)
 
-    def outlook(
+    def forecast(
         self, service: ServiceName, size: WorkSize, now_s: float
-    ) -> Outlook | None:
+    ) -> CallForecast | None:
         if not self.slots:
             return None
-        return Outlook(self.has_room, 0.1, self.run_s, self.run_s)
+        return CallForecast(self.can_start, 0.1, self.run_s, self.run_s)
 
 
-def make_directory(**fields: object) -> FixedDirectory:
+def make_configuration_view(**fields: object) -> FixedConfigurationView:
     service = Service(SERVICE, **fields)
-    return FixedDirectory(Snapshot(revision=1, services={SERVICE: service}))
+    return FixedConfigurationView(
+        Snapshot(revision=1, services={SERVICE: service})
+    )
 
 
 def make_targets(count: int, **fields: object) -> tuple[Target, ...]:
@@ -97,7 +99,7 @@
 ) -> RoutingPart:
     part = RoutingPart(
         settings or RoutingSettings(),
-        make_directory(reclaimable_share=share),
+        make_configuration_view(reclaimable_share=share),
         peers or FixedPeers(),
         HOME,
         here,
@@ -108,9 +110,9 @@
     return part
 
 
-def make_need(**fields: object) -> RouteNeed:
+def make_requirements(**fields: object) -> RouteRequirements:
     given = {'prompt_tokens': 100, 'max_output_tokens': 100, **fields}
-    return RouteNeed(OrganisationId('duka'), SERVICE, **given)
+    return RouteRequirements(OrganisationId('duka'), SERVICE, **given)
 
 
 def make_admission(
@@ -122,7 +124,7 @@
 ) -> AdmissionPart:
     part = AdmissionPart(
         AdmissionSettings(slot_margin=1, **settings),
-        FixedDirectory(),
+        FixedConfigurationView(),
         peers or FixedPeers(),
         capacity,
         here,
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -14,15 +14,15 @@
     CallAdmitted,
     CallRejected,
     DemandShared,
-    PeersKnown,
+    LivePeersChanged,
     Queued,
-    RecordLearned,
+    RecordReceived,
     Refusal,
     RefusalKind,
+    ReplicateRecord,
     RequestId,
     RunState,
-    ShareRecord,
-    Woken,
+    TimerFired,
     message_from_mapping,
     message_to_mapping,
 )
@@ -48,7 +48,7 @@
     """Wake a part until no wake-up is due."""
     outputs: list[object] = []
     while (due_s := part.next_wakeup_s()) is not None and due_s <= now_s:
-        outputs += part.handle(Woken(), now_s)
+        outputs += part.handle(TimerFired(), now_s)
     return outputs
 
 
@@ -83,17 +83,17 @@
     def _share(self, now_s: float) -> None:
         for part in self.parts:
             for output in drain(part, now_s):
-                if isinstance(output, ShareRecord) and self.joined:
+                if isinstance(output, ReplicateRecord) and self.joined:
                     self._spread(part, output, now_s)
 
     def _spread(
-        self, part: AdmissionPart, share: ShareRecord, now_s: float
+        self, part: AdmissionPart, share: ReplicateRecord, now_s: float
     ) -> None:
         mapping = message_to_mapping(share.record)
         record = message_from_mapping(mapping)
         for other in self.parts:
             if other is not part:
-                learned = RecordLearned(record, share.record.instance_id)
+                learned = RecordReceived(record, share.record.instance_id)
                 other.handle(learned, now_s)
 
 
@@ -174,7 +174,7 @@
         fleet = Fleet(ENTRIES, joined=False)
         part = fleet.parts[0]
         alone = (entry(0),)
-        part.handle(PeersKnown(alone, alone), 5)
+        part.handle(LivePeersChanged(alone, alone), 5)
         admitted = sum(
             fleet.run_second(second, [60] + [0] * (ENTRIES - 1))
             for second in range(6, 26)
@@ -287,7 +287,7 @@
                 now_s = number * interval_s + 100 * interval_s
                 part.finish(RequestId(running), 100, 5, now_s)
                 (running,) = admitted_by(drain(part, now_s)) or (running,)
-            waits.append(part.come_back_s(make_ticket('x').service, now_s))
+            waits.append(part.retry_after_s(make_ticket('x').service, now_s))
         self.assertGreater(waits[1], 3 * waits[0])
 
     def test_a_queued_call_that_would_miss_its_deadline_is_rejected(
@@ -319,8 +319,8 @@
         shared_s = [
             now_s
             for now_s in range(60)
-            for output in part.handle(Woken(), now_s)
-            if isinstance(output, ShareRecord)
+            for output in part.handle(TimerFired(), now_s)
+            if isinstance(output, ReplicateRecord)
         ]
         gaps_s = [late - early for early, late in pairwise(shared_s)]
         lifetime_s = AdmissionSettings().demand_lifetime_s
@@ -342,7 +342,7 @@
                 shared += [
                     out
                     for out in drain(part, 1)
-                    if isinstance(out, ShareRecord)
+                    if isinstance(out, ReplicateRecord)
                 ]
             sums = [out for out in shared if out.record.is_sum]
             self.assertEqual(everywhere, {out.everywhere for out in shared})
--- a/tests/core/test_authority.py
+++ b/tests/core/test_duty_lease.py
@@ -8,37 +8,37 @@
 from dandelionyoke_core import (
     REPORT_DUTY,
     Action,
-    AuthorityPart,
-    AuthoritySettings,
     DutyGained,
+    DutyLeasePart,
+    DutyLeaseSettings,
     Event,
     Instance,
+    LeaseExpired,
     LeaseGrant,
     LeaseGranted,
     LeaseId,
-    LeaseLapsed,
     LeaseRelease,
     LeaseRenew,
     Leaving,
+    LivePeersChanged,
     Part,
-    PeersKnown,
-    StoreAnswered,
     StoreFailed,
     StoreGet,
     StoreItem,
     StorePut,
+    StoreResponded,
     StoreResult,
     StoreWritten,
-    Woken,
+    TimerFired,
 )
-from dandelionyoke_standins import DeploymentPlan, World, deploy
+from dandelionyoke_standins import DeploymentPlan, NodeSimulation, deploy
 from tests.core.duty_bench import (
     DOMAIN,
     NAMES,
     Bench,
     explore,
+    fault_moves,
     instance,
-    trouble,
 )
 
 FIRST, SECOND = NAMES
@@ -49,14 +49,14 @@
 
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Create the parts of an entry that only competes for the duty."""
-    return [AuthorityPart(AuthoritySettings(), REPORT_DUTY, own, random)]
+    return [DutyLeasePart(DutyLeaseSettings(), REPORT_DUTY, own, random)]
 
 
 def active_holders(bench: Bench) -> dict[str, int]:
     """Return the fencing token of each entry that acts for the duty."""
     fences_by_name = {}
     for name, entry in bench.entries.items():
-        fence = entry.believes(REPORT_DUTY, bench.now_s)
+        fence = entry.believed_fence(REPORT_DUTY, bench.now_s)
         if fence is not None:
             fences_by_name[name] = fence
     return fences_by_name
@@ -75,13 +75,13 @@
     """Create a bench whose first entry, with a slow clock, holds the duty."""
     bench = Bench(make_parts)
     bench.entries[FIRST].rate = SLOW_CLOCK
-    bench.meet()
-    bench.settle(4, (FIRST,))
+    bench.announce_peers()
+    bench.run_without_faults(4, (FIRST,))
     assert list(active_holders(bench)) == [FIRST]
     return bench
 
 
-class AuthorityTest(testtools.TestCase):
+class DutyLeaseTest(testtools.TestCase):
     def test_two_candidates_in_every_order_of_six_steps(self) -> None:
         """Two entries compete for a duty that nobody holds.
 
@@ -90,8 +90,8 @@
         """
         bench = Bench(make_parts)
         bench.entries[FIRST].rate = SLOW_CLOCK
-        bench.meet()
-        moves = trouble(FIRST, SECOND, 4.9)
+        bench.announce_peers()
+        moves = fault_moves(FIRST, SECOND, 4.9)
         states = explore(bench, moves, 6, assert_only_the_stores_holder_acts)
         self.assertGreater(states, 1_000)
 
@@ -104,7 +104,7 @@
         for pause_s in (2.4, 9.6):
             bench = new_bench_held_by_first()
             bench.tick(pause_s / 2, (FIRST,))
-            moves = trouble(FIRST, SECOND, pause_s)
+            moves = fault_moves(FIRST, SECOND, pause_s)
             states = explore(
                 bench, moves, 5, assert_only_the_stores_holder_acts
             )
@@ -132,13 +132,13 @@
         """
         bench = new_bench_held_by_first()
         old_fence = active_holders(bench)[FIRST]
-        bench.settle(bench.now_s + 20, (SECOND,))
+        bench.run_without_faults(bench.now_s + 20, (SECOND,))
         new_holders = active_holders(bench)
         self.assertEqual([SECOND], list(new_holders))
         self.assertGreater(new_holders[SECOND], old_fence)
         bench.resume(FIRST)
         assert_only_the_stores_holder_acts(bench, ())
-        bench.settle(bench.now_s + 60, (FIRST, SECOND))
+        bench.run_without_faults(bench.now_s + 60, (FIRST, SECOND))
         self.assertEqual(new_holders, active_holders(bench))
 
     def test_a_write_without_an_answer_is_verified_by_reading(self) -> None:
@@ -148,12 +148,12 @@
         expires.
         """
         bench = Bench(make_parts)
-        bench.meet()
+        bench.announce_peers()
         while not _count_calls(bench, FIRST, StorePut):
             bench.tick(0.1, (FIRST,))
             bench.answer(FIRST)
         bench.lose(FIRST)
-        bench.settle(bench.now_s + 1, (FIRST,))
+        bench.run_without_faults(bench.now_s + 1, (FIRST,))
         self.assertEqual([FIRST], list(active_holders(bench)))
         grants = _count_calls(bench, FIRST, LeaseGrant)
         self.assertEqual(1, grants)
@@ -167,12 +167,12 @@
         bench = new_bench_held_by_first()
         bench.platform.faults.outage = True
         calls_before = len(bench.entries[FIRST].seen)
-        bench.settle(bench.now_s + 11, NAMES)
+        bench.run_without_faults(bench.now_s + 11, NAMES)
         self.assertEqual({}, active_holders(bench))
-        bench.settle(bench.now_s + 50, NAMES)
+        bench.run_without_faults(bench.now_s + 50, NAMES)
         self.assertLess(len(bench.entries[FIRST].seen) - calls_before, 80)
         bench.platform.faults.outage = False
-        bench.settle(bench.now_s + 15, NAMES)
+        bench.run_without_faults(bench.now_s + 15, NAMES)
         self.assertEqual(1, len(active_holders(bench)))
         assert_only_the_stores_holder_acts(bench, ())
 
@@ -185,12 +185,12 @@
         bench = new_bench_held_by_first()
         bench.entries[FIRST].take(Leaving(), bench.now_s)
         self.assertEqual({}, active_holders(bench))
-        bench.settle(bench.now_s + 0.9, NAMES)
+        bench.run_without_faults(bench.now_s + 0.9, NAMES)
         self.assertEqual(0, _count_calls(bench, FIRST, LeaseRelease))
-        bench.settle(bench.now_s + 4, NAMES)
+        bench.run_without_faults(bench.now_s + 4, NAMES)
         self.assertEqual([SECOND], list(active_holders(bench)))
         calls = len(bench.entries[FIRST].seen)
-        bench.settle(bench.now_s + 30, NAMES)
+        bench.run_without_faults(bench.now_s + 30, NAMES)
         self.assertEqual(calls, len(bench.entries[FIRST].seen))
 
     def test_store_calls_do_not_grow_with_the_domain(self) -> None:
@@ -201,15 +201,20 @@
         """
         call_counts = []
         for entries in (4, 16):
-            world = World(5)
-            world.keep_actions = (LeaseRenew, LeaseGrant, StoreGet, StorePut)
-            deploy(world, DeploymentPlan(('ubungo',), entries))
+            simulation = NodeSimulation(5)
+            simulation.recorded_types = (
+                LeaseRenew,
+                LeaseGrant,
+                StoreGet,
+                StorePut,
+            )
+            deploy(simulation, DeploymentPlan(('ubungo',), entries))
             # Until it has read the platform's list an entry knows only itself
             # and is always a candidate.
-            world.run(40)
-            world.actions.clear()
-            world.run(60)
-            call_counts.append(_count_duty_calls(world))
+            simulation.run(40)
+            simulation.recorded_actions.clear()
+            simulation.run(60)
+            call_counts.append(_count_duty_calls(simulation))
         self.assertGreater(call_counts[0], 10)
         self.assertLess(call_counts[1], call_counts[0] * 1.5)
 
@@ -219,10 +224,10 @@
     return sum(isinstance(action, action_type) for action in seen)
 
 
-def _count_duty_calls(world: World) -> int:
+def _count_duty_calls(simulation: NodeSimulation) -> int:
     return sum(
         action.operation_id.startswith('duty.')
-        for _, _, action in world.actions
+        for _, _, action in simulation.recorded_actions
     )
 
 
@@ -232,12 +237,12 @@
     def setUp(self) -> None:
         super().setUp()
         own = instance(FIRST)
-        self.part = AuthorityPart(
-            AuthoritySettings(), REPORT_DUTY, own, Random(1)
+        self.part = DutyLeasePart(
+            DutyLeaseSettings(), REPORT_DUTY, own, Random(1)
         )
         self.now_s = 0.0
         self.outputs: list[object] = []
-        self.handle_event(PeersKnown((FIRST,), (FIRST,)))
+        self.handle_event(LivePeersChanged((FIRST,), (FIRST,)))
         self.answer(StoreGet, StoreItem(KEY, 0, None))
         self.answer(LeaseGrant, LeaseGranted(LeaseId('l-1'), 10))
         self.record = self.answer(StorePut, StoreWritten(KEY, 7)).value
@@ -254,11 +259,11 @@
                 if isinstance(action, action_type):
                     self.outputs = []
                     self.handle_event(
-                        StoreAnswered(action.operation_id, result)
+                        StoreResponded(action.operation_id, result)
                     )
                     return action
             self.now_s = self.part.next_wakeup_s() or self.now_s
-            self.handle_event(Woken())
+            self.handle_event(TimerFired())
         raise AssertionError(f'no {action_type.__name__} was requested')
 
     def fences(self) -> list[int]:
@@ -279,7 +284,7 @@
         self.assertEqual([7], self.fences())
 
     def test_a_lease_that_expired_is_not_recovered(self) -> None:
-        self.answer(LeaseRenew, LeaseLapsed(LeaseId('l-1')))
+        self.answer(LeaseRenew, LeaseExpired(LeaseId('l-1')))
         self.assertEqual([], self.fences())
         self.answer(StoreGet, StoreItem(KEY, 9, 'another'))
         self.assertEqual([], self.fences())
--- a/tests/core/test_fleet.py
+++ b/tests/core/test_fleet.py
@@ -15,22 +15,22 @@
     EngineSpeed,
     FleetPart,
     FleetSettings,
+    FleetSizeChangeRequested,
     MixRow,
     Output,
     Role,
-    RoleWanted,
+    RoleChangeRequested,
     ServiceName,
     TargetId,
-    TargetSight,
-    TargetsWanted,
-    Woken,
+    TargetStatus,
+    TimerFired,
 )
-from dandelionyoke_core._role_plan import WorkRow, stress
+from dandelionyoke_core._role_plan import WorkRow, utilisation
 from tests.core.policy_fakes import (
     AWAY,
     HOME,
     SERVICE,
-    make_directory,
+    make_configuration_view,
     make_targets,
 )
 
@@ -57,12 +57,12 @@
     changing: dict[TargetId, tuple[float, Role]] = attrs.field(factory=dict)
     now_s: float = 0
 
-    def sights(
+    def target_statuses(
         self, service: ServiceName, now_s: float
-    ) -> tuple[TargetSight, ...]:
+    ) -> tuple[TargetStatus, ...]:
         targets = make_targets(len(self.domains))
         return tuple(
-            TargetSight(
+            TargetStatus(
                 attrs.evolve(
                     target,
                     domain=domain,
@@ -71,14 +71,14 @@
                 self.roles.get(target.target_id, Role.MIXED),
                 calls=row,
                 is_usable=target.target_id not in {*self.changing, *self.cut},
-                is_reached=target.target_id not in self.cut,
+                is_reachable=target.target_id not in self.cut,
             )
             for row, (target, domain) in enumerate(
                 zip(targets, self.domains, strict=True)
             )
         )
 
-    def fresh_share(self, service: ServiceName) -> float:
+    def uncached_share(self, service: ServiceName) -> float:
         return 1
 
     def mix(self, service: ServiceName, now_s: float) -> tuple[MixRow, ...]:
@@ -88,7 +88,7 @@
     def apply_role_changes(self, outputs: list[Output], now_s: float) -> None:
         """Begin requested role changes, and complete those that are ready."""
         for output in outputs:
-            if isinstance(output, RoleWanted):
+            if isinstance(output, RoleChangeRequested):
                 ready = (now_s + CHANGE_S, output.role)
                 self.changing.setdefault(output.target_id, ready)
         for target_id, (ready_s, role) in tuple(self.changing.items()):
@@ -98,17 +98,19 @@
 
     def unserved_s(self) -> float:
         """Return the missing capacity, in engine seconds per second."""
-        usable = [one for one in self.sights(SERVICE, 0) if one.is_usable]
+        usable = [
+            one for one in self.target_statuses(SERVICE, 0) if one.is_usable
+        ]
         counts = Counter(one.role for one in usable)
         rows = [WorkRow(*self.mix_now)]
-        return max(0, stress(rows, counts, SPEED) - 1) * len(usable)
+        return max(0, utilisation(rows, counts, SPEED) - 1) * len(usable)
 
 
 def make_fleet_part(
     fleet: FakeFleet, *, duty: bool = True, **service: object
 ) -> FleetPart:
-    directory = make_directory(**service)
-    part = FleetPart(SETTINGS, directory, fleet, fleet, HOME)
+    configuration_view = make_configuration_view(**service)
+    part = FleetPart(SETTINGS, configuration_view, fleet, fleet, HOME)
     if duty:
         part.handle(DutyGained(CONTROL_DUTY, 7, FOREVER_S), 0)
     return part
@@ -122,7 +124,7 @@
     unserved_s = 0.0
     for _ in range(seconds):
         fleet.now_s += 1
-        outputs = part.handle(Woken(), fleet.now_s)
+        outputs = part.handle(TimerFired(), fleet.now_s)
         fleet.apply_role_changes(outputs, fleet.now_s)
         wanted += outputs
         unserved_s += fleet.unserved_s()
@@ -133,7 +135,7 @@
     roles = {
         (one.target_id, one.role)
         for one in outputs
-        if isinstance(one, RoleWanted)
+        if isinstance(one, RoleChangeRequested)
     }
     return len(roles)
 
@@ -278,13 +280,17 @@
             part = make_fleet_part(fleet, **service)
             outputs, _ = run_for(part, fleet, seconds)
             requests = [
-                one for one in outputs if isinstance(one, TargetsWanted)
+                one
+                for one in outputs
+                if isinstance(one, FleetSizeChangeRequested)
             ]
             first = (
-                requests[0] if requests else TargetsWanted(SERVICE, HOME, 7, '')
+                requests[0]
+                if requests
+                else FleetSizeChangeRequested(SERVICE, HOME, 7, '')
             )
             found = (
-                first.add_steady,
+                first.add_on_demand,
                 first.add_reclaimable,
                 len(first.remove),
             )
@@ -300,19 +306,21 @@
         st.tuples(*[st.integers(0, 4)] * 3).filter(any),
     )
     @settings(max_examples=80)
-    def test_stress_bounds(
+    def test_utilisation_bounds(
         self, work: list[tuple[float, float]], engines: tuple[int, int, int]
     ) -> None:
         rows = [WorkRow(*one) for one in work]
         counts = dict(zip(Role, engines, strict=True))
-        found = stress(rows, counts, SPEED)
+        found = utilisation(rows, counts, SPEED)
         larger_counts = {role: count + 1 for role, count in counts.items()}
-        self.assertLessEqual(stress(rows, larger_counts, SPEED), found * 1.001)
+        self.assertLessEqual(
+            utilisation(rows, larger_counts, SPEED), found * 1.001
+        )
         # No role is faster than the best role at prefill and at decode.
         best_s = sum(
             row.prompt_per_s / SPEED.prefill_rate(Role.PREFILL)
             + row.output_per_s / SPEED.decode_rate(Role.DECODE)
             for row in rows
         )
-        min_stress = min(best_s / sum(engines), 20)
-        self.assertGreaterEqual(found * 1.01, min_stress)
+        min_utilisation = min(best_s / sum(engines), 20)
+        self.assertGreaterEqual(found * 1.01, min_utilisation)
--- a/tests/core/test_once.py
+++ b/tests/core/test_idempotency.py
@@ -72,12 +72,12 @@
         if isinstance(action, core.CallService):
             self.serve(pending_call.entry, action, mode)
             return
-        result: Any = core.StoreFailed('cut', may_have_happened=True)
+        result: Any = core.StoreFailed('cut', may_have_been_applied=True)
         if mode != LOST_CALL:
             performed = self.store.perform(action)
             result = performed if mode == OK else result
         self.tell(
-            pending_call.entry, core.StoreAnswered(action.operation_id, result)
+            pending_call.entry, core.StoreResponded(action.operation_id, result)
         )
 
     def serve(self, entry: Entry, call: core.CallService, mode: int) -> None:
@@ -105,14 +105,14 @@
         now_s, index = min(due)
         for entry in self.entries:
             entry.now_s = max(entry.now_s, now_s)
-        self.tell(self.entries[index], core.Woken())
+        self.tell(self.entries[index], core.TimerFired())
         return True
 
     def outcomes(self, entry: Entry) -> list[Any]:
         return [
             action
             for action in entry.said
-            if isinstance(action, core.AnswerService | core.RefuseCall)
+            if isinstance(action, core.RespondService | core.RefuseCall)
         ]
 
     def check(self) -> None:
@@ -124,14 +124,16 @@
             request_ids = [end.request_id for end in self.outcomes(entry)]
             assert len(request_ids) == len(set(request_ids)) == 1, request_ids
             for end in self.outcomes(entry):
-                answered = isinstance(end, core.AnswerService)
+                answered = isinstance(end, core.RespondService)
                 assert not answered or self.runs.total() == 1
                 if (
                     isinstance(end, core.RefuseCall)
                     and end.request_id in self.ran
                 ):
                     assert end.refusal.run is core.RunState.UNKNOWN
-            assert entry.once.in_progress == 0, 'a claim was never closed'
+            assert entry.idempotency.in_progress == 0, (
+                'a claim was never closed'
+            )
 
 
 class RaceTest(testtools.TestCase):
@@ -219,8 +221,8 @@
         self.assertEqual([2, 0], list(map(len, store_calls)))
         self.assertIsNone(self.send(self.second, 'r3'))
         self.assertEqual(
-            [core.AnswerService('r3', 201, 't', b'done')],
-            self.second.all(core.AnswerService),
+            [core.RespondService('r3', 201, 't', b'done')],
+            self.second.all(core.RespondService),
         )
 
     def test_a_repeat_before_the_end_is_stored_waits_for_it(self) -> None:
@@ -235,7 +237,7 @@
         serve(self.second, self.store, self.second.tell(confirm('r2')))
         serve(self.first, self.store, on_its_way)
         serve(self.second, self.store, self.second.wait(0.3))
-        self.assertEqual('r2', self.second.last(core.AnswerService).request_id)
+        self.assertEqual('r2', self.second.last(core.RespondService).request_id)
 
     def test_the_claim_of_a_killed_owner_is_in_doubt(self) -> None:
         """An entry is killed while the service works on its call.
@@ -272,12 +274,12 @@
         """
         call = self.send(self.first, 'r1')
         assert call is not None
-        self.end(self.first, core.CallerGone('r1'))
+        self.end(self.first, core.CallerDisconnected('r1'))
         answer = core.ServiceAnswered('r1', call.attempt_id, 200, 't', b'done')
         self.end(self.first, answer)
-        self.assertEqual([], self.first.all(core.AnswerService))
+        self.assertEqual([], self.first.all(core.RespondService))
         self.send(self.second, 'r2')
-        self.assertEqual(b'done', self.second.last(core.AnswerService).body)
+        self.assertEqual(b'done', self.second.last(core.RespondService).body)
         self.assertEqual(1, self.first.usage.requests)
 
     def test_a_retry_depends_on_how_the_attempt_ended(self) -> None:
@@ -350,12 +352,12 @@
         """
         call = self.send(self.first, 'r1')
         assert call is not None
-        body = bytes(core.OnceSettings().max_kept_answer_bytes + 1)
+        body = bytes(core.IdempotencySettings().max_kept_answer_bytes + 1)
         self.end(
             self.first,
             core.ServiceAnswered('r1', call.attempt_id, 200, 't', body),
         )
-        self.assertEqual(body, self.first.last(core.AnswerService).body)
+        self.assertEqual(body, self.first.last(core.RespondService).body)
         self.assertIsNone(self.send(self.second, 'r2'))
         refusal = self.second.refusal('r2')
         assert refusal is not None
@@ -383,7 +385,7 @@
         """
         self.send(self.first, 'r1')
         (item,) = self.store.items.values()
-        settings = core.OnceSettings()
+        settings = core.IdempotencySettings()
         kept_s = settings.retention_s + settings.clock_margin_s
         for wait_s, deletes in ((kept_s - 1000, 0), (2000, 1)):
             self.second.now_s += wait_s
@@ -391,7 +393,7 @@
             self.second.wait(settings.sweep_interval_s * 2)
             listing = self.second.last(core.StoreList)
             answer = core.StoreListing(1, (item,))
-            self.second.tell(core.StoreAnswered(listing.operation_id, answer))
+            self.second.tell(core.StoreResponded(listing.operation_id, answer))
             self.assertEqual(deletes, len(self.second.all(core.StoreDelete)))
 
 
@@ -402,7 +404,10 @@
         The caller is told within two seconds that its call was not sent, and
         nothing ever reaches the service.
         """
-        for failed in (core.StoreFailed('503', may_have_happened=False), None):
+        for failed in (
+            core.StoreFailed('503', may_have_been_applied=False),
+            None,
+        ):
             entry = Entry()
             answered = 0
             entry.tell(confirm())
@@ -411,7 +416,7 @@
                 if failed is not None and answered < len(puts):
                     answered += 1
                     operation_id = puts[-1].operation_id
-                    entry.tell(core.StoreAnswered(operation_id, failed))
+                    entry.tell(core.StoreResponded(operation_id, failed))
                 entry.wait(0.05)
             expected = (core.RefusalKind.STORE_DOWN, core.RunState.NO)
             self.assertEqual(expected, refusal_of(entry, 'r1'))
@@ -426,16 +431,16 @@
         entry, store = Entry(), Store()
         serve(entry, store, entry.tell(confirm()))
         entry.tell(core.ServiceAnswered('r1', 'r1.1', 200, 't', b'done'))
-        self.assertEqual(b'done', entry.last(core.AnswerService).body)
+        self.assertEqual(b'done', entry.last(core.RespondService).body)
         for _ in range(100):
             put = entry.last(core.StorePut)
-            failed = core.StoreFailed('503', may_have_happened=False)
-            entry.tell(core.StoreAnswered(put.operation_id, failed))
+            failed = core.StoreFailed('503', may_have_been_applied=False)
+            entry.tell(core.StoreResponded(put.operation_id, failed))
             entry.wait(6)
         serve(entry, store, [entry.last(core.StorePut)])
-        self.assertEqual(0, entry.once.in_progress)
+        self.assertEqual(0, entry.idempotency.in_progress)
         serve(entry, store, entry.tell(confirm('r2')))
-        self.assertEqual('r2', entry.last(core.AnswerService).request_id)
+        self.assertEqual('r2', entry.last(core.RespondService).request_id)
         self.assertLess(len(entry.all(core.StorePut)), 110)
 
     def test_a_claim_whose_answer_was_lost_is_read_back(self) -> None:
@@ -448,8 +453,8 @@
         (put,) = entry.tell(confirm())[-1:]
         assert isinstance(put, core.StorePut)
         store.perform(put)
-        failed = core.StoreFailed('cut', may_have_happened=True)
-        entry.tell(core.StoreAnswered(put.operation_id, failed))
+        failed = core.StoreFailed('cut', may_have_been_applied=True)
+        entry.tell(core.StoreResponded(put.operation_id, failed))
         (read,) = entry.wait(1)
         self.assertIsInstance(read, core.StoreGet)
         serve(entry, store, [read])
@@ -536,7 +541,7 @@
                 self.assertGreater(lost, 2)
                 continue
             self.assertEqual(name, end.request_id)
-            answered = isinstance(end, core.AnswerService)
+            answered = isinstance(end, core.RespondService)
             self.assertEqual(
                 reference.call(key, body, outcome),
                 end.body if answered else end.refusal.kind,
--- a/tests/core/test_orders.py
+++ b/tests/core/test_orders.py
@@ -10,11 +10,12 @@
 from dandelionyoke_core import (
     CONTROL_DUTY,
     Action,
-    AuthorityPart,
-    AuthoritySettings,
     DutyGained,
-    EngineOrderAnswered,
+    DutyLeasePart,
+    DutyLeaseSettings,
+    EngineOrderResponded,
     Event,
+    FleetSizeChangeRequested,
     Instance,
     Journal,
     LoadReport,
@@ -27,15 +28,14 @@
     PollLoad,
     ReadEngineOrder,
     Role,
-    RoleWanted,
+    RoleChangeRequested,
     SendEngineOrder,
     SendTargetOrder,
     ServiceName,
     Target,
     TargetId,
-    TargetOrderAnswered,
+    TargetOrderResponded,
     TargetsListed,
-    TargetsWanted,
     record_from_json,
 )
 from dandelionyoke_standins import EngineSettings
@@ -78,8 +78,10 @@
         if isinstance(event, DutyGained):
             self.fence = event.fence
             return []
-        wanted = RoleWanted(TARGET_ID, SERVICE, self.role, self.fence, 'test')
-        return [wanted]
+        role_change = RoleChangeRequested(
+            TARGET_ID, SERVICE, self.role, self.fence, 'test'
+        )
+        return [role_change]
 
     def next_wakeup_s(self) -> float | None:
         return None
@@ -88,7 +90,7 @@
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Return the parts of an entry that controls one engine."""
     return [
-        AuthorityPart(AuthoritySettings(), CONTROL_DUTY, own, random),
+        DutyLeasePart(DutyLeaseSettings(), CONTROL_DUTY, own, random),
         OrdersPart(OrdersSettings(), own, lambda name: TARGET, random),
         RoleRequester(ROLES[own.instance_id]),
     ]
@@ -131,8 +133,8 @@
         order = action.order
         if now_s * bench.entries[name].rate >= action.not_after_s:
             if isinstance(action, SendTargetOrder):
-                return TargetOrderAnswered(order.order_id, OrderState.UNKNOWN)
-            return EngineOrderAnswered(
+                return TargetOrderResponded(order.order_id, OrderState.UNKNOWN)
+            return EngineOrderResponded(
                 TARGET_ID, order.order_id, OrderState.UNKNOWN
             )
         holder = bench.platform.store.read(f'duty/{DOMAIN}/{CONTROL_DUTY}')
@@ -142,7 +144,7 @@
     if isinstance(action, SendTargetOrder):
         raw = cattrs.structure(cattrs.unstructure(action.order), TargetOrder)
         answer = bench.platform.order_targets(raw, now_s)
-        return TargetOrderAnswered(
+        return TargetOrderResponded(
             action.order.order_id, OrderState(answer.state)
         )
     return bench.engine.take(name, action, now_s)[0].event
@@ -166,8 +168,8 @@
 def bench_with_first_as_holder(*, is_checking: bool) -> EngineBench:
     """Return a bench in which the first entry holds the duty."""
     bench = EngineBench(is_checking=is_checking)
-    bench.meet()
-    bench.settle(4, (FIRST,))
+    bench.announce_peers()
+    bench.run_without_faults(4, (FIRST,))
     return bench
 
 
@@ -193,14 +195,14 @@
                 ):
                     bench = bench_with_first_as_holder(is_checking=is_checking)
                     _stop_first(bench, calls, resumption)
-                    bench.settle(bench.now_s + 14, (SECOND,))
+                    bench.run_without_faults(bench.now_s + 14, (SECOND,))
                     bench.request_role(SECOND)
                     check_orders(bench, (str(calls), resumption))
                     _resume_first(bench, resumption)
                     running = (SECOND,) if resumption == 'never' else NAMES
-                    bench.settle(bench.now_s + 40, running)
+                    bench.run_without_faults(bench.now_s + 40, running)
                     bench.request_role(SECOND)
-                    bench.settle(bench.now_s + 20, running)
+                    bench.run_without_faults(bench.now_s + 20, running)
                     check_orders(bench, (str(calls), resumption))
                     self.assertEqual(0, count_plans(bench))
                     report = bench.engine.model.load_report(bench.now_s)
@@ -218,7 +220,7 @@
             states = explore(bench, _takeover_moves(), 4, check_orders)
             bench.answer(FIRST)
             states += explore(bench, _takeover_moves(), 3, check_orders)
-            bench.settle(bench.now_s + 2.5, (FIRST,))
+            bench.run_without_faults(bench.now_s + 2.5, (FIRST,))
             states += explore(bench, _takeover_moves(), 3, check_orders)
             self.assertGreater(states, 500)
 
@@ -236,11 +238,11 @@
                 bench = bench_with_first_as_holder(is_checking=False)
                 bench.request_role(FIRST)
                 late = _intercept_order(bench, which)
-                bench.settle(bench.now_s + delay_s, (SECOND,))
+                bench.run_without_faults(bench.now_s + delay_s, (SECOND,))
                 bench.request_role(SECOND)
                 bench.engine.take(FIRST, late, bench.now_s)
                 check_orders(bench, (str(which), str(delay_s)))
-                bench.settle(bench.now_s + 40, (SECOND,))
+                bench.run_without_faults(bench.now_s + 40, (SECOND,))
                 check_orders(bench, (str(which), str(delay_s)))
                 self.assertEqual(0, count_plans(bench))
                 report = bench.engine.model.load_report(bench.now_s)
@@ -255,7 +257,7 @@
         bench.platform.faults.keys = 'orders'
         bench.platform.faults.lose_answers = 4
         bench.request_role(FIRST)
-        bench.settle(40, (FIRST,))
+        bench.run_without_faults(40, (FIRST,))
         check_orders(bench, ())
         self.assertEqual(3, len(bench.orders))
         self.assertEqual(0, count_plans(bench))
@@ -274,7 +276,7 @@
                 order_id = waiting[0].order.order_id
                 if bench.now_s < 12:
                     bench.effect(FIRST)
-                    unknown = EngineOrderAnswered(
+                    unknown = EngineOrderResponded(
                         TARGET_ID, order_id, OrderState.UNKNOWN
                     )
                     bench.entries[FIRST].take(unknown, bench.now_s)
@@ -293,7 +295,7 @@
         request = GenerateRequest('a-1', 'model', 'answer 200 tokens', (), 200)
         bench.engine.model.generate(request, bench.now_s)
         bench.request_role(FIRST)
-        bench.settle(60, (FIRST,))
+        bench.run_without_faults(60, (FIRST,))
         self.assertEqual(3, len(bench.orders))
         record = bench.engine.model.record
         changed_s = bench.orders[1].at_s  # type: ignore[attr-defined]
@@ -324,7 +326,7 @@
             for _ in range(10):
                 bench.answer(FIRST)
             self.assertEqual(1, len(bench.orders))
-        bench.settle(bench.now_s + 10, (FIRST,))
+        bench.run_without_faults(bench.now_s + 10, (FIRST,))
         self.assertEqual(3, len(bench.orders))
 
     def test_a_target_is_drained_before_it_is_removed(self) -> None:
@@ -335,12 +337,14 @@
         bench = bench_with_first_as_holder(is_checking=True)
         request = GenerateRequest('a-1', 'model', 'answer 200 tokens', (), 200)
         bench.engine.model.generate(request, bench.now_s)
-        fence = bench.entries[FIRST].believes(CONTROL_DUTY, bench.now_s) or 0
-        wanted = TargetsWanted(
-            SERVICE, DOMAIN, fence, 'test', add_steady=1, remove=(TARGET_ID,)
+        fence = (
+            bench.entries[FIRST].believed_fence(CONTROL_DUTY, bench.now_s) or 0
+        )
+        size_change = FleetSizeChangeRequested(
+            SERVICE, DOMAIN, fence, 'test', add_on_demand=1, remove=(TARGET_ID,)
         )
-        bench.entries[FIRST].take(wanted, bench.now_s)
-        bench.settle(60, (FIRST,))
+        bench.entries[FIRST].take(size_change, bench.now_s)
+        bench.run_without_faults(60, (FIRST,))
         received = bench.platform.record.orders
         self.assertEqual(
             ['add', 'remove'], [one.order.action for one in received]
@@ -394,7 +398,7 @@
 
 
 def _run_and_request(bench: Bench, name: str, elapsed_s: float) -> None:
-    bench.settle(bench.now_s + elapsed_s, (name,))
+    bench.run_without_faults(bench.now_s + elapsed_s, (name,))
     assert isinstance(bench, EngineBench)
     bench.request_role(name)
 
@@ -406,24 +410,28 @@
         Another entry must complete the change. Callers must get whole
         answers, and the engine must take work again.
         """
-        world, names = small_fleet(7, entries=4, engines=3)
-        holder = holder_of(world, CONTROL_DUTY)
-        fence = world.platform.store.read(DUTY_KEY).revision
-        wanted = RoleWanted(ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test')
-        call_all(world, names, 1)
-        world.run(40.2)
-        world.send(holder, wanted)
-        world.run(40.5)
-        world.kill(holder)
+        simulation, names = small_fleet(7, entries=4, engines=3)
+        holder = holder_of(simulation, CONTROL_DUTY)
+        fence = simulation.platform.store.read(DUTY_KEY).revision
+        role_change = RoleChangeRequested(
+            ENGINE_ID, SERVICE, Role.PREFILL, fence, 'test'
+        )
+        call_all(simulation, names, 1)
+        simulation.run(40.2)
+        simulation.deliver(holder, role_change)
+        simulation.run(40.5)
+        simulation.kill(holder)
         for round_ in range(2, 8):
-            call_all(world, [name for name in names if name != holder], round_)
-            world.run(world.now_s + 5)
-        engine = world.engines['engine://assistant-000'].model
+            call_all(
+                simulation, [name for name in names if name != holder], round_
+            )
+            simulation.run(simulation.now_s + 5)
+        engine = simulation.engines['engine://assistant-000'].model
         kinds = [
             one.order.kind for one in engine.record.orders if not one.is_repeat
         ]
         self.assertEqual(['drain', 'role', 'undrain'], kinds)
-        self.assertEqual('prefill', engine.load_report(world.now_s).role)
-        for request_id, call in world.calls.items():
+        self.assertEqual('prefill', engine.load_report(simulation.now_s).role)
+        for request_id, call in simulation.calls.items():
             if not request_id.startswith(holder):
                 self.assertEqual(20, len(call.tokens), request_id)
--- a/tests/core/test_request.py
+++ b/tests/core/test_request.py
@@ -10,7 +10,7 @@
 
 ANSWER = tuple(f'crate{index} ' for index in range(8))
 NO, UNKNOWN = core.RunState.NO, core.RunState.UNKNOWN
-WITHDRAWN = core.KeyWithdrawn('hash of key-1')
+WITHDRAWN = core.KeyRevoked('hash of key-1')
 
 
 def output(attempt: str, start: int, end: int, name: str = 'r1') -> core.Event:
@@ -100,9 +100,9 @@
         entry.tell(output('r1.1', 0, 3))
         entry.wait(core.RequestSettings().silence_timeout_s)
         self.assertEqual(
-            (core.DropAttempt('r1', 'r1.1'), 3, 'r1.1'),
+            (core.AbandonAttempt('r1', 'r1.1'), 3, 'r1.1'),
             (
-                entry.last(core.DropAttempt),
+                entry.last(core.AbandonAttempt),
                 entry.last(core.ResumeAttempt).offset,
                 entry.last(core.ResumeAttempt).resumed_attempt_id,
             ),
@@ -379,7 +379,7 @@
             assert refusal is not None
             self.assertEqual((kind, NO), (refusal.kind, refusal.run))
             self.assertTrue(refusal.remedy)
-            self.assertEqual([], entry.router.needs)
+            self.assertEqual([], entry.router.requirements)
             self.assertIn(
                 'request.refused',
                 [log.kind for log in entry.all(core.WriteLog)],
@@ -408,7 +408,7 @@
         """
         entry = entry_with_call(Entry())
         entry.tell(output('r1.1', 0, 3))
-        entry.tell(core.CallerGone('r1'))
+        entry.tell(core.CallerDisconnected('r1'))
         self.assertEqual('r1.1', entry.last(core.CancelAttempt).attempt_id)
         self.assertEqual([], entry.all(core.RefuseCall))
         self.assertEqual(
@@ -508,7 +508,10 @@
         entry, store = entry_with_call(Entry()), Store()
         entry.tell(ask('r2', 'a ' * 9_000))
         serve(entry, store, entry.tell(confirm('r3')))
-        steady = [need.steady for need in entry.router.needs]
+        steady = [
+            requirements.on_demand_only
+            for requirements in entry.router.requirements
+        ]
         self.assertEqual([False, True, True], steady)
 
     def test_a_call_without_a_route_is_refused_at_once(self) -> None:
@@ -526,4 +529,4 @@
         other = Entry('entry-2')
         serve(other, store, other.tell(confirm('r2')))
         other.tell(core.ServiceAnswered('r2', 'r2.1', 200, 't', b'done'))
-        self.assertEqual(b'done', other.last(core.AnswerService).body)
+        self.assertEqual(b'done', other.last(core.RespondService).body)
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -17,9 +17,9 @@
     NoRoute,
     PollLoad,
     Presence,
-    RecordLearned,
+    RecordReceived,
+    ReplicateRecord,
     RoutingPart,
-    ShareRecord,
     Target,
     TargetCrashed,
     TargetId,
@@ -28,7 +28,7 @@
     TargetsListed,
     TargetsShared,
     TargetUnreachable,
-    Woken,
+    TimerFired,
     WorkSize,
     message_from_mapping,
     message_to_mapping,
@@ -41,7 +41,7 @@
     HOME,
     FixedPeers,
     entry,
-    make_need,
+    make_requirements,
     make_routing,
     make_targets,
 )
@@ -57,8 +57,8 @@
 
 
 def calls_at(part: RoutingPart) -> dict[TargetId, float]:
-    sights = part.sights(make_need().service, 0)
-    return {sight.target.target_id: sight.calls for sight in sights}
+    statuses = part.target_statuses(make_requirements().service, 0)
+    return {status.target.target_id: status.calls for status in statuses}
 
 
 @attrs.define
@@ -141,7 +141,9 @@
                     for candidate in fleet
                     if candidate.accepts(steady=steady)
                 }
-                chosen = part.choose(make_need(steady=steady), 0)
+                chosen = part.choose(
+                    make_requirements(on_demand_only=steady), 0
+                )
                 if isinstance(chosen, NoRoute):
                     self.assertEqual(set(), allowed)
                 else:
@@ -168,9 +170,11 @@
         part = make_routing(make_targets(count, kind=kind), seed=seed)
         sent: Counter[TargetId] = Counter()
         for number in range(calls):
-            chosen = part.choose(make_need(), 0)
+            chosen = part.choose(make_requirements(), 0)
             self.assertIsInstance(chosen, Target)
-            part.dispatched(f'a{number}', chosen.target_id, make_need(), 0)
+            part.dispatched(
+                f'a{number}', chosen.target_id, make_requirements(), 0
+            )
             sent[chosen.target_id] += 1
         even_share = -(-calls // count)
         self.assertLessEqual(max(sent.values()), even_share + 2)
@@ -205,8 +209,12 @@
             now_s = step + 1.0
             live = sorted(in_flight)
             if change == 'send':
-                need = make_need(prompt_tokens=100 * (argument + 1))
-                in_flight[f'a{step:03}'] = SentAttempt(need, now_s, 0, 100)
+                requirements = make_requirements(
+                    prompt_tokens=100 * (argument + 1)
+                )
+                in_flight[f'a{step:03}'] = SentAttempt(
+                    requirements, now_s, 0, 100
+                )
                 state.add_attempt(f'a{step:03}', in_flight[f'a{step:03}'])
             elif change == 'report':
                 taken_s, late_report = reports[max(0, len(reports) - 1 - lag)]
@@ -223,7 +231,9 @@
                 for attempt in in_flight.values()
                 if attempt.first_output_s is None
             ]
-            tokens = sum(attempt.need.prompt_tokens for attempt in pending)
+            tokens = sum(
+                attempt.requirements.prompt_tokens for attempt in pending
+            )
             reports.append(
                 (
                     now_s + 0.5,
@@ -254,12 +264,14 @@
             part.handle(LoadReported(name, report(name)), 0)
         held: Counter[TargetId] = Counter()
         for number, prompt in enumerate(prompts):
-            need = make_need(prompt_tokens=prompt, max_output_tokens=1000)
+            requirements = make_requirements(
+                prompt_tokens=prompt, max_output_tokens=1000
+            )
             size = WorkSize(prompt, 1000, 1000)
-            outlook = part.outlook(need.service, size, 1)
-            target = part.choose(need, 1)
-            if outlook is not None and outlook.has_room:
-                part.dispatched(f'a{number}', target.target_id, need, 1)
+            forecast = part.forecast(requirements.service, size, 1)
+            target = part.choose(requirements, 1)
+            if forecast is not None and forecast.can_start:
+                part.dispatched(f'a{number}', target.target_id, requirements, 1)
                 part.progressed(f'a{number}', 1, 1)
                 # Output tokens for which memory is reserved.
                 held[target.target_id] += -(-(prompt + 800) // 16)
@@ -281,8 +293,10 @@
         part = make_routing(fleet, share=share, seed=seed)
         reclaimable_count = 0
         for number in range(300):
-            target = part.choose(make_need(), 0)
-            part.dispatched(f'a{number}', target.target_id, make_need(), 0)
+            target = part.choose(make_requirements(), 0)
+            part.dispatched(
+                f'a{number}', target.target_id, make_requirements(), 0
+            )
             reclaimable_count += target.reclaimable
         self.assertLessEqual(reclaimable_count, 300 * share + 10 * (share > 0))
 
@@ -296,7 +310,7 @@
             part = make_routing((target,))
             first_report = report(target.target_id)
             part.handle(LoadReported(target.target_id, first_report), 0)
-            part.dispatched('a1', target.target_id, make_need(), 1)
+            part.dispatched('a1', target.target_id, make_requirements(), 1)
             second_report = attrs.evolve(first_report, incarnation='second')
             event = LoadReported(target.target_id, second_report)
             if not restarts:
@@ -315,12 +329,16 @@
         """
         part = make_routing(make_targets(2))
         part.handle(TargetUnreachable(TargetId('t0'), 'refused'), 0)
-        chosen = {part.choose(make_need(), 1).target_id for _ in range(20)}
+        chosen = {
+            part.choose(make_requirements(), 1).target_id for _ in range(20)
+        }
         self.assertEqual({'t1'}, chosen)
-        polls = part.handle(Woken(), 1)
+        polls = part.handle(TimerFired(), 1)
         self.assertIn(PollLoad(TargetId('t0'), '10.0.0.0:80'), polls)
         part.handle(LoadReported(TargetId('t0'), report(TargetId('t0'))), 1)
-        chosen = {part.choose(make_need(), 1).target_id for _ in range(20)}
+        chosen = {
+            part.choose(make_requirements(), 1).target_id for _ in range(20)
+        }
         self.assertEqual({'t0', 't1'}, chosen)
 
     def test_in_a_large_domain_two_entries_poll_a_target_for_all(self) -> None:
@@ -333,14 +351,16 @@
         polls: Counter[TargetId] = Counter()
         records = []
         for part in parts:
-            for output in part.handle(Woken(), 1):
+            for output in part.handle(TimerFired(), 1):
                 if isinstance(output, PollLoad):
                     polls[output.target_id] += 1
                     busy = report(output.target_id, running=7)
                     event = LoadReported(output.target_id, busy)
                     part.handle(event, 6)
-            shares = part.handle(Woken(), 6.5)
-            records += [out for out in shares if isinstance(out, ShareRecord)]
+            shares = part.handle(TimerFired(), 6.5)
+            records += [
+                out for out in shares if isinstance(out, ReplicateRecord)
+            ]
         report_counts = Counter(
             target_id
             for share in records
@@ -355,7 +375,7 @@
             mapping = message_to_mapping(share.record)
             record = message_from_mapping(mapping)
             self.assertIsInstance(record, LoadsShared)
-            parts[0].handle(RecordLearned(record, HERE), 9)
+            parts[0].handle(RecordReceived(record, HERE), 9)
         self.assertEqual({7}, set(calls_at(parts[0]).values()))
 
     def test_a_target_that_stays_after_all_gets_work_again(self) -> None:
@@ -372,7 +392,7 @@
             for notice in notices:
                 if isinstance(notice, TargetLeaving):
                     part.handle(notice, 1)
-            self.assertIsInstance(part.choose(make_need(), 1), expected)
+            self.assertIsInstance(part.choose(make_requirements(), 1), expected)
 
     def test_two_entries_read_the_list_and_all_learn_of_a_reclaim(self) -> None:
         """The spot targets of a zone are reclaimed with seconds of notice.
@@ -391,22 +411,22 @@
         }
         listers = []
         for name, part in parts.items():
-            part.handle(Woken(), 0)
-            if ListTargets() in part.handle(Woken(), 3):
+            part.handle(TimerFired(), 0)
+            if ListTargets() in part.handle(TimerFired(), 3):
                 listers.append(name)
         self.assertEqual(2, len(listers))
         lister = parts[listers[0]]
         lister.handle(TargetsListed((reclaimed, *targets[2:], fresh)), 3)
         (news,) = [
             out.record
-            for out in lister.handle(Woken(), 9)
-            if isinstance(out, ShareRecord)
+            for out in lister.handle(TimerFired(), 9)
+            if isinstance(out, ReplicateRecord)
             and isinstance(out.record, TargetsShared)
         ]
         record = message_from_mapping(message_to_mapping(news))
         other = next(parts[name] for name in entries if name not in listers)
         for _ in range(2):
-            outputs = other.handle(RecordLearned(record, listers[0]), 9)
+            outputs = other.handle(RecordReceived(record, listers[0]), 9)
         self.assertEqual([], outputs)
         self.assertEqual(reclaimed, other.find(targets[0].target_id))
         self.assertIsNone(other.find(targets[1].target_id))
@@ -447,11 +467,13 @@
                 f'shop-{Random(seed).random()}-{n}' for n in range(99)
             )
             part = make_routing(make_targets(6), seed=seed)
-            need = make_need(prompt_tokens=1600, blocks=blocks)
+            requirements = make_requirements(prompt_tokens=1600, blocks=blocks)
             chosen: Counter[TargetId] = Counter()
             for number in range(100):
-                target = part.choose(need, number)
-                part.dispatched(f'a{number}', target.target_id, need, number)
+                target = part.choose(requirements, number)
+                part.dispatched(
+                    f'a{number}', target.target_id, requirements, number
+                )
                 chosen[target.target_id] += 1
                 part.progressed(f'a{number}', 40, number)
                 if number < 20:
--- a/tests/core/test_usage.py
+++ b/tests/core/test_usage.py
@@ -9,9 +9,8 @@
 from dandelionyoke_core import (
     REPORT_DUTY,
     Action,
-    AuthorityPart,
-    AuthoritySettings,
-    CallDelivered,
+    DutyLeasePart,
+    DutyLeaseSettings,
     Event,
     Instance,
     Leaving,
@@ -23,11 +22,12 @@
     Started,
     StorePut,
     SubmitUsage,
-    UsageAnswered,
+    UsageDelivered,
     UsagePart,
+    UsageReportResponded,
     UsageSettings,
 )
-from dandelionyoke_standins import PlatformModel, World
+from dandelionyoke_standins import NodeSimulation, PlatformModel
 from dandelionyoke_standins._platform import UsageWindow
 from tests.core.duty_bench import (
     DOMAIN,
@@ -35,9 +35,9 @@
     Bench,
     call_all,
     explore,
+    fault_moves,
     holder_of,
     small_fleet,
-    trouble,
 )
 
 FIRST, SECOND = NAMES
@@ -55,7 +55,7 @@
 def make_parts(own: Instance, random: Random) -> list[Part]:
     """Return the parts of an entry that counts and may report usage."""
     return [
-        AuthorityPart(AuthoritySettings(), REPORT_DUTY, own, random),
+        DutyLeasePart(DutyLeaseSettings(), REPORT_DUTY, own, random),
         UsagePart(SETTINGS, own, 1, NoPeers(), random),
     ]
 
@@ -65,17 +65,17 @@
     assert isinstance(action, SubmitUsage)
     window = action.window
     if bench.now_s * bench.entries[name].rate >= action.not_after_s:
-        return UsageAnswered(window.window_id, None)
+        return UsageReportResponded(window.window_id, None)
     holder = bench.platform.store.read(f'duty/{DOMAIN}/{REPORT_DUTY}')
     assert window.fence == holder.revision, 'reported by one who lost the duty'
     raw = cattrs.structure(cattrs.unstructure(window), UsageWindow)
     bench.platform.report_usage(raw, bench.now_s)
-    return UsageAnswered(window.window_id, accepted=True)
+    return UsageReportResponded(window.window_id, accepted=True)
 
 
-def make_delivery(tokens: int, requests: int = 0) -> CallDelivered:
+def make_delivery(tokens: int, requests: int = 0) -> UsageDelivered:
     """Return a notice of tokens delivered to a caller."""
-    return CallDelivered(
+    return UsageDelivered(
         RequestId('request'),
         OrganisationId('kiosk'),
         ServiceName('assistant'),
@@ -104,8 +104,8 @@
     bench.performed = (SubmitUsage,)
     for entry in bench.entries.values():
         entry.take(Started(wall_s=600), bench.now_s)
-    bench.meet()
-    bench.settle(4, (FIRST,))
+    bench.announce_peers()
+    bench.run_without_faults(4, (FIRST,))
 
 
 def add_usage(bench: Bench, name: str, tokens: int) -> None:
@@ -123,9 +123,9 @@
             bench = Bench(make_parts)
             start(bench)
             add_usage(bench, FIRST, 7)
-            bench.settle(wait_s, (FIRST,))
+            bench.run_without_faults(wait_s, (FIRST,))
             add_usage(bench, SECOND, 5)
-            moves = trouble(FIRST, SECOND, 3.4)
+            moves = fault_moves(FIRST, SECOND, 3.4)
             states = explore(bench, moves, 5, _check_total)
             self.assertGreater(states, 200)
 
@@ -141,19 +141,19 @@
                 start(bench)
                 add_usage(bench, FIRST, 7)
                 add_usage(bench, SECOND, 5)
-                bench.settle(64.9, (FIRST,))
+                bench.run_without_faults(64.9, (FIRST,))
                 for _ in range(calls):
                     if not bench.answer(FIRST):
                         bench.tick(0.1, (FIRST,))
                 if resumption == 'with an answer':
                     bench.withhold(FIRST)
-                bench.settle(bench.now_s + 30, (SECOND,))
+                bench.run_without_faults(bench.now_s + 30, (SECOND,))
                 if resumption == 'with an answer':
                     bench.resume(FIRST)
                 if resumption == 'before its call':
                     bench.answer(FIRST)
                 running = (SECOND,) if resumption == 'never' else NAMES
-                bench.settle(200, running)
+                bench.run_without_faults(200, running)
                 _check_total(bench, (str(calls),))
                 self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
@@ -167,19 +167,19 @@
             bench = Bench(make_parts)
             start(bench)
             add_usage(bench, FIRST, 7)
-            bench.settle(62, NAMES)
+            bench.run_without_faults(62, NAMES)
             while not _is_closing(bench, FIRST):
                 bench.tick(0.1, (FIRST,))
                 while not _is_closing(bench, FIRST) and bench.answer(FIRST):
                     continue
             add_usage(bench, SECOND, 5)
-            while bench.entries[SECOND].believes(REPORT_DUTY, 0) is None:
+            while bench.entries[SECOND].believed_fence(REPORT_DUTY, 0) is None:
                 bench.tick(0.1, (SECOND,))
                 bench.answer(SECOND)
             for _ in range(steps):
                 bench.answer(SECOND)
             bench.answer(FIRST)
-            bench.settle(200, NAMES)
+            bench.run_without_faults(200, NAMES)
             self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
     def test_a_store_outage_across_the_end_of_a_window(self) -> None:
@@ -190,14 +190,14 @@
         bench = Bench(make_parts)
         start(bench)
         add_usage(bench, FIRST, 7)
-        bench.settle(50, NAMES)
+        bench.run_without_faults(50, NAMES)
         bench.platform.faults.outage = True
         add_usage(bench, FIRST, 5)
-        bench.settle(150, NAMES)
+        bench.run_without_faults(150, NAMES)
         add_usage(bench, SECOND, 3)
         bench.platform.faults.outage = False
         bench.platform.faults.lose_answers = 12
-        bench.settle(320, NAMES)
+        bench.run_without_faults(320, NAMES)
         self.assertEqual(15, sum_reported(bench.platform)['tokens'])
         self.assertGreaterEqual(len(bench.platform.record.usage), 4)
 
@@ -209,10 +209,10 @@
         bench = Bench(make_parts)
         start(bench)
         add_usage(bench, FIRST, 7)
-        bench.settle(70, NAMES)
+        bench.run_without_faults(70, NAMES)
         self.assertEqual(7, sum_reported(bench.platform)['tokens'])
         add_usage(bench, SECOND, 5)
-        bench.settle(130, NAMES)
+        bench.run_without_faults(130, NAMES)
         self.assertEqual(12, sum_reported(bench.platform)['tokens'])
 
     def test_a_leaving_entry_waits_a_limited_time_to_save(self) -> None:
@@ -228,9 +228,9 @@
         bench.entries[FIRST].take(Leaving(), bench.now_s)
         usage = bench.entries[FIRST].parts[1]
         assert isinstance(usage, UsagePart)
-        self.assertEqual(1, usage.unsaved)
-        bench.settle(bench.now_s + 11, (FIRST,))
-        self.assertEqual(0, usage.unsaved)
+        self.assertEqual(1, usage.unsaved_count)
+        bench.run_without_faults(bench.now_s + 11, (FIRST,))
+        self.assertEqual(0, usage.unsaved_count)
 
 
 def _is_closing(bench: Bench, name: str) -> bool:
@@ -246,9 +246,9 @@
     assert total <= 12, (total, path)
 
 
-def count_received_tokens(world: World) -> int:
+def count_received_tokens(simulation: NodeSimulation) -> int:
     """Return the number of tokens that callers received."""
-    return sum(len(call.tokens) for call in world.calls.values())
+    return sum(len(call.tokens) for call in simulation.calls.values())
 
 
 class CrashTest(testtools.TestCase):
@@ -258,22 +258,23 @@
         A peer must save the usage and another entry report it, all within
         the billed total.
         """
-        world, names = small_fleet(3, entries=6, engines=2)
-        call_all(world, names, 1)
-        world.run(44)
-        call_all(world, names, 2)
-        world.run(45.6)
-        reporter = holder_of(world, REPORT_DUTY)
+        simulation, names = small_fleet(3, entries=6, engines=2)
+        call_all(simulation, names, 1)
+        simulation.run(44)
+        call_all(simulation, names, 2)
+        simulation.run(45.6)
+        reporter = holder_of(simulation, REPORT_DUTY)
         owner = next(name for name in names if name != reporter)
-        world.kill(owner)
-        world.kill(reporter)
-        world.run(190)
-        self.assertGreater(count_received_tokens(world), 200)
+        simulation.kill(owner)
+        simulation.kill(reporter)
+        simulation.run(190)
+        self.assertGreater(count_received_tokens(simulation), 200)
         self.assertEqual(
-            count_received_tokens(world), sum_reported(world.platform)['tokens']
+            count_received_tokens(simulation),
+            sum_reported(simulation.platform)['tokens'],
         )
         self.assertEqual(
-            len(world.calls), sum_reported(world.platform)['requests']
+            len(simulation.calls), sum_reported(simulation.platform)['requests']
         )
 
     def test_loss_is_bounded_when_owner_and_both_peers_are_killed(self) -> None:
@@ -282,21 +283,21 @@
         At most the usage since its last save may be lost, and nothing may be
         billed twice.
         """
-        world, names = small_fleet(4, entries=6, engines=2)
-        call_all(world, names, 1)
-        world.run(50)
-        saved_tokens = count_received_tokens(world)
-        call_all(world, names, 2)
-        world.run(50.9)
+        simulation, names = small_fleet(4, entries=6, engines=2)
+        call_all(simulation, names, 1)
+        simulation.run(50)
+        saved_tokens = count_received_tokens(simulation)
+        call_all(simulation, names, 2)
+        simulation.run(50.9)
         owner = names[0]
-        usage = world._members[owner].node.usage  # type: ignore[attr-defined]
+        usage = simulation._members[owner].node.usage  # type: ignore[attr-defined]
         for name in (owner, *usage._counter._copy_holders):
-            world.kill(name)
-        world.run(190)
+            simulation.kill(name)
+        simulation.run(190)
         self.assertEqual(2, len(usage._counter._copy_holders))
-        total = sum_reported(world.platform)['tokens']
+        total = sum_reported(simulation.platform)['tokens']
         self.assertGreaterEqual(total, saved_tokens)
-        self.assertLessEqual(total, count_received_tokens(world))
+        self.assertLessEqual(total, count_received_tokens(simulation))
 
     def test_a_paused_owner_is_not_counted_twice(self) -> None:
         """An entry is paused for half a minute and its links end.
@@ -304,17 +305,18 @@
         Peers save its counts meanwhile. When it resumes and saves them
         itself, nothing may be billed twice.
         """
-        world, names = small_fleet(5, entries=6, engines=2)
-        call_all(world, names, 1)
-        world.run(41.5)
-        world.pause(names[0])
-        world.run(70)
-        world.resume(names[0])
-        world.run(75)
-        call_all(world, names, 2)
-        world.run(200)
+        simulation, names = small_fleet(5, entries=6, engines=2)
+        call_all(simulation, names, 1)
+        simulation.run(41.5)
+        simulation.pause(names[0])
+        simulation.run(70)
+        simulation.resume(names[0])
+        simulation.run(75)
+        call_all(simulation, names, 2)
+        simulation.run(200)
         self.assertEqual(
-            count_received_tokens(world), sum_reported(world.platform)['tokens']
+            count_received_tokens(simulation),
+            sum_reported(simulation.platform)['tokens'],
         )
 
     def test_a_shutdown_saves_what_was_counted(self) -> None:
@@ -322,13 +324,14 @@
 
         Its counts must be in the store before it stops.
         """
-        world, names = small_fleet(6, entries=6, engines=2)
-        call_all(world, names, 1)
-        world.run(40.5)
-        world.send(names[0], ShutdownRequested())
-        world.run(46)
-        world.kill(names[0])
-        world.run(140)
+        simulation, names = small_fleet(6, entries=6, engines=2)
+        call_all(simulation, names, 1)
+        simulation.run(40.5)
+        simulation.deliver(names[0], ShutdownRequested())
+        simulation.run(46)
+        simulation.kill(names[0])
+        simulation.run(140)
         self.assertEqual(
-            count_received_tokens(world), sum_reported(world.platform)['tokens']
+            count_received_tokens(simulation),
+            sum_reported(simulation.platform)['tokens'],
         )
--- a/tests/platform/path.py
+++ b/tests/platform/node_harness.py
@@ -35,7 +35,7 @@
 from dandelionyoke_gateway._prefill_queue import LocalPrefillQueue
 from dandelionyoke_gateway._rate_limits import DomainRateLimits
 from dandelionyoke_gateway._stream_call import forward_stream_call
-from dandelionyoke_links import reset_at_end, set_options
+from dandelionyoke_links import reset_on_close, set_socket_options
 from dandelionyoke_platform._dialect import PlatformDialect
 from dandelionyoke_platform._duties import PlatformDuties
 from tests.gateway.settings import new_settings
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class Seen:
+class ReceivedRequest:
     """A request as received by a target."""
 
     line: str
@@ -54,9 +54,9 @@
     body: bytes
 
 
-Piece = bytes | float | None
+ScriptStep = bytes | float | None
 # Bytes are sent, a float is a pause in seconds, None resets the connection.
-Script = Callable[[Seen], Iterable[Piece]]
+Script = Callable[[ReceivedRequest], Iterable[ScriptStep]]
 
 
 class ScriptedTarget:
@@ -65,7 +65,7 @@
     def __init__(self, script: Script) -> None:
         self._script = script
         self._listener = eventlet.listen(('127.0.0.1', 0))
-        self.seen: list[Seen] = []
+        self.received_requests: list[ReceivedRequest] = []
         # Requests whose connection the node closed before the answer's end.
         self.abandoned_count = 0
         self._threads = [eventlet.spawn(self._accept)]
@@ -90,26 +90,26 @@
     def _accept(self) -> None:
         while True:
             sock, _ = self._listener.accept()
-            set_options(sock)
+            set_socket_options(sock)
             self._threads.append(eventlet.spawn(self._serve, sock))
 
     def _serve(self, sock: socket.socket) -> None:
         with sock:
             while True:
-                seen = _read(sock)
-                if seen is None:
+                request = _read(sock)
+                if request is None:
                     return
-                self.seen.append(seen)
-                if not self._answer(sock, seen):
+                self.received_requests.append(request)
+                if not self._answer(sock, request):
                     return
 
-    def _answer(self, sock: socket.socket, seen: Seen) -> bool:
-        for piece in self._script(seen):
-            if piece is None:
-                reset_at_end(sock)
+    def _answer(self, sock: socket.socket, request: ReceivedRequest) -> bool:
+        for step in self._script(request):
+            if step is None:
+                reset_on_close(sock)
                 return False
-            if isinstance(piece, float):
-                sock.settimeout(piece)
+            if isinstance(step, float):
+                sock.settimeout(step)
                 try:
                     is_closed = not sock.recv(1)
                 except TimeoutError:
@@ -119,11 +119,11 @@
                     self.abandoned_count += 1
                     return False
                 continue
-            sock.sendall(piece)
+            sock.sendall(step)
         return True
 
 
-def _read(sock: socket.socket) -> Seen | None:
+def _read(sock: socket.socket) -> ReceivedRequest | None:
     content = b''
     while b'\r\n\r\n' not in content:
         try:
@@ -141,7 +141,7 @@
         headers[name.strip().lower()] = text.strip()
     while len(body) < int(headers.get('content-length', 0)):
         body += sock.recv(65536)
-    return Seen(lines[0], headers, body)
+    return ReceivedRequest(lines[0], headers, body)
 
 
 def answer(
@@ -165,7 +165,7 @@
     return f'{len(content):x}\r\n'.encode() + content + b'\r\n'
 
 
-class Lines:
+class LogLines:
     """Log sink that keeps the lines."""
 
     def __init__(self) -> None:
@@ -180,7 +180,7 @@
     """A listening node and the targets registered at it."""
 
     def __init__(self) -> None:
-        self.log_lines = Lines()
+        self.log_lines = LogLines()
         self.probed_targets: list[str] = []
         self.knowledge: Knowledge = new_knowledge(new_settings(), Random(7))
         self.knowledge.configuration = configuration()
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -58,11 +58,11 @@
         self.orders: list[dict[str, Any]] = []
         # The same reports with their time of arrival.
         self.reports: list[tuple[float, str, int, dict[str, Any]]] = []
-        self.is_out = False
+        self.is_unavailable = False
         # Writes are performed, but their answers are lost.
-        self.loses = False
+        self.loses_write_answers = False
         # Watches after an older revision than this are refused (410).
-        self.forgotten = 0
+        self.compacted_revision = 0
         # Replacements of texts in listed values, for example a node's address
         # by that of a relay.
         self.rewrites: dict[str, str] = {}
@@ -105,7 +105,7 @@
         self.history.append(item)
         return self.revision
 
-    def lapse(self) -> None:
+    def expire_leases(self) -> None:
         """Expire all leases, as after an outage during which they ran on."""
         for lease, (_, ttl_s) in tuple(self.leases.items()):
             self.leases[lease] = (0, ttl_s)
@@ -157,7 +157,7 @@
             self.orders.append(body)
             return 200, {}
         self.calls[_address(environ), path] += 1
-        if self.is_out or _address(environ) in self.refused:
+        if self.is_unavailable or _address(environ) in self.refused:
             return 503, {}
         if path == wire.KEY_PATH:
             item = self.items.get(query['key'])
@@ -168,7 +168,7 @@
             return self._watch(query)
         if path == wire.TRANSACTION_PATH:
             outcome = self._write(body)
-            return (504, {}) if self.loses else outcome
+            return (504, {}) if self.loses_write_answers else outcome
         return self._handle_lease(environ['REQUEST_METHOD'], path, body)
 
     def _record_usage(
@@ -194,12 +194,12 @@
 
     def _watch(self, query: dict[str, str]) -> tuple[int, dict[str, Any]]:
         after = int(query['after'])
-        if after < self.forgotten:
+        if after < self.compacted_revision:
             return 410, {}
         until_s = clock_s() + int(query['wait_ms']) / 1000
         while True:
             self._expire()
-            if self.is_out:
+            if self.is_unavailable:
                 return 503, {}
             events = [
                 item.fields()
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -16,12 +16,12 @@
 
 from dandelionyoke_gateway import clock_s
 from dandelionyoke_platform import _wire_names as wire
-from tests.platform.path import (
+from tests.platform.node_harness import (
     API_KEY,
     HOST,
-    Piece,
+    ReceivedRequest,
     ScriptedTarget,
-    Seen,
+    ScriptStep,
     answer,
 )
 from tests.platform.program import Ports, Program, wait_for
@@ -72,7 +72,9 @@
         self.store.put('servers/i-1', json.dumps(registry_entry))
         self.store.put('servers/broken', '{"slots": "many"}')
 
-    def answer_after_pause(self, seen: Seen) -> Iterator[Piece]:
+    def answer_after_pause(
+        self, request: ReceivedRequest
+    ) -> Iterator[ScriptStep]:
         if self.pause_s:
             yield self.pause_s
         yield answer()
@@ -121,12 +123,12 @@
         The node cannot learn of it, so it must stop accepting keys in time.
         """
         program = self.start_program()
-        self.store.is_out = True
+        self.store.is_unavailable = True
         started_s = clock_s()
         wait_for(lambda: b' 503 ' in program.call(), 'a refusal')
         self.assertLess(clock_s() - started_s, 5)
         self.assertFalse(program.is_ready())
-        self.store.is_out = False
+        self.store.is_unavailable = False
         wait_for(lambda: b' 200 ' in program.call(), 'an answer')
 
     def test_a_stopping_process_drains_its_calls(self) -> None:
@@ -138,9 +140,11 @@
         program = self.start_program()
         self.pause_s = 1.0
         caller = eventlet.spawn(program.call)
-        wait_for(lambda: self.target.seen, 'a request at the target')
-        program.end(signal.SIGHUP)
-        program.end(signal.SIGTERM)
+        wait_for(
+            lambda: self.target.received_requests, 'a request at the target'
+        )
+        program.send_signal(signal.SIGHUP)
+        program.send_signal(signal.SIGTERM)
         self.assertIn(b' 200 ', caller.wait())
         self.pause_s = 0.0
         self.assertFalse(program.is_ready())
@@ -171,7 +175,7 @@
         first.call()
         wait_for(lambda: self.store.usage, 'a usage report')
         second = self.start_program()
-        first.end(signal.SIGKILL)
+        first.send_signal(signal.SIGKILL)
         first_fences = {fence for _, fence, _ in self.store.usage}
 
         def taken_over() -> bool:
@@ -253,7 +257,7 @@
         program = self.start_program()
         program.call()
         wait_for(lambda: self.store.usage, 'a usage report')
-        self.store.lapse()
+        self.store.expire_leases()
         eventlet.sleep(0.5)
         _, _, body = self.store.usage[0]
         key = f'reports/{body["window_id"]}'
